--- a/core/blame/doc.go
+++ b/core/crash/doc.go
@@ -1,4 +1,4 @@
-// Package blame finds out which requests crash the endpoints that run them.
+// Package crash finds out which requests crash the endpoints that run them.
 //
 // # Concepts
 //
@@ -33,4 +33,4 @@
 //	effects := ta.Crashed(now, hash, crashed)
 //	effects = ta.Hear(now, note)
 //	if ta.Judge(now, fp).Quarantined { ... }
-package blame
+package crash
--- a/core/blame/entry.go
+++ b/core/crash/entry.go
@@ -1,4 +1,4 @@
-package blame
+package crash
 
 import (
 	"encoding/hex"
@@ -14,13 +14,13 @@
 // EntryName names the entry of a request.
 func EntryName(fp core.Fingerprint) string { return hex.EncodeToString(fp[:]) }
 
-// EntryValue is what is kept of a quarantine.
-func EntryValue(qu core.Quarantine) ([]byte, error) {
+// EncodeEntry is what is kept of a quarantine.
+func EncodeEntry(qu core.Quarantine) ([]byte, error) {
 	return json.Marshal(entry{qu.Trials, qu.Crashes})
 }
 
-// EntryRequest is the request that an entry is named for.
-func EntryRequest(name string) (core.Fingerprint, error) {
+// ParseEntryName is the request that an entry is named for.
+func ParseEntryName(name string) (core.Fingerprint, error) {
 	data, err := hex.DecodeString(name)
 	if err != nil || len(data) != len(core.Fingerprint{}) {
 		return core.Fingerprint{}, fmt.Errorf("%q names no request", name)
@@ -28,9 +28,9 @@
 	return core.Fingerprint(data), nil
 }
 
-// ReadEntry reads an entry of a store.
-func ReadEntry(name string, value []byte, rev core.Version) (core.Quarantine, error) {
-	fp, err := EntryRequest(name)
+// DecodeEntry reads an entry of a store.
+func DecodeEntry(name string, value []byte, rev core.Version) (core.Quarantine, error) {
+	fp, err := ParseEntryName(name)
 	if err != nil {
 		return core.Quarantine{}, err
 	}
--- a/core/blame/fingerprint.go
+++ b/core/crash/fingerprint.go
@@ -1,4 +1,4 @@
-package blame
+package crash
 
 import (
 	"crypto/sha256"
--- /dev/null
+++ b/core/crash/fleet_test.go
@@ -0,0 +1,398 @@
+package crash_test
+
+import (
+	"container/heap"
+	"flag"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"almondrill/core"
+	"almondrill/core/crash"
+)
+
+var explore = flag.Int("explore", 0, "drawn fleets to play beyond the usual ones")
+
+// A fleet plays routers before endpoints, with requests that crash them, on virtual time.
+// Messages between routers take milliseconds and some are lost. Callers come back with what
+// failed, as new attempts through any router.
+
+// pattern is what crashes endpoints in a fleet besides, or in place of, a crashing request.
+type pattern struct {
+	name string
+	// causes is how many crashing requests there are, copies how many attempts at each come at
+	// a time, and every how often they come.
+	causes, copies int
+	interval       time.Duration
+	// crashAfter is how long a crashing request runs.
+	crashAfter time.Duration
+	// outage is the part of the endpoints that crash in one second for no request's reason.
+	outage float64
+	// hot is the part of the harmless requests that are one and the same.
+	hot float64
+	// lossRate is the part of the messages that are lost.
+	lossRate float64
+}
+
+var patterns = []pattern{
+	{name: "one", causes: 1, copies: 1, interval: 500 * time.Millisecond, crashAfter: 100 * time.Millisecond},
+	{name: "late", causes: 1, copies: 1, interval: 500 * time.Millisecond, crashAfter: 900 * time.Millisecond},
+	{name: "parallel", causes: 1, copies: 4, interval: 2500 * time.Millisecond, crashAfter: 100 * time.Millisecond},
+	{name: "three", causes: 3, copies: 1, interval: 700 * time.Millisecond, crashAfter: 200 * time.Millisecond},
+	{name: "lossy", causes: 1, copies: 1, interval: 500 * time.Millisecond, crashAfter: 100 * time.Millisecond, lossRate: 0.1},
+	{name: "outage", outage: 0.34},
+	{name: "outage, hot", outage: 0.34, hot: 0.5},
+	{name: "outage, one", causes: 1, copies: 1, interval: 500 * time.Millisecond, crashAfter: 100 * time.Millisecond, outage: 0.34, hot: 0.3},
+}
+
+const (
+	fleetRouters   = 6
+	fleetEndpoints = 9
+	fleetDuration  = 60 * time.Second
+	// endpointRestart is how long a crashed endpoint is away.
+	endpointRestart = 3 * time.Second
+	// harmlessInterval is the pause between harmless requests of the fleet; each runs for 0.5 s on
+	// the mean, so that an endpoint has some six at a time.
+	harmlessInterval = 9 * time.Millisecond
+	// maxRetries is how often a caller comes back with what failed, and when.
+	maxRetries = 3
+	retryDelay = 300 * time.Millisecond
+	// lateAfter is how long after its third crash a request may be sent on without being counted.
+	lateAfter = 3 * time.Second
+	// maxLateSends is how many later ones are allowed in all.
+	maxLateSends = 3
+)
+
+type event struct {
+	at time.Duration
+	do func()
+}
+
+type events []event
+
+func (ev events) Len() int           { return len(ev) }
+func (ev events) Less(a, b int) bool { return ev[a].at < ev[b].at }
+func (ev events) Swap(a, b int)      { ev[a], ev[b] = ev[b], ev[a] }
+func (ev *events) Push(x any)        { *ev = append(*ev, x.(event)) }
+func (ev *events) Pop() any {
+	last := (*ev)[len(*ev)-1]
+	*ev = (*ev)[:len(*ev)-1]
+	return last
+}
+
+type attempt struct {
+	fp          core.Fingerprint
+	router      int
+	cause       bool
+	retriesLeft int
+	finished    bool
+}
+
+type fleet struct {
+	pattern
+	ra      *rand.Rand
+	now     time.Duration
+	queue   events
+	routers []*crash.Table
+	store   map[core.Fingerprint]core.Quarantine
+	rev     core.Version
+	// running is by endpoint, nil while it is away; start numbers its starts.
+	running [][]*attempt
+	starts  []uint64
+
+	// seen counts what became of the requests.
+	crashes    map[core.Fingerprint]int
+	thirdCrash map[core.Fingerprint]time.Duration
+	lateSends  map[core.Fingerprint]int
+	harmless   int
+	bystanders map[core.Fingerprint]bool
+	// firstRefused is when a harmless request was first refused, passed when it was first let
+	// through after that.
+	firstRefused map[core.Fingerprint]time.Duration
+	firstPassed  map[core.Fingerprint]time.Duration
+}
+
+func newFleet(pa pattern, seed uint64) *fleet {
+	fl := &fleet{
+		pattern: pa, ra: rand.New(rand.NewPCG(seed, 1)), store: map[core.Fingerprint]core.Quarantine{},
+		starts: make([]uint64, fleetEndpoints), crashes: map[core.Fingerprint]int{}, thirdCrash: map[core.Fingerprint]time.Duration{},
+		lateSends: map[core.Fingerprint]int{}, bystanders: map[core.Fingerprint]bool{}, firstRefused: map[core.Fingerprint]time.Duration{},
+		firstPassed: map[core.Fingerprint]time.Duration{},
+	}
+	for range fleetRouters {
+		fl.routers = append(fl.routers, &crash.Table{})
+	}
+	for range fleetEndpoints {
+		fl.running = append(fl.running, []*attempt{})
+	}
+	return fl
+}
+
+func (fl *fleet) schedule(after time.Duration, do func()) {
+	heap.Push(&fl.queue, event{fl.now + after, do})
+}
+
+func (fl *fleet) run() {
+	fl.schedule(0, fl.sendHarmless)
+	for ix := range fl.causes {
+		fl.schedule(5*time.Second, func() { fl.sendCause(core.Fingerprint{0xff, byte(ix)}) })
+	}
+	if fl.outage > 0 {
+		fl.schedule(10*time.Second, fl.crashSome)
+	}
+	fl.schedule(time.Second, fl.tick)
+	for len(fl.queue) > 0 && fl.queue[0].at < fleetDuration {
+		ev := heap.Pop(&fl.queue).(event)
+		fl.now = ev.at
+		ev.do()
+	}
+}
+
+func (fl *fleet) time() time.Time { return start.Add(fl.now) }
+
+// sendHarmless sends a harmless request, and the next one later.
+func (fl *fleet) sendHarmless() {
+	fl.schedule(time.Duration(fl.ra.ExpFloat64()*float64(harmlessInterval)), fl.sendHarmless)
+	fl.harmless++
+	fp := core.Fingerprint{1, byte(fl.harmless), byte(fl.harmless >> 8), byte(fl.harmless >> 16)}
+	if fl.ra.Float64() < fl.hot {
+		fp = core.Fingerprint{2}
+	}
+	fl.send(&attempt{fp: fp, retriesLeft: maxRetries})
+}
+
+// sendCause sends a crashing request, and again for as long as the fleet lasts.
+func (fl *fleet) sendCause(fp core.Fingerprint) {
+	fl.schedule(fl.interval, func() { fl.sendCause(fp) })
+	for range fl.copies {
+		fl.send(&attempt{fp: fp, cause: true})
+	}
+}
+
+// send brings an attempt to a router, and on to an endpoint if the router lets it through.
+func (fl *fleet) send(at *attempt) {
+	at.router = fl.ra.IntN(fleetRouters)
+	ve := fl.routers[at.router].Check(fl.time(), at.fp)
+	if ve.Quarantined && !(ve.Trial && fl.winTrial(at.router, ve.Entry)) {
+		if !at.cause && fl.firstRefused[at.fp] == 0 {
+			fl.firstRefused[at.fp] = fl.now
+		}
+		if !at.cause {
+			fl.schedule(ve.RetryAfter+time.Second, func() { fl.send(&attempt{fp: at.fp, retriesLeft: at.retriesLeft}) })
+		}
+		return
+	}
+	if fl.firstRefused[at.fp] != 0 && fl.firstPassed[at.fp] == 0 {
+		fl.firstPassed[at.fp] = fl.now
+	}
+	endpoint := fl.ra.IntN(fleetEndpoints)
+	for ix := 0; fl.running[endpoint] == nil; ix++ {
+		if ix > 4*fleetEndpoints {
+			return
+		}
+		endpoint = fl.ra.IntN(fleetEndpoints)
+	}
+	if third, known := fl.thirdCrash[at.fp]; known && fl.now > third+lateAfter {
+		fl.lateSends[at.fp]++
+	}
+	fl.running[endpoint] = append(fl.running[endpoint], at)
+	lasts := time.Duration(fl.ra.ExpFloat64() * float64(500*time.Millisecond))
+	if at.cause {
+		lasts = fl.crashAfter
+	}
+	fl.schedule(lasts, func() { fl.finish(endpoint, at) })
+}
+
+// winTrial replaces an entry of the store, if it is as the router knew it.
+func (fl *fleet) winTrial(router int, en core.Quarantine) bool {
+	if fl.store[en.Request].Rev != en.Rev {
+		return false
+	}
+	en.Trials++
+	fl.writeEntry(en)
+	fl.routers[router].EntryStored(fl.time(), fl.store[en.Request])
+	return true
+}
+
+// writeEntry puts an entry into the store; all routers hear of it within 0.3 s.
+func (fl *fleet) writeEntry(en core.Quarantine) {
+	fl.rev++
+	en.Rev = fl.rev
+	fl.store[en.Request] = en
+	for ix, ta := range fl.routers {
+		fl.schedule(time.Duration(fl.ra.IntN(300))*time.Millisecond, func() { fl.apply(ix, ta.EntryStored(fl.time(), en)) })
+	}
+}
+
+// finish ends an attempt whose time has come: it crashes its endpoint, or ends well.
+func (fl *fleet) finish(endpoint int, at *attempt) {
+	switch {
+	case at.finished:
+	case at.cause:
+		fl.crash(endpoint)
+	default:
+		at.finished = true
+		list := fl.running[endpoint]
+		for ix := range list {
+			if list[ix] == at {
+				fl.running[endpoint] = append(list[:ix:ix], list[ix+1:]...)
+				break
+			}
+		}
+		fl.apply(at.router, fl.routers[at.router].Succeeded(fl.time(), at.fp))
+	}
+}
+
+func (fl *fleet) crashSome() {
+	for endpoint := range fleetEndpoints {
+		if fl.ra.Float64() < fl.outage {
+			fl.schedule(time.Duration(fl.ra.IntN(1000))*time.Millisecond, func() { fl.crash(endpoint) })
+		}
+	}
+}
+
+// crash ends an endpoint with all that runs there. Each router finds out a few ms later.
+func (fl *fleet) crash(endpoint int) {
+	ran := fl.running[endpoint]
+	if ran == nil {
+		return
+	}
+	fl.running[endpoint] = nil
+	fl.starts[endpoint]++
+	id := uint64(endpoint)<<32 | fl.starts[endpoint]
+	fl.schedule(endpointRestart, func() { fl.running[endpoint] = []*attempt{} })
+	byRouter := map[int][]core.Fingerprint{}
+	once := map[core.Fingerprint]bool{}
+	for _, at := range ran {
+		at.finished = true
+		byRouter[at.router] = append(byRouter[at.router], at.fp)
+		if at.cause {
+			if !once[at.fp] {
+				once[at.fp] = true
+				if fl.crashes[at.fp]++; fl.crashes[at.fp] == 3 {
+					fl.thirdCrash[at.fp] = fl.now
+				}
+			}
+			continue
+		}
+		fl.bystanders[at.fp] = true
+		if at.retriesLeft > 0 {
+			fl.schedule(retryDelay, func() { fl.send(&attempt{fp: at.fp, retriesLeft: at.retriesLeft - 1}) })
+		}
+	}
+	for router := range fleetRouters {
+		if list := byRouter[router]; len(list) > 0 {
+			fl.schedule(time.Duration(2+fl.ra.IntN(10))*time.Millisecond, func() {
+				fl.apply(router, fl.routers[router].EndpointCrashed(fl.time(), id, list))
+			})
+		}
+	}
+}
+
+// apply sends what a router has to tell, and writes what it decided.
+func (fl *fleet) apply(router int, ef crash.Effects) {
+	for _, no := range ef.ToOwners {
+		owner := int(no.Request[1]) % fleetRouters
+		fl.sendNote(router, owner, no)
+		fl.sendNote(router, (owner+1)%fleetRouters, no)
+	}
+	for _, no := range ef.ToAll {
+		for to := range fleetRouters {
+			fl.sendNote(router, to, no)
+		}
+		if no.Kind == core.BlameQuarantined {
+			fl.schedule(50*time.Millisecond, func() { fl.storeDecisions(router, false) })
+		}
+	}
+	for _, en := range ef.Remove {
+		if fl.store[en.Request].Rev == en.Rev {
+			delete(fl.store, en.Request)
+			fl.rev++
+			rev := fl.rev
+			for ix, ta := range fl.routers {
+				fl.schedule(time.Duration(fl.ra.IntN(300))*time.Millisecond, func() { fl.apply(ix, ta.EntryRemoved(en.Request, rev)) })
+			}
+		}
+	}
+}
+
+func (fl *fleet) sendNote(from, to int, no core.BlameNote) {
+	if from == to || fl.ra.Float64() < fl.lossRate {
+		return
+	}
+	fl.schedule(time.Duration(1+fl.ra.IntN(5))*time.Millisecond, func() { fl.apply(to, fl.routers[to].ApplyNote(fl.time(), no)) })
+}
+
+// tick writes what was decided and is not in the store.
+func (fl *fleet) tick() {
+	fl.schedule(time.Second, fl.tick)
+	for ix := range fl.routers {
+		fl.storeDecisions(ix, true)
+	}
+}
+
+func (fl *fleet) storeDecisions(router int, broadcast bool) {
+	unstored, ef := fl.routers[router].Tick(fl.time())
+	fl.apply(router, ef)
+	for _, de := range unstored {
+		if broadcast {
+			fl.apply(router, crash.Effects{ToAll: []core.BlameNote{de.Note}})
+		}
+		if fl.store[de.Entry.Request].Rev == 0 {
+			fl.writeEntry(de.Entry)
+		}
+	}
+}
+
+// Endpoints crash, under requests that cause it and without any. Each cause is stopped with
+// its third crash but for what is allowed, and whoever was beside it is let through, or is
+// served again by the first trial.
+func TestRandomFleets(t *testing.T) {
+	for _, pa := range patterns {
+		t.Run(pa.name, func(t *testing.T) {
+			t.Parallel()
+			bystanders, refused, lasting := 0, 0, 0
+			var longest time.Duration
+			for seed := range uint64(20 + *explore) {
+				fl := newFleet(pa, seed)
+				fl.run()
+				for fp, count := range fl.lateSends {
+					if count > maxLateSends {
+						t.Errorf("seed %d: %s was sent on %d times, %d crashes", seed, fp, count, fl.crashes[fp])
+					}
+				}
+				bystanders += len(fl.bystanders)
+				refused += len(fl.firstRefused)
+				for fp, at := range fl.firstRefused {
+					end := fl.firstPassed[fp]
+					if end == 0 {
+						end = fleetDuration
+					}
+					longest = max(longest, end-at)
+					if end-at > callerTimeout {
+						lasting++
+					}
+				}
+			}
+			t.Logf("%d requests beside a crash, %d refused wrongly, %d of them for longer than %s, %s at most",
+				bystanders, refused, lasting, callerTimeout, longest.Round(time.Millisecond))
+			if part := float64(lasting) / math.Max(1, float64(bystanders)); part > maxLasting {
+				t.Errorf("%.5f of those beside a crash are refused beyond their callers' patience, at most %.5f allowed", part, maxLasting)
+			}
+			if longest > maxRefusedFor {
+				t.Errorf("refused wrongly for %s, at most %s allowed", longest, maxRefusedFor)
+			}
+		})
+	}
+}
+
+const (
+	// callerTimeout is how long callers wait, with their returns, and mostLasting the part of the
+	// requests beside a crash that may be refused wrongly for longer.
+	callerTimeout = 10 * time.Second
+	maxLasting    = 0.001
+	// maxRefusedFor is the pause before the first trial, with the return of the caller and
+	// its run.
+	maxRefusedFor = 30 * time.Second
+)
--- a/core/blame/breaks_test.go
+++ b/core/crash/interruptions_test.go
@@ -1,4 +1,4 @@
-package blame_test
+package crash_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/core/blame"
+	"almondrill/core/crash"
 )
 
 const endpoint uint64 = 7
@@ -19,31 +19,31 @@
 
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func run(fp core.Fingerprint, beganMs int) blame.Run {
-	return blame.Run{Endpoint: endpoint, Request: fp, Began: after(beganMs)}
+func newAttempt(fp core.Fingerprint, beganMs int) crash.Attempt {
+	return crash.Attempt{Endpoint: endpoint, Request: fp, StartedAt: after(beganMs)}
 }
 
 // Two requests break off at an endpoint, and the next connection is refused: both were
 // running there when it crashed, and so was a third whose end is read a moment later. One
 // that is sent afterwards, to the endpoint that is back, was not.
-func TestWhatRanWhenTheEndpointCrashed(t *testing.T) {
-	br := &blame.Breaks{}
-	if br.Broke(after(100), run(first, 0)) || br.Broke(after(101), run(second, 50)) {
+func TestAttemptsRunningAtACrash(t *testing.T) {
+	br := &crash.Interruptions{}
+	if br.Add(after(100), newAttempt(first, 0)) || br.Add(after(101), newAttempt(second, 50)) {
 		t.Error("a crash was known before anything told of it")
 	}
-	if !br.Waiting(endpoint) {
+	if !br.Pending(endpoint) {
 		t.Error("nothing waits to be told of the endpoint")
 	}
-	if got := br.Gone(after(103), endpoint, blame.Refused); len(got) != 2 || got[0] != first || got[1] != second {
+	if got := br.EndpointGone(after(103), endpoint, crash.Refused); len(got) != 2 || got[0] != first || got[1] != second {
 		t.Errorf("crashed: %v, want both", got)
 	}
-	if !br.Broke(after(105), run(core.Fingerprint{3}, 90)) {
+	if !br.Add(after(105), newAttempt(core.Fingerprint{3}, 90)) {
 		t.Error("an attempt that ended with the endpoint is not known to have run")
 	}
-	if br.Broke(after(900), run(first, 500)) {
+	if br.Add(after(900), newAttempt(first, 500)) {
 		t.Error("an attempt at the endpoint that is back counts for its end before")
 	}
-	if got := br.Gone(after(905), endpoint, blame.Refused); len(got) != 1 || got[0] != first {
+	if got := br.EndpointGone(after(905), endpoint, crash.Refused); len(got) != 1 || got[0] != first {
 		t.Errorf("crashed again: %v, want the first", got)
 	}
 }
@@ -51,29 +51,29 @@
 // An answer is lost, and five seconds later the endpoint crashes for another reason: what
 // broke off then was not running. If the endpoint had gone silent, it would be replaced
 // after such a time.
-func TestBreakLongBeforeACrash(t *testing.T) {
-	br := &blame.Breaks{}
-	br.Broke(after(0), run(first, -50))
-	if got := br.Gone(after(5000), endpoint, blame.Refused); len(got) != 0 {
+func TestInterruptionLongBeforeACrash(t *testing.T) {
+	br := &crash.Interruptions{}
+	br.Add(after(0), newAttempt(first, -50))
+	if got := br.EndpointGone(after(5000), endpoint, crash.Refused); len(got) != 0 {
 		t.Errorf("crashed: %v, want none", got)
 	}
-	br.Broke(after(20000), run(first, 19000))
-	if got := br.Gone(after(25000), endpoint, blame.Replaced); len(got) != 1 {
+	br.Add(after(20000), newAttempt(first, 19000))
+	if got := br.EndpointGone(after(25000), endpoint, crash.Replaced); len(got) != 1 {
 		t.Errorf("crashed in silence: %v, want the one", got)
 	}
-	br.Broke(after(60000), run(first, 59000))
-	if got := br.Gone(after(71000), endpoint, blame.Replaced); len(got) != 0 {
+	br.Add(after(60000), newAttempt(first, 59000))
+	if got := br.EndpointGone(after(71000), endpoint, crash.Replaced); len(got) != 0 {
 		t.Errorf("crashed: %v, want none after so long", got)
 	}
 }
 
 // Half of a pool crashes in one moment. A request that broke off elsewhere is sent, on a kept
 // connection, to an endpoint that has just crashed too: it was not running there.
-func TestRequestThatCameAfterTheCrashDidNotRun(t *testing.T) {
-	br := &blame.Breaks{}
-	br.Broke(after(100), run(first, 0))
-	br.Broke(after(102), run(second, 101))
-	if got := br.Gone(after(103), endpoint, blame.Refused); len(got) != 1 || got[0] != first {
+func TestRequestSentAfterTheCrashIsNotSuspected(t *testing.T) {
+	br := &crash.Interruptions{}
+	br.Add(after(100), newAttempt(first, 0))
+	br.Add(after(102), newAttempt(second, 101))
+	if got := br.EndpointGone(after(103), endpoint, crash.Refused); len(got) != 1 || got[0] != first {
 		t.Errorf("crashed: %v, want the first", got)
 	}
 }
@@ -81,28 +81,28 @@
 // An answer is lost at an endpoint that lives on, and a moment later a request crashes it: only
 // that one was running. On a day of lost answers every crash has such a break before it, and
 // would be laid to it while the cause goes on.
-func TestBreakJustBeforeACrashIsApart(t *testing.T) {
-	br := &blame.Breaks{}
-	br.Broke(after(0), run(first, -100))
-	br.Broke(after(600), run(second, 300))
-	if got := br.Gone(after(605), endpoint, blame.Refused); len(got) != 1 || got[0] != second {
+func TestInterruptionJustBeforeACrashIsUnrelated(t *testing.T) {
+	br := &crash.Interruptions{}
+	br.Add(after(0), newAttempt(first, -100))
+	br.Add(after(600), newAttempt(second, 300))
+	if got := br.EndpointGone(after(605), endpoint, crash.Refused); len(got) != 1 || got[0] != second {
 		t.Errorf("crashed: %v, want the second", got)
 	}
 }
 
 // The fingerprint of a request is that of what it asks, not of how its fields run together.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
-	one := blame.Fingerprint("herb", "POST", "site.example", "/a/b?c", []byte("body"))
-	if one != blame.Fingerprint("herb", "POST", "site.example", "/a/b?c", []byte("body")) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
+	one := crash.Fingerprint("herb", "POST", "site.example", "/a/b?c", []byte("body"))
+	if one != crash.Fingerprint("herb", "POST", "site.example", "/a/b?c", []byte("body")) {
 		t.Error("the same request has two fingerprints")
 	}
 	for _, other := range []core.Fingerprint{
-		blame.Fingerprint("her", "bPOST", "site.example", "/a/b?c", []byte("body")),
-		blame.Fingerprint("herb", "GET", "site.example", "/a/b?c", []byte("body")),
-		blame.Fingerprint("herb", "POST", "other.example", "/a/b?c", []byte("body")),
-		blame.Fingerprint("herb", "POST", "site.example", "/a/b?", []byte("cbody")),
-		blame.Fingerprint("herb", "POST", "site.example", "/a/b?c", []byte("body2")),
-		blame.Fingerprint("", "POST", "site.example", "/a/b?c", []byte("body")),
+		crash.Fingerprint("her", "bPOST", "site.example", "/a/b?c", []byte("body")),
+		crash.Fingerprint("herb", "GET", "site.example", "/a/b?c", []byte("body")),
+		crash.Fingerprint("herb", "POST", "other.example", "/a/b?c", []byte("body")),
+		crash.Fingerprint("herb", "POST", "site.example", "/a/b?", []byte("cbody")),
+		crash.Fingerprint("herb", "POST", "site.example", "/a/b?c", []byte("body2")),
+		crash.Fingerprint("", "POST", "site.example", "/a/b?c", []byte("body")),
 	} {
 		if other == one {
 			t.Error("another request has the same fingerprint")
@@ -118,7 +118,7 @@
 			b.SetBytes(int64(size))
 			b.ReportAllocs()
 			for b.Loop() {
-				blame.Fingerprint("herb", "POST", "site.example", "/a/b", body)
+				crash.Fingerprint("herb", "POST", "site.example", "/a/b", body)
 			}
 		})
 	}
--- /dev/null
+++ b/core/crash/successes.go
@@ -0,0 +1,41 @@
+package crash
+
+import (
+	"encoding/binary"
+	"time"
+
+	"almondrill/core"
+)
+
+// successSlots is how many requests that ended are remembered, 64 KB: those of the last minute
+// at 60 a second. A later one takes the place of an earlier one.
+const successSlots = 4096
+
+// recentSuccesses remembers which requests ended well lately, and when.
+type recentSuccesses struct{ slots []successSlot }
+
+type successSlot struct {
+	request uint64
+	at      int64 // ns of the Unix epoch
+}
+
+// record takes that a request ended.
+func (re *recentSuccesses) record(fp core.Fingerprint, at time.Time) {
+	if re.slots == nil {
+		re.slots = make([]successSlot, successSlots)
+	}
+	short := shorten(fp)
+	re.slots[short%successSlots] = successSlot{short, at.UnixNano()}
+}
+
+// succeededSince tells whether the request is known to have ended since then.
+func (re *recentSuccesses) succeededSince(fp core.Fingerprint, then time.Time) bool {
+	if re.slots == nil {
+		return false
+	}
+	short := shorten(fp)
+	slot := re.slots[short%successSlots]
+	return slot.request == short && slot.at >= then.UnixNano()
+}
+
+func shorten(fp core.Fingerprint) uint64 { return binary.BigEndian.Uint64(fp[:]) }
--- a/core/blame/table_test.go
+++ b/core/crash/table_test.go
@@ -1,4 +1,4 @@
-package blame_test
+package crash_test
 
 import (
 	"slices"
@@ -6,28 +6,28 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/core/blame"
+	"almondrill/core/crash"
 )
 
 // quarantined tells what a router judges of a request.
-func quarantined(ta *blame.Table, now time.Time, fp core.Fingerprint) bool {
-	return ta.Judge(now, fp).Quarantined
+func quarantined(ta *crash.Table, now time.Time, fp core.Fingerprint) bool {
+	return ta.Check(now, fp).Quarantined
 }
 
-func crash(endpoint uint64, ms int) []core.Crash {
+func crashAt(endpoint uint64, ms int) []core.Crash {
 	return []core.Crash{{Endpoint: endpoint, At: after(ms)}}
 }
 
 func suspected(fp core.Fingerprint, endpoint uint64, ms int) core.BlameNote {
-	return core.BlameNote{Kind: core.BlameSuspected, Request: fp, Crashes: crash(endpoint, ms)}
+	return core.BlameNote{Kind: core.BlameSuspected, Request: fp, Crashes: crashAt(endpoint, ms)}
 }
 
-// crashThree has a request crash three endpoints of one router, at 0, 1 and 2 s, and
+// crashThreeEndpoints has a request crash three endpoints of one router, at 0, 1 and 2 s, and
 // returns what follows from the third.
-func crashThree(ta *blame.Table, fp core.Fingerprint) blame.Effects {
-	var ef blame.Effects
+func crashThreeEndpoints(ta *crash.Table, fp core.Fingerprint) crash.Effects {
+	var ef crash.Effects
 	for ix := range 3 {
-		ef = ta.Crashed(after(1000*ix), uint64(10+ix), []core.Fingerprint{fp})
+		ef = ta.EndpointCrashed(after(1000*ix), uint64(10+ix), []core.Fingerprint{fp})
 	}
 	return ef
 }
@@ -35,33 +35,33 @@
 // Three endpoints crash under a request, each seen by another router. The one that counts
 // for it hears of all three and tells all; a fourth router refuses it from then on.
 func TestThirdCrashQuarantinesEverywhere(t *testing.T) {
-	routers := []*blame.Table{{}, {}, {}, {}}
-	keeper := routers[3]
-	var told blame.Effects
+	routers := []*crash.Table{{}, {}, {}, {}}
+	owner := routers[3]
+	var effects crash.Effects
 	for ix := range 3 {
-		ef := routers[ix].Crashed(after(1000*ix), uint64(10+ix), []core.Fingerprint{first, {byte(50 + ix)}})
+		ef := routers[ix].EndpointCrashed(after(1000*ix), uint64(10+ix), []core.Fingerprint{first, {byte(50 + ix)}})
 		if len(ef.ToAll) > 0 {
 			t.Errorf("router %d quarantined it after one crash of its own", ix)
 		}
-		for _, no := range ef.ToKeepers {
-			told = keeper.Hear(after(1000*ix+5), no)
+		for _, no := range ef.ToOwners {
+			effects = owner.ApplyNote(after(1000*ix+5), no)
 			// A message that comes twice, and another router's of the same crash, change nothing.
-			if again := keeper.Hear(after(1000*ix+6), no); len(again.ToAll) > 0 {
+			if again := owner.ApplyNote(after(1000*ix+6), no); len(again.ToAll) > 0 {
 				t.Error("a message that came twice counts twice")
 			}
-			if len(told.ToAll) > 0 && ix < 2 {
+			if len(effects.ToAll) > 0 && ix < 2 {
 				t.Errorf("quarantined after %d crashes", ix+1)
 			}
-			if no.Request == first && ix == 2 && len(told.ToAll) == 1 {
-				routers[0].Hear(after(2010), told.ToAll[0])
+			if no.Request == first && ix == 2 && len(effects.ToAll) == 1 {
+				routers[0].ApplyNote(after(2010), effects.ToAll[0])
 			}
 		}
 	}
-	if !quarantined(keeper, after(2020), first) || !quarantined(routers[0], after(2020), first) {
+	if !quarantined(owner, after(2020), first) || !quarantined(routers[0], after(2020), first) {
 		t.Error("the request is not quarantined after its third crash")
 	}
 	for ix := range 3 {
-		if quarantined(keeper, after(2020), core.Fingerprint{byte(50 + ix)}) {
+		if quarantined(owner, after(2020), core.Fingerprint{byte(50 + ix)}) {
 			t.Error("a request that was beside it once is quarantined too")
 		}
 	}
@@ -69,23 +69,23 @@
 
 // An attempt ends well: the request is not the cause, whatever it was running beside. The
 // counts of the keeper start anew.
-func TestRequestThatEndsIsCleared(t *testing.T) {
-	ta, keeper := &blame.Table{}, &blame.Table{}
-	hear := func(ms int, notes []core.BlameNote) {
+func TestSuccessfulRequestIsCleared(t *testing.T) {
+	ta, owner := &crash.Table{}, &crash.Table{}
+	applyNotes := func(ms int, notes []core.BlameNote) {
 		for _, no := range notes {
-			keeper.Hear(after(ms), no)
+			owner.ApplyNote(after(ms), no)
 		}
 	}
-	hear(0, ta.Crashed(after(0), 10, []core.Fingerprint{first}).ToKeepers)
-	hear(1000, ta.Crashed(after(1000), 11, []core.Fingerprint{first}).ToKeepers)
-	hear(2000, ta.Ended(after(2000), first).ToKeepers)
-	hear(20000, ta.Crashed(after(20000), 12, []core.Fingerprint{first}).ToKeepers)
-	hear(21000, ta.Crashed(after(21000), 13, []core.Fingerprint{first}).ToKeepers)
-	if quarantined(ta, after(21001), first) || quarantined(keeper, after(21001), first) {
+	applyNotes(0, ta.EndpointCrashed(after(0), 10, []core.Fingerprint{first}).ToOwners)
+	applyNotes(1000, ta.EndpointCrashed(after(1000), 11, []core.Fingerprint{first}).ToOwners)
+	applyNotes(2000, ta.Succeeded(after(2000), first).ToOwners)
+	applyNotes(20000, ta.EndpointCrashed(after(20000), 12, []core.Fingerprint{first}).ToOwners)
+	applyNotes(21000, ta.EndpointCrashed(after(21000), 13, []core.Fingerprint{first}).ToOwners)
+	if quarantined(ta, after(21001), first) || quarantined(owner, after(21001), first) {
 		t.Error("a request that ended well is quarantined by crashes before and after")
 	}
-	hear(22000, ta.Crashed(after(22000), 14, []core.Fingerprint{first}).ToKeepers)
-	if !quarantined(ta, after(22001), first) || !quarantined(keeper, after(22001), first) {
+	applyNotes(22000, ta.EndpointCrashed(after(22000), 14, []core.Fingerprint{first}).ToOwners)
+	if !quarantined(ta, after(22001), first) || !quarantined(owner, after(22001), first) {
 		t.Error("three crashes since it ended do not quarantine it")
 	}
 }
@@ -93,20 +93,20 @@
 // A lookup ends well all the time, here and elsewhere, and some attempts at it are running
 // when endpoints crash. Neither the router that serves it tells of these, nor does a keeper
 // count them that heard of an end shortly before.
-func TestCrashesRightAfterAGoodEndDoNotCount(t *testing.T) {
-	ta, keeper := &blame.Table{}, &blame.Table{}
+func TestCrashesRightAfterASuccessDoNotCount(t *testing.T) {
+	ta, owner := &crash.Table{}, &crash.Table{}
 	for ix := range 4 {
-		ta.Ended(after(1000*ix), first)
-		if ef := ta.Crashed(after(1000*ix+500), uint64(10+ix), []core.Fingerprint{first}); len(ef.ToKeepers) > 0 {
+		ta.Succeeded(after(1000*ix), first)
+		if ef := ta.EndpointCrashed(after(1000*ix+500), uint64(10+ix), []core.Fingerprint{first}); len(ef.ToOwners) > 0 {
 			t.Errorf("crash %d is told: %+v", ix, ef)
 		}
-		keeper.Hear(after(1000*ix), core.BlameNote{Kind: core.BlameCleared, Request: first})
-		keeper.Hear(after(1000*ix+510), suspected(first, uint64(10+ix), 1000*ix+500))
+		owner.ApplyNote(after(1000*ix), core.BlameNote{Kind: core.BlameCleared, Request: first})
+		owner.ApplyNote(after(1000*ix+510), suspected(first, uint64(10+ix), 1000*ix+500))
 	}
-	if quarantined(ta, after(5000), first) || quarantined(keeper, after(5000), first) {
+	if quarantined(ta, after(5000), first) || quarantined(owner, after(5000), first) {
 		t.Error("a request that ends well all the time is quarantined")
 	}
-	if _, suspects := keeper.Len(); suspects != 0 {
+	if _, suspects := owner.Len(); suspects != 0 {
 		t.Error("the keeper holds something against it")
 	}
 }
@@ -114,26 +114,26 @@
 // Many attempts at one lookup run at a time, and three endpoints crash in the same second for
 // a reason of their own. It ended well elsewhere a moment before, at a router that does not
 // know of the crashes: as that one hears of the quarantine it tells all that it is wrong.
-func TestIdenticalLookupsDuringACrashOfManyAreCleared(t *testing.T) {
-	served, keeper := &blame.Table{}, &blame.Table{}
-	served.Ended(after(-1000), first)
-	var ef blame.Effects
+func TestIdenticalRequestsDuringAnOutageAreCleared(t *testing.T) {
+	witness, owner := &crash.Table{}, &crash.Table{}
+	witness.Succeeded(after(-1000), first)
+	var ef crash.Effects
 	for ix := range 3 {
-		ef = keeper.Hear(after(10*ix), suspected(first, uint64(10+ix), 10*ix))
+		ef = owner.ApplyNote(after(10*ix), suspected(first, uint64(10+ix), 10*ix))
 	}
-	if len(ef.ToAll) != 1 || !quarantined(keeper, after(30), first) {
+	if len(ef.ToAll) != 1 || !quarantined(owner, after(30), first) {
 		t.Fatalf("the test does not bring the quarantine about: %+v", ef)
 	}
-	objection := served.Hear(after(32), ef.ToAll[0])
+	objection := witness.ApplyNote(after(32), ef.ToAll[0])
 	if len(objection.ToAll) != 1 || objection.ToAll[0].Kind != core.BlameCleared {
 		t.Fatalf("the router that served it does not object: %+v", objection)
 	}
-	keeper.Hear(after(34), objection.ToAll[0])
-	if quarantined(keeper, after(35), first) || quarantined(served, after(35), first) {
+	owner.ApplyNote(after(34), objection.ToAll[0])
+	if quarantined(owner, after(35), first) || quarantined(witness, after(35), first) {
 		t.Error("the lookup is still quarantined")
 	}
 	// An entry that was written meanwhile is removed as it is seen.
-	if ef = keeper.Store(after(60), core.Quarantine{Request: first, Rev: 9}); len(ef.Remove) != 1 || quarantined(keeper, after(61), first) {
+	if ef = owner.EntryStored(after(60), core.Quarantine{Request: first, Rev: 9}); len(ef.Remove) != 1 || quarantined(owner, after(61), first) {
 		t.Errorf("an entry that was written too late stays: %+v", ef)
 	}
 }
@@ -142,31 +142,31 @@
 // off each time and came again. It is not counted for crashes that have a cause. If it was
 // quarantined before that was known, it is tried a second later, in its turn, and not when the
 // cause is; three crashes within a second are as doubtful.
-func TestNeighbourIsNotBlamed(t *testing.T) {
-	ta := &blame.Table{}
-	crashThree(ta, first)
-	ta.Crashed(after(2050), 13, []core.Fingerprint{first})
+func TestBystanderIsNotQuarantined(t *testing.T) {
+	ta := &crash.Table{}
+	crashThreeEndpoints(ta, first)
+	ta.EndpointCrashed(after(2050), 13, []core.Fingerprint{first})
 	for ix := range 3 {
-		ta.Hear(after(2100+ix), suspected(second, uint64(10+ix), 1000*ix))
+		ta.ApplyNote(after(2100+ix), suspected(second, uint64(10+ix), 1000*ix))
 	}
 	if quarantined(ta, after(2200), second) {
 		t.Error("a neighbour is quarantined for crashes that have a cause")
 	}
-	late := &blame.Table{}
+	late := &crash.Table{}
 	for ix := range 3 {
-		late.Hear(after(1000*ix), suspected(second, uint64(10+ix), 1000*ix))
+		late.ApplyNote(after(1000*ix), suspected(second, uint64(10+ix), 1000*ix))
 	}
-	crashThree(late, first)
+	crashThreeEndpoints(late, first)
 	for fp, want := range map[core.Fingerprint]time.Duration{first: time.Second, second: 3 * time.Second} {
-		if ve := late.Judge(after(2000), fp); !ve.Quarantined || ve.RetryAfter != want {
+		if ve := late.Check(after(2000), fp); !ve.Quarantined || ve.RetryAfter != want {
 			t.Errorf("two at the same crashes: %s is tried after %s, want %s", fp, ve.RetryAfter, want)
 		}
 	}
-	outage := &blame.Table{}
+	outage := &crash.Table{}
 	for ix := range 3 {
-		outage.Hear(after(300*ix), suspected(first, uint64(10+ix), 300*ix))
+		outage.ApplyNote(after(300*ix), suspected(first, uint64(10+ix), 300*ix))
 	}
-	if ve := outage.Judge(after(600), first); ve.RetryAfter != time.Second {
+	if ve := outage.Check(after(600), first); ve.RetryAfter != time.Second {
 		t.Errorf("one at three crashes of one second is tried after %s, want 1s", ve.RetryAfter)
 	}
 }
@@ -174,17 +174,17 @@
 // Two causes run side by side at two endpoints, so that each explains the other's crashes: the
 // second is quarantined with its fifth crash at the latest, and not tried any more.
 func TestCausesSideBySide(t *testing.T) {
-	ta := &blame.Table{}
+	ta := &crash.Table{}
 	for ix := range 8 {
-		ta.Crashed(after(1000*ix), uint64(10+ix), []core.Fingerprint{first})
+		ta.EndpointCrashed(after(1000*ix), uint64(10+ix), []core.Fingerprint{first})
 	}
 	for ix := range 5 {
 		if quarantined(ta, after(10000), second) {
 			t.Errorf("quarantined at %d crashes that the other explains", ix)
 		}
-		ta.Hear(after(10000+ix), suspected(second, uint64(10+ix), 1000*ix))
+		ta.ApplyNote(after(10000+ix), suspected(second, uint64(10+ix), 1000*ix))
 	}
-	ve := ta.Judge(after(300000), second)
+	ve := ta.Check(after(300000), second)
 	if !ve.Quarantined || ve.Trial {
 		t.Errorf("%+v, want it quarantined and not tried", ve)
 	}
@@ -194,51 +194,51 @@
 // store; if it crashes an endpoint again, the next pause is longer, and after two trials there
 // is none. An entry that is asked for is renewed before it lapses.
 func TestTrialsOfAQuarantinedRequest(t *testing.T) {
-	ta := &blame.Table{}
-	crashThree(ta, first)
-	judge := func(s int, trial, renew bool) blame.Verdict {
+	ta := &crash.Table{}
+	crashThreeEndpoints(ta, first)
+	check := func(s int, trial, renew bool) crash.Verdict {
 		t.Helper()
-		ve := ta.Judge(after(1000*s), first)
+		ve := ta.Check(after(1000*s), first)
 		if !ve.Quarantined || ve.Trial != trial || ve.Renew != renew {
 			t.Errorf("after %d s: %+v, want trial %v, renewal %v", s, ve, trial, renew)
 		}
 		return ve
 	}
-	judge(60, false, false) // the store does not know of it: nobody can win a trial
-	ta.Store(after(3000), core.Quarantine{Request: first, Rev: 5})
-	if ve := judge(4, false, false); ve.RetryAfter != 18*time.Second {
+	check(60, false, false) // the store does not know of it: nobody can win a trial
+	ta.EntryStored(after(3000), core.Quarantine{Request: first, Rev: 5})
+	if ve := check(4, false, false); ve.RetryAfter != 18*time.Second {
 		t.Errorf("may return after %s, want 18s", ve.RetryAfter)
 	}
-	ve := judge(23, true, false)
+	ve := check(23, true, false)
 	ve.Entry.Trials, ve.Entry.Rev = 1, 6
-	ta.Store(after(23000), ve.Entry)
-	judge(24, false, false)
-	ta.Crashed(after(23500), 20, []core.Fingerprint{first})
-	judge(100, false, false)
-	judge(144, true, false)
-	ta.Store(after(144000), core.Quarantine{Request: first, Trials: 2, Rev: 7})
-	judge(400, false, false)
-	judge(500, false, true)
-	ta.Store(after(500000), core.Quarantine{Request: first, Trials: 2, Rev: 8})
-	judge(501, false, false)
-	if ef := ta.Unstore(first, 9); !slices.Contains(ef.Over, first) || quarantined(ta, after(502000), first) {
+	ta.EntryStored(after(23000), ve.Entry)
+	check(24, false, false)
+	ta.EndpointCrashed(after(23500), 20, []core.Fingerprint{first})
+	check(100, false, false)
+	check(144, true, false)
+	ta.EntryStored(after(144000), core.Quarantine{Request: first, Trials: 2, Rev: 7})
+	check(400, false, false)
+	check(500, false, true)
+	ta.EntryStored(after(500000), core.Quarantine{Request: first, Trials: 2, Rev: 8})
+	check(501, false, false)
+	if ef := ta.EntryRemoved(first, 9); !slices.Contains(ef.Released, first) || quarantined(ta, after(502000), first) {
 		t.Error("an entry that lapsed holds on")
 	}
 }
 
 // A trial ends well: the request was quarantined wrongly, and is served by all at once.
-func TestTrialThatEndsWellReleases(t *testing.T) {
-	ta, other := &blame.Table{}, &blame.Table{}
-	crashThree(ta, first)
-	for _, router := range []*blame.Table{ta, other} {
-		router.Store(after(3000), core.Quarantine{Request: first, Rev: 5})
-		router.Store(after(24000), core.Quarantine{Request: first, Trials: 1, Rev: 6})
-	}
-	ef := ta.Ended(after(24100), first)
+func TestSuccessfulTrialReleases(t *testing.T) {
+	ta, other := &crash.Table{}, &crash.Table{}
+	crashThreeEndpoints(ta, first)
+	for _, router := range []*crash.Table{ta, other} {
+		router.EntryStored(after(3000), core.Quarantine{Request: first, Rev: 5})
+		router.EntryStored(after(24000), core.Quarantine{Request: first, Trials: 1, Rev: 6})
+	}
+	ef := ta.Succeeded(after(24100), first)
 	if len(ef.ToAll) != 1 || len(ef.Remove) != 1 || ef.Remove[0].Rev != 6 {
 		t.Fatalf("the others are not told, or the entry stays: %+v", ef)
 	}
-	other.Hear(after(24110), ef.ToAll[0])
+	other.ApplyNote(after(24110), ef.ToAll[0])
 	if quarantined(ta, after(24120), first) || quarantined(other, after(24120), first) {
 		t.Error("it is quarantined still")
 	}
@@ -247,21 +247,21 @@
 // All routers were killed at once and know nothing but the store: what is quarantined stays
 // so. With the store away, a router that is only told by a peer goes by that for as long as
 // the peer repeats it.
-func TestQuarantineOutlivesAllRouters(t *testing.T) {
-	fresh := &blame.Table{}
-	fresh.Store(after(0), core.Quarantine{Request: first, Rev: 5})
+func TestQuarantineSurvivesRestartOfAllRouters(t *testing.T) {
+	fresh := &crash.Table{}
+	fresh.EntryStored(after(0), core.Quarantine{Request: first, Rev: 5})
 	if !quarantined(fresh, after(1), first) {
 		t.Error("the store's entry is not in force")
 	}
-	told := &blame.Table{}
-	no := core.BlameNote{Kind: core.BlameQuarantined, Request: second, Crashes: crash(10, -2000)}
+	notified := &crash.Table{}
+	no := core.BlameNote{Kind: core.BlameQuarantined, Request: second, Crashes: crashAt(10, -2000)}
 	for s := range 40 {
-		told.Hear(after(1000*s), no)
+		notified.ApplyNote(after(1000*s), no)
 	}
-	if !quarantined(told, after(60000), second) {
+	if !quarantined(notified, after(60000), second) {
 		t.Error("a quarantine that a peer told of is forgotten 20 s later")
 	}
-	if quarantined(told, after(80000), second) {
+	if quarantined(notified, after(80000), second) {
 		t.Error("a quarantine that nobody repeats lasts")
 	}
 }
@@ -269,16 +269,16 @@
 // A caller sends endless distinct requests that crash endpoints. What is kept of them stays
 // within its bounds, and those that come again are found all the same.
 func TestEndlessCrashingRequestsAreBounded(t *testing.T) {
-	ta := &blame.Table{}
+	ta := &crash.Table{}
 	for ix := range 20000 {
 		fp := core.Fingerprint{1, byte(ix), byte(ix >> 8), byte(ix >> 16)}
-		ta.Crashed(after(ix), uint64(1000+ix), []core.Fingerprint{fp})
+		ta.EndpointCrashed(after(ix), uint64(1000+ix), []core.Fingerprint{fp})
 	}
 	if held, suspects := ta.Len(); held > 256 || suspects > 4096 {
 		t.Errorf("%d quarantined and %d suspected", held, suspects)
 	}
 	for ix := range 3 {
-		ta.Crashed(after(30000+1000*ix), uint64(10+ix), []core.Fingerprint{first})
+		ta.EndpointCrashed(after(30000+1000*ix), uint64(10+ix), []core.Fingerprint{first})
 	}
 	if !quarantined(ta, after(33000), first) {
 		t.Error("one that comes again is not found among them")
@@ -288,23 +288,23 @@
 // Guards against a quarantine that ends as the store has lost its entry, at a router that knows of it from
 // the store alone: it is held, and written again when the request returns.
 func TestLostEntryIsWrittenAgain(t *testing.T) {
-	var ta blame.Table
+	var ta crash.Table
 	begin, fp := time.Unix(1_700_000_000, 0), core.Fingerprint{7}
 	stored := core.Quarantine{Request: fp, Crashes: 3, Rev: core.VersionOf(1, 14)}
-	ta.Store(begin, stored)
-	ta.Unstore(fp, core.VersionOf(2, 9))
+	ta.EntryStored(begin, stored)
+	ta.EntryRemoved(fp, core.VersionOf(2, 9))
 	at := begin.Add(time.Minute)
-	ve := ta.Judge(at, fp)
+	ve := ta.Check(at, fp)
 	if !ve.Quarantined || !ve.Renew || ve.Trial || ve.Entry.Rev != 0 || ve.Entry.Crashes != 3 {
 		t.Errorf("%+v", ve)
 	}
 	stored.Rev = core.VersionOf(2, 10)
-	ta.Store(at, stored)
-	if ve = ta.Judge(at.Add(time.Second), fp); !ve.Quarantined || ve.Renew {
+	ta.EntryStored(at, stored)
+	if ve = ta.Check(at.Add(time.Second), fp); !ve.Quarantined || ve.Renew {
 		t.Errorf("once it is stored: %+v", ve)
 	}
-	ta.Unstore(fp, core.VersionOf(2, 11))
-	if ve = ta.Judge(at.Add(time.Second), fp); ve.Quarantined {
+	ta.EntryRemoved(fp, core.VersionOf(2, 11))
+	if ve = ta.Check(at.Add(time.Second), fp); ve.Quarantined {
 		t.Errorf("once it is removed: %+v", ve)
 	}
 }
--- a/core/blame/verdict.go
+++ b/core/crash/verdict.go
@@ -1,4 +1,4 @@
-package blame
+package crash
 
 import (
 	"bytes"
@@ -8,55 +8,55 @@
 	"almondrill/core"
 )
 
-// Judge tells whether a request may be sent to an endpoint.
-func (ta *Table) Judge(now time.Time, fp core.Fingerprint) Verdict {
-	if ta.quarantines.Load() == 0 {
+// Check tells whether a request may be sent to an endpoint.
+func (ta *Table) Check(now time.Time, fp core.Fingerprint) Verdict {
+	if ta.quarantineCount.Load() == 0 {
 		return Verdict{}
 	}
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	qu := ta.quarantined[fp]
-	if qu == nil || qu.over(now) {
+	if qu == nil || qu.expired(now) {
 		return Verdict{}
 	}
-	ve := Verdict{Quarantined: true, Renew: qu.lost, Entry: qu.entry(fp)}
+	ve := Verdict{Quarantined: true, Renew: qu.entryLost, Entry: qu.entry(fp)}
 	age := now.Sub(qu.since)
-	if pause, allowed := ta.trialPause(fp, qu); allowed {
-		ve.RetryAfter = max(0, pause-age)
+	if delay, allowed := ta.trialDelay(fp, qu); allowed {
+		ve.RetryAfter = max(0, delay-age)
 		ve.Trial = ve.RetryAfter == 0 && qu.rev != 0
 		return ve
 	}
-	ve.RetryAfter = keptFor - age
-	ve.Renew = qu.lost || age > keptFor/2 && qu.rev != 0
+	ve.RetryAfter = recordTTL - age
+	ve.Renew = qu.entryLost || age > recordTTL/2 && qu.rev != 0
 	return ve
 }
 
-// Store takes an entry of the platform's store, as it is new or has changed.
-func (ta *Table) Store(now time.Time, en core.Quarantine) Effects {
+// EntryStored takes an entry of the platform's store, as it is new or has changed.
+func (ta *Table) EntryStored(now time.Time, en core.Quarantine) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var ef Effects
-	if en.Trials == 0 && ta.ended.since(en.Request, now.Add(-unstoredFor)) {
+	if en.Trials == 0 && ta.successes.succeededSince(en.Request, now.Add(-unstoredTTL)) {
 		// It was written while a peer or this router cleared the request.
 		ef.Remove = append(ef.Remove, en)
 		return ef
 	}
-	qu := ta.take(now, en.Request, &ef)
+	qu := ta.ensureQuarantine(now, en.Request, &ef)
 	if qu == nil || en.Rev <= qu.rev {
 		return ef
 	}
 	if qu.trials != en.Trials || qu.rev != 0 {
 		qu.since = now
 	}
-	qu.trials, qu.count, qu.rev, qu.lost = en.Trials, max(qu.count, en.Crashes), en.Rev, false
+	qu.trials, qu.storedCrashes, qu.rev, qu.entryLost = en.Trials, max(qu.storedCrashes, en.Crashes), en.Rev, false
 	return ef
 }
 
-// Unstore takes that an entry of the platform's store is gone: it has lapsed, or a router
+// EntryRemoved takes that an entry of the platform's store is gone: it has lapsed, or a router
 // has cleared the request. One that is missing in a later era than it was written in was lost as the
 // store came back from a copy; it is written again by the router that decided it, or where the
 // request returns.
-func (ta *Table) Unstore(fp core.Fingerprint, rev core.Version) Effects {
+func (ta *Table) EntryRemoved(fp core.Fingerprint, rev core.Version) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var ef Effects
@@ -65,7 +65,7 @@
 		return ef
 	}
 	if rev.Era() > qu.rev.Era() {
-		qu.rev, qu.lost = 0, true
+		qu.rev, qu.entryLost = 0, true
 		return ef
 	}
 	ta.release(fp, &ef)
@@ -73,26 +73,26 @@
 	return ef
 }
 
-// Decided is a quarantine that this router decided and the store does not have yet.
-type Decided struct {
+// Decision is a quarantine that this router decided and the store does not have yet.
+type Decision struct {
 	Note  core.BlameNote
 	Entry core.Quarantine
 }
 
 // Tick forgets quarantines that have lapsed. unstored are to be written into the store, and
 // told again.
-func (ta *Table) Tick(now time.Time) (unstored []Decided, ef Effects) {
+func (ta *Table) Tick(now time.Time) (unstored []Decision, ef Effects) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	for fp, qu := range ta.quarantined {
 		switch {
-		case qu.over(now):
+		case qu.expired(now):
 			ta.release(fp, &ef)
-		case qu.own && qu.rev == 0:
-			unstored = append(unstored, Decided{qu.note(fp), qu.entry(fp)})
+		case qu.decidedHere && qu.rev == 0:
+			unstored = append(unstored, Decision{qu.note(fp), qu.entry(fp)})
 		}
 	}
-	slices.SortFunc(unstored, func(a, b Decided) int { return bytes.Compare(a.Entry.Request[:], b.Entry.Request[:]) })
+	slices.SortFunc(unstored, func(a, b Decision) int { return bytes.Compare(a.Entry.Request[:], b.Entry.Request[:]) })
 	return unstored, ef
 }
 
@@ -112,7 +112,7 @@
 	defer ta.mu.Unlock()
 	all := make([]Report, 0, len(ta.quarantined))
 	for fp, qu := range ta.quarantined {
-		all = append(all, Report{fp, qu.since, qu.total(), qu.trials, qu.rev != 0})
+		all = append(all, Report{fp, qu.since, qu.crashCount(), qu.trials, qu.rev != 0})
 	}
 	slices.SortFunc(all, func(a, b Report) int {
 		if by := b.Since.Compare(a.Since); by != 0 {
--- a/core/router/router.go
+++ b/core/router/router.go
@@ -27,8 +27,8 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/core/blame"
 	"almondrill/core/board"
+	"almondrill/core/crash"
 	"almondrill/core/decl"
 	"almondrill/core/pick"
 	"almondrill/core/retry"
@@ -102,7 +102,7 @@
 	}}
 	if ro.Blame != nil {
 		ca := &rq.Call
-		at.fingerprint = blame.Fingerprint(ca.Customer, ca.Method, string(ca.Pool), ca.Path, ca.Body)
+		at.fingerprint = crash.Fingerprint(ca.Customer, ca.Method, string(ca.Pool), ca.Path, ca.Body)
 	}
 	return at.run(ctx, sn, si)
 }
--- a/io/guard/guard.go
+++ b/io/guard/guard.go
@@ -35,7 +35,7 @@
 	"go.uber.org/zap"
 
 	"almondrill/core"
-	"almondrill/core/blame"
+	"almondrill/core/crash"
 	"almondrill/core/place"
 	"almondrill/io/conns"
 )
@@ -55,7 +55,7 @@
 	Conns  *conns.Pool
 	Placer *place.Placer
 
-	breaks blame.Breaks
+	breaks crash.Interruptions
 
 	lookMu  sync.Mutex // guards looking
 	looking map[uint64]bool
@@ -69,8 +69,8 @@
 		return // it ends as planned
 	}
 	now := time.Now()
-	if ct.breaks.Broke(now, blame.Run{Endpoint: en.Hash, Request: fp, Began: began}) {
-		ct.crashed(now, en, blame.Refused, []core.Fingerprint{fp})
+	if ct.breaks.Add(now, crash.Attempt{Endpoint: en.Hash, Request: fp, StartedAt: began}) {
+		ct.crashed(now, en, crash.Refused, []core.Fingerprint{fp})
 		return
 	}
 	if ct.startLook(en.Hash) {
@@ -79,20 +79,20 @@
 }
 
 // Refused implements core.CrashWatch.
-func (ct *Controller) Refused(en core.EndpointRef) { ct.gone(en, blame.Refused) }
+func (ct *Controller) Refused(en core.EndpointRef) { ct.gone(en, crash.Refused) }
 
 // Replaced tells that another process has registered in the place of an endpoint that did
 // not drain.
-func (ct *Controller) Replaced(en core.EndpointRef) { ct.gone(en, blame.Replaced) }
+func (ct *Controller) Replaced(en core.EndpointRef) { ct.gone(en, crash.Replaced) }
 
-func (ct *Controller) gone(en core.EndpointRef, ev blame.Evidence) {
+func (ct *Controller) gone(en core.EndpointRef, ev crash.Evidence) {
 	now := time.Now()
-	if requests := ct.breaks.Gone(now, en.Hash, ev); len(requests) > 0 {
+	if requests := ct.breaks.EndpointGone(now, en.Hash, ev); len(requests) > 0 {
 		ct.crashed(now, en, ev, requests)
 	}
 }
 
-func (ct *Controller) crashed(now time.Time, en core.EndpointRef, ev blame.Evidence, requests []core.Fingerprint) {
+func (ct *Controller) crashed(now time.Time, en core.EndpointRef, ev crash.Evidence, requests []core.Fingerprint) {
 	ct.Log.Warn("An endpoint crashed.", zap.String("Endpoint", string(en.ID)), zap.String("Addr", en.Addr),
 		zap.Stringer("Evidence", ev), zap.Stringers("Ran", requests))
 	ct.Ledger.crashed(now, en.Hash, requests)
@@ -106,7 +106,7 @@
 	defer cancel()
 	for range 2 {
 		if err := ct.Conns.Reach(ctx, en.Addr); errors.Is(err, syscall.ECONNREFUSED) {
-			ct.gone(en, blame.Refused)
+			ct.gone(en, crash.Refused)
 			return
 		}
 		select {
@@ -114,7 +114,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if !ct.breaks.Waiting(en.Hash) {
+		if !ct.breaks.Pending(en.Hash) {
 			return
 		}
 	}
--- a/io/guard/kvstore.go
+++ b/io/guard/kvstore.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"almondrill/core"
-	"almondrill/core/blame"
+	"almondrill/core/crash"
 	"almondrill/io/logs"
 )
 
@@ -33,7 +33,7 @@
 
 // PutQuarantine implements core.Quarantines.
 func (ks *KVStore) PutQuarantine(ctx context.Context, qu core.Quarantine) (core.Version, error) {
-	value, err := blame.EntryValue(qu)
+	value, err := crash.EncodeEntry(qu)
 	if err != nil {
 		return 0, err
 	}
@@ -49,7 +49,7 @@
 	return ks.KV.Delete(ctx, kvKey(qu.Request), qu.Rev)
 }
 
-func kvKey(fp core.Fingerprint) string { return kvPrefix + blame.EntryName(fp) }
+func kvKey(fp core.Fingerprint) string { return kvPrefix + crash.EntryName(fp) }
 
 // list reads all entries. One that makes no sense is left out, and told.
 func (ks *KVStore) list(ctx context.Context, log *zap.Logger) (map[core.Fingerprint]core.Quarantine, error) {
@@ -59,7 +59,7 @@
 	}
 	all := map[core.Fingerprint]core.Quarantine{}
 	for _, en := range entries {
-		qu, err := blame.ReadEntry(strings.TrimPrefix(en.Key, kvPrefix), en.Value, en.Version)
+		qu, err := crash.DecodeEntry(strings.TrimPrefix(en.Key, kvPrefix), en.Value, en.Version)
 		if err != nil {
 			log.Warn("An entry of a quarantine makes no sense.", append(logs.Fields(err), zap.String("Key", en.Key))...)
 			continue
--- a/io/guard/ledger.go
+++ b/io/guard/ledger.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"almondrill/core"
-	"almondrill/core/blame"
+	"almondrill/core/crash"
 	"almondrill/io/logs"
 	"almondrill/io/stats"
 )
@@ -48,7 +48,7 @@
 	Stats *stats.Set
 	Log   *zap.Logger
 
-	table blame.Table
+	table crash.Table
 
 	once sync.Once
 	// decided wakes Run once a quarantine is to be written.
@@ -114,7 +114,7 @@
 }
 
 // nextOf are those whose turn it is, so that each is told before peers forget it.
-func (le *Ledger) nextOf(unstored []blame.Decided) []blame.Decided {
+func (le *Ledger) nextOf(unstored []crash.Decision) []crash.Decision {
 	if len(unstored) <= mostStores {
 		return unstored
 	}
@@ -126,7 +126,7 @@
 
 // May implements core.Blame.
 func (le *Ledger) May(ctx context.Context, fp core.Fingerprint) (bool, time.Duration) {
-	ve := le.table.Judge(time.Now(), fp)
+	ve := le.table.Check(time.Now(), fp)
 	if !ve.Quarantined {
 		return true, 0
 	}
@@ -178,18 +178,18 @@
 // Stored takes an entry of the store that is new or has changed.
 func (le *Ledger) Stored(en core.Quarantine) {
 	now := time.Now()
-	le.apply(now, le.table.Store(now, en))
+	le.apply(now, le.table.EntryStored(now, en))
 }
 
 // Unstored takes that the store's entry for the request is gone.
 func (le *Ledger) Unstored(fp core.Fingerprint, rev core.Version) {
-	le.apply(time.Now(), le.table.Unstore(fp, rev))
+	le.apply(time.Now(), le.table.EntryRemoved(fp, rev))
 }
 
 // Hear takes a peer's note.
 func (le *Ledger) Hear(now time.Time, from string, no core.BlameNote) {
-	ef := le.table.Hear(now, no)
-	if len(ef.Began)+len(ef.Over) > 0 {
+	ef := le.table.ApplyNote(now, no)
+	if len(ef.Quarantined)+len(ef.Released) > 0 {
 		le.Log.Info("A peer told of a request.", zap.Stringer("Fingerprint", no.Request), zap.String("From", from),
 			zap.Int("Crashes", len(no.Crashes)), zap.Bool("Quarantined", no.Kind == core.BlameQuarantined))
 	}
@@ -199,7 +199,7 @@
 // Ended implements core.Blame.
 func (le *Ledger) Ended(fp core.Fingerprint) {
 	now := time.Now()
-	le.apply(now, le.table.Ended(now, fp))
+	le.apply(now, le.table.Succeeded(now, fp))
 }
 
 // Crashed implements core.Blame.
@@ -210,18 +210,18 @@
 // crashed takes that an endpoint crashed while it ran the requests.
 func (le *Ledger) crashed(now time.Time, endpoint uint64, requests []core.Fingerprint) {
 	le.Stats.Add(stats.CrashedUnder, int64(len(requests)))
-	le.apply(now, le.table.Crashed(now, endpoint, requests))
+	le.apply(now, le.table.EndpointCrashed(now, endpoint, requests))
 }
 
 // apply does what follows from a change of the table.
-func (le *Ledger) apply(now time.Time, ef blame.Effects) {
-	for _, fp := range ef.Began {
+func (le *Ledger) apply(now time.Time, ef crash.Effects) {
+	for _, fp := range ef.Quarantined {
 		le.Log.Warn("A request is quarantined.", zap.Stringer("Fingerprint", fp))
 	}
-	for _, fp := range ef.Over {
+	for _, fp := range ef.Released {
 		le.Log.Info("A request is quarantined no longer.", zap.Stringer("Fingerprint", fp))
 	}
-	for _, no := range ef.ToKeepers {
+	for _, no := range ef.ToOwners {
 		le.Peers.TellKeepers(now, no)
 	}
 	for _, no := range ef.ToAll {
--- a/io/guard/report.go
+++ b/io/guard/report.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"almondrill/core"
-	"almondrill/core/blame"
+	"almondrill/core/crash"
 )
 
 // Path is where people on call ask what is quarantined, and lift it.
@@ -53,7 +53,7 @@
 	all := []Quarantined{}
 	for _, re := range le.table.Reports() {
 		all = append(all, Quarantined{
-			Fingerprint: blame.EntryName(re.Request), SinceMs: now.Sub(re.Since).Milliseconds(),
+			Fingerprint: crash.EntryName(re.Request), SinceMs: now.Sub(re.Since).Milliseconds(),
 			Crashes: re.Crashes, Trials: re.Trials, Stored: re.Stored,
 		})
 	}
@@ -63,7 +63,7 @@
 // lift ends the quarantine of the request, everywhere; false if there is none.
 func (le *Ledger) lift(name string) bool {
 	for _, re := range le.table.Reports() {
-		if name == re.Request.String() || name == blame.EntryName(re.Request) {
+		if name == re.Request.String() || name == crash.EntryName(re.Request) {
 			return le.liftOne(re.Request)
 		}
 	}
--- a/io/relay/blame.go
+++ b/io/relay/blame.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/core/blame"
+	"almondrill/core/crash"
 )
 
 // identify works out the request's fingerprint.
@@ -17,7 +17,7 @@
 	if rq.customer != nil {
 		customer = rq.customer.ID
 	}
-	return blame.Fingerprint(customer, rq.hr.Method, rq.hr.Host, rq.hr.URL.RequestURI(), rq.body)
+	return crash.Fingerprint(customer, rq.hr.Method, rq.hr.Host, rq.hr.URL.RequestURI(), rq.body)
 }
 
 // quarantined refuses a request that crashes the endpoints that run it, before each send: it
