--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -35,7 +35,7 @@
 	"go.uber.org/zap"
 
 	"almondrill/core"
-	"almondrill/core/lead"
+	"almondrill/core/elect"
 	"almondrill/core/mirror"
 	"almondrill/core/place"
 	"almondrill/core/route"
@@ -168,7 +168,7 @@
 	mu      sync.Mutex // guards all below
 	members map[string]*member
 	alive   swim.Table
-	leaders lead.Table
+	leaders elect.Table
 	// began is when Run did, grown when a member was last added, announced when the own address
 	// was first found in the store.
 	began, grown, announced time.Time
@@ -370,7 +370,7 @@
 		}
 	}
 	me.asOf, me.leaving, me.failing, me.confirmed = ms.AsOf, ms.Leaving, ms.Failing, confirmed
-	gr.leaders.Take(now, unpackFollowers(now, ms.Followers))
+	gr.leaders.Apply(now, unpackFollowers(now, ms.Followers))
 	for _, pa := range ms.Peers {
 		if addr, ok := pa.unpack(); ok && gr.member(addr) != nil {
 			gr.alive.Join(now, addr)
--- a/io/gossip/lead.go
+++ b/io/gossip/lead.go
@@ -7,14 +7,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"almondrill/core/lead"
+	"almondrill/core/elect"
 )
 
 // followerSize is the size of a follower in a message: four bytes of its hash, two of its last
 // answer's age in ms.
 const followerSize = 6
 
-func packFollowers(now time.Time, followers []lead.Follower) []byte {
+func packFollowers(now time.Time, followers []elect.Watcher) []byte {
 	var packed []byte
 	for _, fo := range followers {
 		packed = binary.BigEndian.AppendUint32(packed, uint32(fo.Hash))
@@ -23,22 +23,22 @@
 	return packed
 }
 
-func unpackFollowers(now time.Time, packed []byte) []lead.Follower {
-	var followers []lead.Follower
+func unpackFollowers(now time.Time, packed []byte) []elect.Watcher {
+	var followers []elect.Watcher
 	for ; len(packed) >= followerSize; packed = packed[followerSize:] {
 		age := time.Duration(binary.BigEndian.Uint16(packed[4:])) * time.Millisecond
-		followers = append(followers, lead.Follower{Hash: lead.Hash(binary.BigEndian.Uint32(packed)), At: now.Add(-way - age)})
+		followers = append(followers, elect.Watcher{Hash: elect.Hash(binary.BigEndian.Uint32(packed)), At: now.Add(-way - age)})
 	}
 	return followers
 }
 
 // hash orders this router among those that follow the store.
-func (gr *Group) hash() lead.Hash { return lead.Hash(xxhash.Sum64String(gr.Addr) >> 32) }
+func (gr *Group) hash() elect.Hash { return elect.Hash(xxhash.Sum64String(gr.Addr) >> 32) }
 
 // followers are the routers that ask the store, as far as is known here. The lock is held.
-func (gr *Group) followers(now time.Time) []lead.Follower {
-	gr.leaders.Take(now, []lead.Follower{{Hash: gr.hash(), At: now.Add(-gr.Feed.Followed())}})
-	return gr.leaders.Told(now)
+func (gr *Group) followers(now time.Time) []elect.Watcher {
+	gr.leaders.Apply(now, []elect.Watcher{{Hash: gr.hash(), At: now.Add(-gr.Feed.Followed())}})
+	return gr.leaders.Elected(now)
 }
 
 // Leads tells whether this router is to ask the store on behalf of all.
@@ -51,7 +51,7 @@
 	if starting && len(gr.members) > 0 && gr.announced.IsZero() && followed > startGrace {
 		return false
 	}
-	return gr.leaders.Leads(now, gr.hash(), gr.wellBefore(), followed)
+	return gr.leaders.IsElected(now, gr.hash(), gr.wellBefore(), followed)
 }
 
 // wellBefore is how many live peers whose calls to the store do not fail come before this router.
@@ -67,5 +67,5 @@
 	if gr.alive.Silent(time.Now()) > silentFor {
 		return 0
 	}
-	return lead.Patience(gr.rank(anyMember))
+	return elect.AskDelay(gr.rank(anyMember))
 }
