--- a/core/gauge/gauge.go
+++ b/core/gauge/gauge.go
@@ -30,22 +30,22 @@
 )
 
 const (
-	// Lasts is how long a figure is used: beyond it, calls of some hundred milliseconds have
+	// ReportTTL is how long a figure is used: beyond it, calls of some hundred milliseconds have
 	// come and gone unseen.
-	Lasts = 1500 * time.Millisecond
-	// mostChanges bounds the changes remembered since a figure.
-	mostChanges = 256
-	// mostKept bounds the Counts of a Table: with 2,100 endpoints and 420 routers, each
+	ReportTTL = 1500 * time.Millisecond
+	// maxChanges bounds the changes remembered since a figure.
+	maxChanges = 256
+	// maxEndpoints bounds the Counts of a Table: with 2,100 endpoints and 420 routers, each
 	// keeps 5, and all if it believes to be alone.
-	mostKept = 4096
+	maxEndpoints = 4096
 )
 
 // Count is an endpoint's own count of its calls at a time, and the changes since.
 type Count struct {
-	calls   int
-	at      time.Time
-	since   int // sum of changes
-	changes []change
+	reported int
+	at       time.Time
+	delta    int // sum of changes
+	changes  []change
 }
 
 // change is the start or the end of a call.
@@ -54,95 +54,95 @@
 	by int
 }
 
-// Take keeps a newer figure.
-func (co *Count) Take(calls int, at time.Time) {
+// Update keeps a newer figure.
+func (co *Count) Update(calls int, at time.Time) {
 	if !at.After(co.at) {
 		return
 	}
-	co.calls, co.at = calls, at
+	co.reported, co.at = calls, at
 	co.changes = slices.DeleteFunc(co.changes, func(ch change) bool { return !ch.at.After(at) })
-	co.since = 0
+	co.delta = 0
 	for _, ch := range co.changes {
-		co.since += ch.by
+		co.delta += ch.by
 	}
 }
 
-// Note counts calls that began, or ended where by is negative.
-func (co *Count) Note(at time.Time, by int) {
-	if len(co.changes) >= mostChanges {
-		for _, ch := range co.changes[:mostChanges/2] {
-			co.since -= ch.by
+// Add counts calls that began, or ended where by is negative.
+func (co *Count) Add(at time.Time, by int) {
+	if len(co.changes) >= maxChanges {
+		for _, ch := range co.changes[:maxChanges/2] {
+			co.delta -= ch.by
 		}
-		co.changes = slices.Delete(co.changes, 0, mostChanges/2)
+		co.changes = slices.Delete(co.changes, 0, maxChanges/2)
 	}
 	co.changes = append(co.changes, change{at, by})
-	co.since += by
+	co.delta += by
 }
 
-// Old tells that there is no figure that is used still.
-func (co *Count) Old(now time.Time) bool { return co.at.IsZero() || now.Sub(co.at) > Lasts }
+// Expired tells that there is no figure that is used still.
+func (co *Count) Expired(now time.Time) bool { return co.at.IsZero() || now.Sub(co.at) > ReportTTL }
 
 // Fresh tells that the figure was made within that time.
 func (co *Count) Fresh(now time.Time, within time.Duration) bool {
 	return !co.at.IsZero() && now.Sub(co.at) <= within
 }
 
-// Now is the figure, brought forward by the changes since; false if it is too old.
-func (co *Count) Now(now time.Time) (int, bool) {
-	if co.Old(now) {
+// Estimate is the figure, brought forward by the changes since; false if it is too old.
+func (co *Count) Estimate(now time.Time) (int, bool) {
+	if co.Expired(now) {
 		return 0, false
 	}
-	return max(0, co.calls+co.since), true
+	return max(0, co.reported+co.delta), true
 }
 
 // Latest is the figure itself, and when it was made; the zero time if there is none.
-func (co *Count) Latest() (int, time.Time) { return co.calls, co.at }
+func (co *Count) Latest() (int, time.Time) { return co.reported, co.at }
 
 // Table holds the Counts of endpoints, by the hashes of their ids and starts, and who could
 // not reach them. It is safe for concurrent use.
 type Table struct {
-	mu     sync.Mutex // guards all below
-	counts map[uint64]*Count
-	downs  map[uint64]*down
-	grants map[uint64]*quota.Window
+	mu          sync.Mutex // guards all below
+	counts      map[uint64]*Count
+	unreachable map[uint64]*unreachableReport
+	grants      map[uint64]*quota.Window
 }
 
-// down is the latest that was heard of an endpoint that could not be reached.
-type down struct {
+// unreachableReport is the latest that was heard of an endpoint that could not be reached.
+type unreachableReport struct {
 	at   time.Time
 	from string
-	// told is when two had said so.
-	told time.Time
+	// broadcastAt is when two had said so.
+	broadcastAt time.Time
 }
 
 const (
-	// downWithin is within what time two have to find an endpoint down: with a few requests
+	// unreachableWindow is within what time two have to find an endpoint down: with a few requests
 	// a second for each endpoint, others find out within it.
-	downWithin = time.Second
-	// downAgain is how often it is told that an endpoint is down.
-	downAgain = 500 * time.Millisecond
+	unreachableWindow = time.Second
+	// rebroadcastInterval is how often it is told that an endpoint is down.
+	rebroadcastInterval = 500 * time.Millisecond
 )
 
-// Down takes that a router could not reach the endpoint. It returns whether that is to be told
+// ReportUnreachable takes that a router could not reach the endpoint. It returns whether that is to be told
 // to all: two have found so, as one alone may be cut off itself, and it was not told a
 // moment ago.
-func (ta *Table) Down(now time.Time, endpoint uint64, from string) bool {
+func (ta *Table) ReportUnreachable(now time.Time, endpoint uint64, from string) bool {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	if ta.downs == nil || len(ta.downs) >= mostKept {
-		ta.downs = map[uint64]*down{}
+	if ta.unreachable == nil || len(ta.unreachable) >= maxEndpoints {
+		ta.unreachable = map[uint64]*unreachableReport{}
 	}
-	do := ta.downs[endpoint]
-	if do == nil {
-		ta.downs[endpoint] = &down{at: now, from: from}
+	re := ta.unreachable[endpoint]
+	if re == nil {
+		ta.unreachable[endpoint] = &unreachableReport{at: now, from: from}
 		return false
 	}
-	another := do.from != from && now.Sub(do.at) <= downWithin
-	do.at, do.from = now, from
-	if !another || now.Sub(do.told) < downAgain {
+	another := re.from != from && now.Sub(re.at) <= unreachableWindow
+	re.at, re.from = now, from
+	if !another || now.Sub(re.broadcastAt) < rebroadcastInterval {
 		return false
 	}
-	do.told = now
+	re.broadcastAt = now
 	return true
 }
 
@@ -156,7 +156,7 @@
 	}
 	wi := ta.grants[endpoint]
 	if wi == nil {
-		ta.shrinkGrants(now)
+		ta.evictGrants(now)
 		wi = &quota.Window{}
 		ta.grants[endpoint] = wi
 	}
@@ -168,10 +168,10 @@
 	return true, 0
 }
 
-// shrinkGrants makes room for one more window. Those in use are kept, however many: forgotten,
+// evictGrants makes room for one more window. Those in use are kept, however many: forgotten,
 // they would grant what was granted before.
-func (ta *Table) shrinkGrants(now time.Time) {
-	if len(ta.grants) < mostKept {
+func (ta *Table) evictGrants(now time.Time) {
+	if len(ta.grants) < maxEndpoints {
 		return
 	}
 	for endpoint, wi := range ta.grants {
@@ -181,47 +181,47 @@
 	}
 }
 
-// Said takes what an endpoint said.
-func (ta *Table) Said(now time.Time, endpoint uint64, calls int) {
+// Report takes what an endpoint said.
+func (ta *Table) Report(now time.Time, endpoint uint64, calls int) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	co := ta.counts[endpoint]
 	if co == nil {
-		ta.shrink(now)
+		ta.evictCounts(now)
 		co = &Count{}
 		ta.counts[endpoint] = co
 	}
-	co.Take(calls, now)
+	co.Update(calls, now)
 }
 
-// Ask tells how many calls the endpoint has, before the one that is asked for; false if
+// AddCall tells how many calls the endpoint has, before the one that is asked for; false if
 // that is unknown.
-func (ta *Table) Ask(now time.Time, endpoint uint64) (int, bool) {
+func (ta *Table) AddCall(now time.Time, endpoint uint64) (int, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	co := ta.counts[endpoint]
 	if co == nil {
 		return 0, false
 	}
-	calls, known := co.Now(now)
-	co.Note(now, 1)
+	calls, known := co.Estimate(now)
+	co.Add(now, 1)
 	return calls, known
 }
 
-// shrink makes room for one more Count.
-func (ta *Table) shrink(now time.Time) {
+// evictCounts makes room for one more Count.
+func (ta *Table) evictCounts(now time.Time) {
 	if ta.counts == nil {
 		ta.counts = map[uint64]*Count{}
 	}
-	if len(ta.counts) < mostKept {
+	if len(ta.counts) < maxEndpoints {
 		return
 	}
 	for endpoint, co := range ta.counts {
-		if co.Old(now) {
+		if co.Expired(now) {
 			delete(ta.counts, endpoint)
 		}
 	}
-	if len(ta.counts) >= mostKept {
+	if len(ta.counts) >= maxEndpoints {
 		ta.counts = map[uint64]*Count{} // they are known again within a second
 	}
 }
--- a/core/gauge/gauge_test.go
+++ b/core/gauge/gauge_test.go
@@ -26,7 +26,7 @@
 // Figures and calls arrive in any order, late ones too. The count has to be the newest
 // figure and what began and ended after it: a call counted twice makes an endpoint look
 // busy, one left out lets it be overrun.
-func TestCountIsTheNewestFigureAndWhatFollowed(t *testing.T) {
+func TestCountIsTheLatestReportAndLaterChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type change struct {
 			at time.Time
@@ -34,8 +34,8 @@
 		}
 		var co gauge.Count
 		var changes []change
-		var figure int
-		var made time.Time
+		var reported int
+		var reportedAt time.Time
 		now := begin
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(rt, "ms")) * time.Millisecond)
@@ -44,23 +44,23 @@
 				late := time.Duration(rapid.IntRange(0, 300).Draw(rt, "late")) * time.Millisecond
 				at := now.Add(-late - time.Millisecond/2)
 				calls := rapid.IntRange(0, 50).Draw(rt, "calls")
-				co.Take(calls, at)
-				if at.After(made) {
-					figure, made = calls, at
+				co.Update(calls, at)
+				if at.After(reportedAt) {
+					reported, reportedAt = calls, at
 				}
 			} else {
 				by := rapid.SampledFrom([]int{-1, 1}).Draw(rt, "by")
-				co.Note(now, by)
+				co.Add(now, by)
 				changes = append(changes, change{now, by})
 			}
-			want := figure
+			want := reported
 			for _, ch := range changes {
-				if ch.at.After(made) {
+				if ch.at.After(reportedAt) {
 					want += ch.by
 				}
 			}
-			got, known := co.Now(now)
-			if wantKnown := !made.IsZero() && now.Sub(made) <= gauge.Lasts; known != wantKnown {
+			got, known := co.Estimate(now)
+			if wantKnown := !reportedAt.IsZero() && now.Sub(reportedAt) <= gauge.ReportTTL; known != wantKnown {
 				rt.Fatalf("known is %v, want %v", known, wantKnown)
 			}
 			if known && got != max(0, want) {
@@ -74,30 +74,30 @@
 // are kept within bounds, and the count is unknown rather than huge.
 func TestSilentEndpointIsUnknown(t *testing.T) {
 	var ta gauge.Table
-	ta.Said(begin, 1, 3)
+	ta.Report(begin, 1, 3)
 	for ix := range 10_000 {
-		ta.Ask(begin.Add(time.Duration(ix)*time.Millisecond), 1)
+		ta.AddCall(begin.Add(time.Duration(ix)*time.Millisecond), 1)
 	}
-	if calls, known := ta.Ask(begin.Add(10*time.Second), 1); known {
+	if calls, known := ta.AddCall(begin.Add(10*time.Second), 1); known {
 		t.Errorf("%d calls are told of an endpoint that was silent for 10 s", calls)
 	}
-	ta.Said(begin.Add(10*time.Second), 1, 5)
-	if calls, known := ta.Ask(begin.Add(10*time.Second), 1); !known || calls != 5 {
+	ta.Report(begin.Add(10*time.Second), 1, 5)
+	if calls, known := ta.AddCall(begin.Add(10*time.Second), 1); !known || calls != 5 {
 		t.Errorf("%d calls are told, known %v; want the 5 that it said", calls, known)
 	}
 }
 
 // Two routers ask about one endpoint before it says anything new. The second hears of the
 // first one's call: both would fill the same gap else.
-func TestAskCountsAsACall(t *testing.T) {
+func TestAddCallCountsTheCall(t *testing.T) {
 	var ta gauge.Table
-	ta.Said(begin, 1, 7)
+	ta.Report(begin, 1, 7)
 	for want := 7; want < 10; want++ {
-		if calls, known := ta.Ask(begin.Add(time.Millisecond), 1); !known || calls != want {
+		if calls, known := ta.AddCall(begin.Add(time.Millisecond), 1); !known || calls != want {
 			t.Errorf("%d calls are told, known %v; want %d", calls, known, want)
 		}
 	}
-	if _, known := ta.Ask(begin, 2); known {
+	if _, known := ta.AddCall(begin, 2); known {
 		t.Error("calls are told of an endpoint that never said anything")
 	}
 }
@@ -106,7 +106,7 @@
 func TestTableIsBounded(t *testing.T) {
 	var ta gauge.Table
 	for ix := range uint64(50_000) {
-		ta.Said(begin.Add(time.Duration(ix)*time.Millisecond), ix, 1)
+		ta.Report(begin.Add(time.Duration(ix)*time.Millisecond), ix, 1)
 	}
 	if kept := ta.Len(); kept > 4096 {
 		t.Errorf("%d counts are kept, want at most 4096", kept)
@@ -115,7 +115,7 @@
 
 // One router is cut off and finds every endpoint down. All would go by it, if one were enough.
 // Found down by two, it is told at once, and not for each request that fails.
-func TestTwoFindAnEndpointDown(t *testing.T) {
+func TestTwoReportsMakeAnEndpointUnreachable(t *testing.T) {
 	var ta gauge.Table
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	for ix, step := range []struct {
@@ -134,7 +134,7 @@
 		{9001, "c", false}, // and this is the same router
 		{9002, "bb", true}, // found anew
 	} {
-		if got := ta.Down(at(step.ms), 1, step.from); got != step.want {
+		if got := ta.ReportUnreachable(at(step.ms), 1, step.from); got != step.want {
 			t.Errorf("step %d, %s after %d ms: told %v, want %v", ix, step.from, step.ms, got, step.want)
 		}
 	}
--- a/core/place/choice.go
+++ b/core/place/choice.go
@@ -204,7 +204,7 @@
 	tk.use.add(as.Customer, 1)
 	st.stir()
 	st.calls++
-	st.reading.Note(ch.now, 1)
+	st.reading.Add(ch.now, 1)
 	st.toRead += tk.toRead
 	st.health.begun(ch.now)
 	return tk
--- a/core/place/reading.go
+++ b/core/place/reading.go
@@ -27,7 +27,7 @@
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
 	tk.st.stir()
-	tk.st.reading.Take(calls, now)
+	tk.st.reading.Update(calls, now)
 }
 
 // Readings are the latest that the router has, its own and those it heard.
@@ -36,7 +36,7 @@
 	defer pl.mu.Unlock()
 	var all []Reading
 	for _, st := range pl.byID {
-		if calls, at := st.reading.Latest(); !st.reading.Old(now) {
+		if calls, at := st.reading.Latest(); !st.reading.Expired(now) {
 			all = append(all, Reading{Endpoint: st.hash, Calls: uint32(calls), AgeMs: uint32(now.Sub(at).Milliseconds())})
 		}
 	}
@@ -51,7 +51,7 @@
 	for _, re := range heard {
 		if st := pl.byHash[re.Endpoint]; st != nil {
 			st.stir()
-			st.reading.Take(int(re.Calls), now.Add(-way-time.Duration(re.AgeMs)*time.Millisecond))
+			st.reading.Update(int(re.Calls), now.Add(-way-time.Duration(re.AgeMs)*time.Millisecond))
 		}
 	}
 }
@@ -108,6 +108,6 @@
 	defer pl.mu.Unlock()
 	if st := pl.byHash[endpoint]; st != nil {
 		st.stir()
-		st.reading.Take(calls, now)
+		st.reading.Update(calls, now)
 	}
 }
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -83,7 +83,7 @@
 // settle makes the endpoint quiet if nothing is left that a choice has to look at.
 func (st *state) settle(now time.Time, settled bool, coldFor time.Duration) {
 	st.quiet = settled && !st.isCold(now, coldFor) && st.calls == 0 && !st.missing && st.toRead == 0 &&
-		st.health.quiet(now) && st.reading.Old(now) && !now.Before(st.fullUntil) && !now.Before(st.backoffUntil) &&
+		st.health.quiet(now) && st.reading.Expired(now) && !now.Before(st.fullUntil) && !now.Before(st.backoffUntil) &&
 		!now.Before(st.lostUntil)
 }
 
--- a/core/place/surge_test.go
+++ b/core/place/surge_test.go
@@ -53,8 +53,8 @@
 
 // counts knows how many calls engines have.
 type counts interface {
-	Ask(now time.Time, endpoint uint64) (int, bool)
-	Said(now time.Time, endpoint uint64, calls int)
+	AddCall(now time.Time, endpoint uint64) (int, bool)
+	Report(now time.Time, endpoint uint64, calls int)
 }
 
 const (
@@ -114,7 +114,7 @@
 	if !uncertain {
 		return
 	}
-	if calls, known := su.counts.Ask(su.now(), endpoint); known {
+	if calls, known := su.counts.AddCall(su.now(), endpoint); known {
 		pl.HearCount(su.now(), endpoint, calls)
 	}
 }
@@ -158,7 +158,7 @@
 	calls := su.running[id] + len(su.waiting[id])
 	ca.tk.Counted(su.now(), calls)
 	if su.counts != nil {
-		su.counts.Said(su.now(), ca.tk.Hash, calls)
+		su.counts.Report(su.now(), ca.tk.Hash, calls)
 	}
 	if su.step-ca.came <= su.goal {
 		su.inTime++
--- a/core/place/ticket.go
+++ b/core/place/ticket.go
@@ -127,7 +127,7 @@
 	}
 	tk.use.add(tk.customer, -1)
 	st.calls--
-	st.reading.Note(now, -1)
+	st.reading.Add(now, -1)
 	if st.calls == 0 {
 		st.health.busySince = time.Time{}
 	}
--- a/core/place/told.go
+++ b/core/place/told.go
@@ -145,7 +145,7 @@
 	if st.quiet {
 		return others
 	}
-	all, known := st.reading.Now(now)
+	all, known := st.reading.Estimate(now)
 	if !known {
 		return others
 	}
--- a/io/gossip/counts.go
+++ b/io/gossip/counts.go
@@ -142,7 +142,7 @@
 		return 0, false
 	}
 	if ke.to == nil {
-		return gr.counts.table.Ask(time.Now(), endpoint)
+		return gr.counts.table.AddCall(time.Now(), endpoint)
 	}
 	calls, told := gr.question(ctx, ke, &countMessage{Kind: countAsked, Endpoint: endpoint})
 	return int(calls), told && calls != unknownCalls
@@ -178,7 +178,7 @@
 	switch {
 	case ke == nil:
 	case ke.to == nil:
-		gr.counts.table.Said(time.Now(), endpoint, calls)
+		gr.counts.table.Report(time.Now(), endpoint, calls)
 	default:
 		gr.sendCount(ke.to, &countMessage{Kind: countSaid, Endpoint: endpoint, Calls: uint32(calls)})
 	}
@@ -199,7 +199,7 @@
 // hearDown takes that a router cannot reach an endpoint. Once two cannot, all are told; the keeper
 // finds out by itself whether it is one.
 func (gr *Group) hearDown(now time.Time, endpoint uint64, from string) {
-	if gr.counts.table.Down(now, endpoint, from) {
+	if gr.counts.table.ReportUnreachable(now, endpoint, from) {
 		gr.tellDown(now, endpoint, from, place.LostFor)
 	}
 	if gr.Reach != nil && gr.counts.startWatch(endpoint) {
@@ -280,7 +280,7 @@
 func (gr *Group) hearCount(now time.Time, from net.Addr, cm *countMessage) {
 	switch cm.Kind {
 	case countSaid:
-		gr.counts.table.Said(now, cm.Endpoint, int(cm.Calls))
+		gr.counts.table.Report(now, cm.Endpoint, int(cm.Calls))
 	case countAnswered:
 		gr.counts.answered(cm)
 	case countDown:
@@ -299,7 +299,7 @@
 		gr.sendCount(from, out)
 	case countAsked:
 		out := &countMessage{Kind: countAnswered, Endpoint: cm.Endpoint, Calls: unknownCalls, Ask: cm.Ask}
-		if calls, known := gr.counts.table.Ask(now, cm.Endpoint); known {
+		if calls, known := gr.counts.table.AddCall(now, cm.Endpoint); known {
 			out.Calls = uint32(calls)
 		}
 		gr.sendCount(from, out)
