--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -29,17 +29,17 @@
 	"almondrill/core"
 )
 
-// mostDeleted bounds how many deletions are remembered. A key is deleted for each
+// maxDeletions bounds how many deletions are remembered. A key is deleted for each
 // endpoint that ends; at 200 a day this covers weeks.
-const mostDeleted = 8192
+const maxDeletions = 8192
 
 const (
-	// leastPast is the size, in bytes, from which on an item's earlier values are kept,
+	// minPastSize is the size, in bytes, from which on an item's earlier values are kept,
 	// as what peers have; below it, what differs is hardly smaller than the item.
-	leastPast = 4 << 10
-	// mostPast is how many earlier values are kept of an item. A peer lacks one change
+	minPastSize = 4 << 10
+	// maxPastValues is how many earlier values are kept of an item. A peer lacks one change
 	// as a rule; after a series of changes that it missed it gets all.
-	mostPast = 4
+	maxPastValues = 4
 )
 
 // Mirror is the copy. Set Changed before use.
@@ -57,11 +57,11 @@
 
 	mu    sync.Mutex // guards all below
 	items map[string]core.Item
-	// gone are the deleted keys in the order of their deletion.
-	gone []string
-	asOf core.Version
-	// from is the revision from which on all deletions are known.
-	from core.Version
+	// deletions are the deleted keys in the order of their deletion.
+	deletions []string
+	asOf      core.Version
+	// deletionsFrom is the revision from which on all deletions are known.
+	deletionsFrom core.Version
 	// past are earlier values of large items, the latest last.
 	past map[string][]core.Item
 }
@@ -78,7 +78,7 @@
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
 	for _, it := range items {
-		mi.take(it)
+		mi.applyItem(it)
 	}
 	mi.asOf = max(mi.asOf, asOf)
 }
@@ -93,7 +93,7 @@
 		return
 	}
 	for _, it := range some {
-		mi.take(it)
+		mi.applyItem(it)
 	}
 }
 
@@ -108,30 +108,30 @@
 	listed := map[string]bool{}
 	for _, it := range items {
 		listed[it.Key] = true
-		mi.take(it)
+		mi.applyItem(it)
 	}
 	for key, it := range mi.items {
 		if !listed[key] && !it.Deleted && it.Rev <= asOf {
-			mi.take(core.Item{Key: key, Rev: asOf, Deleted: true})
+			mi.applyItem(core.Item{Key: key, Rev: asOf, Deleted: true})
 		}
 	}
 	// What came and went between two listings left no trace here.
-	mi.from = max(mi.from, asOf)
+	mi.deletionsFrom = max(mi.deletionsFrom, asOf)
 	mi.asOf = max(mi.asOf, asOf)
 }
 
-// take keeps the item if it is newer. A deletion found by a listing bears the
+// applyItem keeps the item if it is newer. A deletion found by a listing bears the
 // listing's revision, which the key's own last one may equal.
-func (mi *Mirror) take(it core.Item) {
+func (mi *Mirror) applyItem(it core.Item) {
 	if mi.items == nil {
 		mi.items = map[string]core.Item{}
 	}
 	old, known := mi.items[it.Key]
-	kept := known && renumbered(old, it)
-	if known && mi.restored(old, it) {
+	unchanged := known && renumbered(old, it)
+	if known && mi.mayBeRestored(old, it) {
 		switch {
 		case mi.Outranks(old, it):
-			it.Value, it.Deleted, kept = old.Value, false, true
+			it.Value, it.Deleted, unchanged = old.Value, false, true
 		case mi.Outranks(it, old) && it.Rev <= old.Rev:
 			it.Rev, known = old.Rev, false // it replaces what it does not follow
 		}
@@ -140,13 +140,13 @@
 		return
 	}
 	mi.items[it.Key] = it
-	mi.keep(old)
-	if kept {
+	mi.keepPast(old)
+	if unchanged {
 		return
 	}
 	if it.Deleted {
-		mi.gone = append(mi.gone, it.Key)
-		mi.forget()
+		mi.deletions = append(mi.deletions, it.Key)
+		mi.forgetDeletions()
 	}
 	if mi.Changed != nil {
 		mi.Changed(it)
@@ -159,25 +159,25 @@
 		!old.Deleted && !it.Deleted && bytes.Equal(old.Value, it.Value)
 }
 
-// restored tells whether one of the items may be from a copy that the store came back from: they are
+// mayBeRestored tells whether one of the items may be from a copy that the store came back from: they are
 // of two eras, or differ under one version.
-func (mi *Mirror) restored(old, it core.Item) bool {
+func (mi *Mirror) mayBeRestored(old, it core.Item) bool {
 	if mi.Outranks == nil || it.Rev != old.Rev && it.Rev.Era() == old.Rev.Era() {
 		return false
 	}
 	return it.Deleted != old.Deleted || !bytes.Equal(it.Value, old.Value)
 }
 
-// keep remembers a value that was replaced.
-func (mi *Mirror) keep(old core.Item) {
-	if len(old.Value) < leastPast {
+// keepPast remembers a value that was replaced.
+func (mi *Mirror) keepPast(old core.Item) {
+	if len(old.Value) < minPastSize {
 		return
 	}
 	if mi.past == nil {
 		mi.past = map[string][]core.Item{}
 	}
 	list := append(mi.past[old.Key], old)
-	mi.past[old.Key] = list[max(0, len(list)-mostPast):]
+	mi.past[old.Key] = list[max(0, len(list)-maxPastValues):]
 }
 
 // Largest is the item with the largest value, the zero Item if there is none.
@@ -208,14 +208,14 @@
 	return nil
 }
 
-// forget drops the oldest deletions once there are too many.
-func (mi *Mirror) forget() {
-	for len(mi.gone) > mostDeleted {
-		if it := mi.items[mi.gone[0]]; it.Deleted {
+// forgetDeletions drops the oldest deletions once there are too many.
+func (mi *Mirror) forgetDeletions() {
+	for len(mi.deletions) > maxDeletions {
+		if it := mi.items[mi.deletions[0]]; it.Deleted {
 			delete(mi.items, it.Key)
-			mi.from = max(mi.from, it.Rev)
+			mi.deletionsFrom = max(mi.deletionsFrom, it.Rev)
 		}
-		mi.gone = mi.gone[1:]
+		mi.deletions = mi.deletions[1:]
 	}
 }
 
@@ -223,14 +223,14 @@
 // Deletions before this mirror's first listing, and those that were forgotten, are
 // not known here: to whoever lacks them it gives everything there is, whole, which
 // is to be taken with Replace.
-func (mi *Mirror) Since(rev core.Version) (news []core.Item, asOf core.Version, whole bool) {
+func (mi *Mirror) Since(rev core.Version) (changes []core.Item, asOf core.Version, whole bool) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
-	whole = rev < mi.from
+	whole = rev < mi.deletionsFrom
 	for _, it := range mi.items {
 		if it.Rev > rev && !whole || whole && !it.Deleted {
-			news = append(news, it)
+			changes = append(changes, it)
 		}
 	}
-	return news, mi.asOf, whole
+	return changes, mi.asOf, whole
 }
--- a/core/mirror/mirror_test.go
+++ b/core/mirror/mirror_test.go
@@ -14,7 +14,7 @@
 
 // A router that the store turns away is fed by two peers, one of which lags. What
 // the lagging one brings last must not put an older configuration back in force.
-func TestNewsInAnyOrderNeverGoesBack(t *testing.T) {
+func TestItemsInAnyOrderNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		last := map[string]core.Version{}
 		mi := &mirror.Mirror{Changed: func(it core.Item) {
@@ -60,36 +60,36 @@
 	}
 }
 
-func TestSinceTellsOnlyNews(t *testing.T) {
+func TestSinceReturnsOnlyChanges(t *testing.T) {
 	mi := &mirror.Mirror{}
 	mi.Apply([]core.Item{{Key: "a", Rev: 3}, {Key: "b", Rev: 5}, {Key: "c", Rev: 6, Deleted: true}}, 7)
-	news, asOf, _ := mi.Since(3)
-	if len(news) != 2 || asOf != 7 {
-		t.Errorf("news %+v as of %d, want b and c as of 7", news, asOf)
+	changes, asOf, _ := mi.Since(3)
+	if len(changes) != 2 || asOf != 7 {
+		t.Errorf("news %+v as of %d, want b and c as of 7", changes, asOf)
 	}
 }
 
 // Endpoints come and go for weeks; the record of those that are gone stays bounded.
-func TestDeletionsAreForgottenInTime(t *testing.T) {
+func TestRememberedDeletionsAreBounded(t *testing.T) {
 	mi := &mirror.Mirror{}
 	for rev := core.Version(1); rev < 20000; rev++ {
 		mi.Apply([]core.Item{{Key: fmt.Sprint("e", rev), Rev: rev, Deleted: true}}, rev)
 	}
-	if news, _, _ := mi.Since(0); len(news) > 8192 {
-		t.Errorf("%d deletions are kept", len(news))
+	if changes, _, _ := mi.Since(0); len(changes) > 8192 {
+		t.Errorf("%d deletions are kept", len(changes))
 	}
 }
 
 // A router restarts and lists the store just after an endpoint has left without a
 // word. A peer that is one revision behind asks it for news: the deletion has to be
 // among it, or that peer sends requests to the endpoint until it exits.
-func TestFreshMirrorTellsDeletionsItNeverSaw(t *testing.T) {
+func TestFreshMirrorSendsDeletionsItNeverSaw(t *testing.T) {
 	before := []core.Item{{Key: "a", Rev: 1}, {Key: "b", Rev: 2}}
 	behind := &mirror.Mirror{}
 	behind.Replace(before, 23)
 	fresh := &mirror.Mirror{}
 	fresh.Replace(before[:1], 24)
-	copyNews(fresh, behind)
+	copyChanges(fresh, behind)
 	for _, it := range items(behind) {
 		if it.Key == "b" && !it.Deleted {
 			t.Error("the peer still has what was deleted")
@@ -122,7 +122,7 @@
 			case 3:
 				mirrors[ix] = &mirror.Mirror{} // a restart
 			case 4:
-				copyNews(mirrors[(ix+1)%4], mirrors[ix])
+				copyChanges(mirrors[(ix+1)%4], mirrors[ix])
 			}
 		}
 		want := fmt.Sprint(keys(store))
@@ -134,17 +134,17 @@
 	})
 }
 
-// copyNews brings a mirror up to date from another, as routers do.
-func copyNews(from, to *mirror.Mirror) {
+// copyChanges brings a mirror up to date from another, as routers do.
+func copyChanges(from, to *mirror.Mirror) {
 	if from.AsOf() <= to.AsOf() {
 		return
 	}
-	news, asOf, whole := from.Since(to.AsOf())
+	changes, asOf, whole := from.Since(to.AsOf())
 	if whole {
-		to.Replace(news, asOf)
+		to.Replace(changes, asOf)
 		return
 	}
-	to.Apply(news, asOf)
+	to.Apply(changes, asOf)
 }
 
 func items(mi *mirror.Mirror) []core.Item {
@@ -172,13 +172,13 @@
 
 // The store drops its history. A router lists anew and cannot see an endpoint that came
 // and left in between; a peer that knew it asks that router for news.
-func TestRelistedMirrorTellsWhatItMissed(t *testing.T) {
+func TestRelistedMirrorSendsWhatItMissed(t *testing.T) {
 	peer := &mirror.Mirror{}
 	peer.Replace([]core.Item{{Key: "x", Rev: 11}, {Key: "y", Rev: 12}}, 12)
 	relisted := &mirror.Mirror{}
 	relisted.Replace([]core.Item{{Key: "x", Rev: 9}}, 9)
 	relisted.Replace([]core.Item{{Key: "x", Rev: 13}}, 14)
-	copyNews(relisted, peer)
+	copyChanges(relisted, peer)
 	if got := fmt.Sprint(keys(peer)); got != "map[x:13]" {
 		t.Errorf("the peer holds %s, want x alone", got)
 	}
@@ -186,7 +186,7 @@
 
 // A page of a listing arrives late, after a peer has told everything. An endpoint on it has
 // left meanwhile: taken over, it would get calls for good, as nobody tells of it again.
-func TestLatePageBringsNothingBack(t *testing.T) {
+func TestLatePageRestoresNoDeletedItem(t *testing.T) {
 	mi := &mirror.Mirror{}
 	mi.Preview([]core.Item{{Key: "a", Rev: 1}, {Key: "gone", Rev: 2}})
 	if mi.AsOf() != 0 {
@@ -194,9 +194,9 @@
 	}
 	mi.Replace([]core.Item{{Key: "a", Rev: 1}}, 3)
 	mi.Preview([]core.Item{{Key: "gone", Rev: 2}, {Key: "late", Rev: 2}})
-	news, asOf, _ := mi.Since(0)
-	if len(news) != 1 || news[0].Key != "a" || asOf != 3 {
-		t.Errorf("%+v as of %d, want a alone, as of 3", news, asOf)
+	changes, asOf, _ := mi.Since(0)
+	if len(changes) != 1 || changes[0].Key != "a" || asOf != 3 {
+		t.Errorf("%+v as of %d, want a alone, as of 3", changes, asOf)
 	}
 }
 
@@ -237,7 +237,7 @@
 			case 5:
 				mi.Replace(listed(), asOf())
 			case 6:
-				copyNews(mirrors[rapid.IntRange(0, 2).Draw(rt, "from")], mi)
+				copyChanges(mirrors[rapid.IntRange(0, 2).Draw(rt, "from")], mi)
 			}
 		}
 		want := map[string]string{}
@@ -260,30 +260,30 @@
 }
 
 // Guards against a value that goes back as the store tells, or peers tell, what a copy has of it.
-func TestLaterValueOutlastsARestore(t *testing.T) {
+func TestLaterValueSurvivesARestore(t *testing.T) {
 	outranks := func(it, other core.Item) bool {
 		return it.Key == "doc" && !it.Deleted && (other.Deleted || string(it.Value) > string(other.Value))
 	}
 	doc := func(era core.Era, rev uint64, value string) core.Item {
 		return core.Item{Key: "doc", Rev: core.VersionOf(era, rev), Value: []byte(value)}
 	}
-	newMirror := func(told *[]string) *mirror.Mirror {
-		return &mirror.Mirror{Outranks: outranks, Changed: func(it core.Item) { *told = append(*told, string(it.Value)) }}
+	newMirror := func(seen *[]string) *mirror.Mirror {
+		return &mirror.Mirror{Outranks: outranks, Changed: func(it core.Item) { *seen = append(*seen, string(it.Value)) }}
 	}
 	for _, listed := range [][]core.Item{{doc(2, 5, "v1")}, nil} {
-		var told, toldFresh []string
-		mi, fresh := newMirror(&told), newMirror(&toldFresh)
+		var seen, seenFresh []string
+		mi, fresh := newMirror(&seen), newMirror(&seenFresh)
 		mi.Replace([]core.Item{doc(1, 8, "v2")}, core.VersionOf(1, 9))
 		mi.Replace(listed, core.VersionOf(2, 6))
 		fresh.Replace(listed, core.VersionOf(2, 6))
-		news, asOf, _ := mi.Since(0)
-		fresh.Replace(news, asOf)
+		changes, asOf, _ := mi.Since(0)
+		fresh.Replace(changes, asOf)
 		for _, mi := range []*mirror.Mirror{mi, fresh} {
 			mi.Apply([]core.Item{doc(2, 7, "v3")}, core.VersionOf(2, 7))
 			mi.Apply([]core.Item{doc(1, 8, "v2")}, core.VersionOf(1, 9))
 		}
-		if !slices.Equal(told, []string{"v2", "v3"}) || !slices.Equal(toldFresh[len(listed):], []string{"v2", "v3"}) {
-			t.Errorf("told %v and %v", told, toldFresh)
+		if !slices.Equal(seen, []string{"v2", "v3"}) || !slices.Equal(seenFresh[len(listed):], []string{"v2", "v3"}) {
+			t.Errorf("told %v and %v", seen, seenFresh)
 		}
 	}
 }
