--- a/core/swim/fleet_test.go
+++ b/core/swim/fleet_test.go
@@ -20,9 +20,9 @@
 	now     time.Time
 	routers []*router
 	byAddr  map[string]*router
-	// lost is the part of messages that are lost; cut tells those that cannot arrive.
-	lost float64
-	cut  func(from, to *router) bool
+	// lossRate is the part of messages that are lost; cut tells those that cannot arrive.
+	lossRate float64
+	cut      func(from, to *router) bool
 	// sent counts messages.
 	sent int
 }
@@ -40,13 +40,13 @@
 	step = 100 * time.Millisecond
 	// A router introduces itself to two peers every intro, or soon within settling of its start, and
 	// is told of others.
-	intro     = 1200 * time.Millisecond
-	introSoon = 300 * time.Millisecond
-	settling  = 5 * time.Second
-	greeting  = 120
-	// words is how many a router sends in a step, bounded as its bytes are; mostRumors go with each.
-	words      = 4
-	mostRumors = 16
+	joinInterval        = 1200 * time.Millisecond
+	joinIntervalAtStart = 300 * time.Millisecond
+	startPeriod         = 5 * time.Second
+	maxJoinPeers        = 120
+	// messagesPerStep is how many a router sends in a step, bounded as its bytes are; mostRumors go with each.
+	messagesPerStep = 4
+	maxRumors       = 16
 )
 
 // newFleet makes routers that all know three seeds.
@@ -73,8 +73,8 @@
 	}
 }
 
-// meet lets all routers know of each other, as those do that have run for long.
-func (fl *fleet) meet() {
+// connectAll lets all routers know of each other, as those do that have run for long.
+func (fl *fleet) connectAll() {
 	for _, ro := range fl.routers {
 		for _, other := range fl.routers {
 			ro.Join(fl.now, other.addr)
@@ -82,32 +82,32 @@
 	}
 }
 
-// arrives tells whether a message does.
-func (fl *fleet) arrives(from, to *router) bool {
+// delivered tells whether a message does.
+func (fl *fleet) delivered(from, to *router) bool {
 	fl.sent++
-	return to != nil && !from.down && !to.down && fl.rand.Float64() >= fl.lost && !fl.cut(from, to)
+	return to != nil && !from.down && !to.down && fl.rand.Float64() >= fl.lossRate && !fl.cut(from, to)
 }
 
-// message brings what each message has from one router to another.
-func (fl *fleet) message(from, to *router) bool {
-	rumors := from.Rumors(mostRumors)
-	if !fl.arrives(from, to) {
+// send brings what each message has from one router to another.
+func (fl *fleet) send(from, to *router) bool {
+	rumors := from.Rumors(maxRumors)
+	if !fl.delivered(from, to) {
 		return false
 	}
-	to.Heard(fl.now, from.addr, from.Incarnation())
-	to.Take(fl.now, rumors)
+	to.MessageReceived(fl.now, from.addr, from.Incarnation())
+	to.ApplyRumors(fl.now, rumors)
 	return true
 }
 
 // probe asks a router, and tells whether its answer came.
 func (fl *fleet) probe(from, to *router, about swim.Rumor) bool {
-	if !fl.message(from, to) {
+	if !fl.send(from, to) {
 		return false
 	}
-	if about.State != swim.Named {
-		to.Take(fl.now, []swim.Rumor{about})
+	if about.State != swim.Unverified {
+		to.ApplyRumors(fl.now, []swim.Rumor{about})
 	}
-	return fl.message(to, from)
+	return fl.send(to, from)
 }
 
 func (fl *fleet) run(lasting time.Duration) {
@@ -115,62 +115,62 @@
 		fl.now = fl.now.Add(step)
 		for _, ro := range fl.routers {
 			if !ro.down {
-				fl.turn(ro)
+				fl.stepRouter(ro)
 			}
 		}
 	}
 }
 
-func (fl *fleet) turn(ro *router) {
+func (fl *fleet) stepRouter(ro *router) {
 	if fl.now.UnixMilli()%swim.Period.Milliseconds() == 0 {
 		for _, pr := range ro.Tick(fl.now) {
-			fl.send(ro, pr)
+			fl.sendProbe(ro, pr)
 		}
 	}
-	fl.introduce(ro)
-	for range words {
+	fl.join(ro)
+	for range messagesPerStep {
 		if to := fl.routers[fl.rand.IntN(len(fl.routers))]; to != ro && ro.Alive(to.addr) {
-			fl.message(ro, to)
+			fl.send(ro, to)
 		}
 	}
 }
 
-// introduce has a router tell two others how many it knows. Who knows more names some.
-func (fl *fleet) introduce(ro *router) {
-	every := intro
-	if fl.now.Sub(ro.started) < settling {
-		every = introSoon
+// join has a router tell two others how many it knows. Who knows more names some.
+func (fl *fleet) join(ro *router) {
+	every := joinInterval
+	if fl.now.Sub(ro.started) < startPeriod {
+		every = joinIntervalAtStart
 	}
 	if fl.now.UnixMilli()%every.Milliseconds() != 0 {
 		return
 	}
 	for range 2 {
 		to := fl.routers[fl.rand.IntN(min(3, len(fl.routers)))]
-		if some := ro.Some(1); len(some) > 0 {
+		if some := ro.Sample(1); len(some) > 0 {
 			to = fl.byAddr[some[0]]
 		}
-		if to == ro || !fl.message(ro, to) || !to.Greets(ro.Live()) || !fl.message(to, ro) {
+		if to == ro || !fl.send(ro, to) || !to.KnowsMore(ro.Live()) || !fl.send(to, ro) {
 			continue
 		}
-		for _, addr := range to.Some(greeting) {
+		for _, addr := range to.Sample(maxJoinPeers) {
 			ro.Join(fl.now, addr)
 		}
 	}
 }
 
-func (fl *fleet) send(ro *router, pr swim.Probe) {
+func (fl *fleet) sendProbe(ro *router, pr swim.Probe) {
 	to := fl.byAddr[pr.To]
 	if pr.Target == "" {
 		fl.probe(ro, to, pr.About)
 		return
 	}
-	if fl.message(ro, to) && fl.probe(to, fl.byAddr[pr.Target], swim.Rumor{}) && fl.message(to, ro) {
-		ro.Heard(fl.now, pr.Target, 0)
+	if fl.send(ro, to) && fl.probe(to, fl.byAddr[pr.Target], swim.Rumor{}) && fl.send(to, ro) {
+		ro.MessageReceived(fl.now, pr.Target, 0)
 	}
 }
 
-// believers is how many of the routers that run take that one for alive.
-func (fl *fleet) believers(of *router) int {
+// aliveTo is how many of the routers that run take that one for alive.
+func (fl *fleet) aliveTo(of *router) int {
 	count := 0
 	for _, ro := range fl.routers {
 		if ro != of && !ro.down && ro.Alive(of.addr) {
@@ -180,17 +180,17 @@
 	return count
 }
 
-// within runs until something holds, and tells how long it took.
-func (fl *fleet) within(most time.Duration, what string, holds func() bool) time.Duration {
+// waitUntil runs until something holds, and tells how long it took.
+func (fl *fleet) waitUntil(limit time.Duration, what string, holds func() bool) time.Duration {
 	fl.t.Helper()
-	for took := time.Duration(0); took <= most; took += step {
+	for took := time.Duration(0); took <= limit; took += step {
 		if holds() {
 			return took
 		}
 		fl.run(step)
 	}
-	fl.t.Errorf("%d routers: not within %s: %s", len(fl.routers), most, what)
-	return most
+	fl.t.Errorf("%d routers: not within %s: %s", len(fl.routers), limit, what)
+	return limit
 }
 
 // agreement is the mean share of the running routers that mean the same keeper of a key.
@@ -218,13 +218,13 @@
 			}
 			return 1
 		})
-		means := map[int]int{}
+		owners := map[int]int{}
 		most := 0
 		for _, ro := range up {
 			for _, ix := range order {
 				if fl.routers[ix] == ro || ro.Alive(fl.routers[ix].addr) {
-					means[ix]++
-					most = max(most, means[ix])
+					owners[ix]++
+					most = max(most, owners[ix])
 					break
 				}
 			}
--- a/core/swim/rumor.go
+++ b/core/swim/rumor.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Take takes the rumors of a message.
-func (ta *Table) Take(now time.Time, rumors []Rumor) {
+// ApplyRumors takes the rumors of a message.
+func (ta *Table) ApplyRumors(now time.Time, rumors []Rumor) {
 	for _, ru := range rumors {
 		if ru.State < Alive || ru.State > Left {
 			continue
@@ -16,7 +16,7 @@
 			ta.refute(ru)
 			continue
 		}
-		ta.believe(now, ru)
+		ta.applyRumor(now, ru)
 	}
 }
 
@@ -26,11 +26,11 @@
 		return
 	}
 	ta.incarnation = max(ta.incarnation, ru.Incarnation+1)
-	ta.pass(Rumor{ta.Self, Alive, ta.incarnation})
+	ta.enqueue(Rumor{ta.Self, Alive, ta.incarnation})
 }
 
-// believe takes a rumor of a peer, unless more is known.
-func (ta *Table) believe(now time.Time, ru Rumor) {
+// applyRumor takes a rumor of a peer, unless more is known.
+func (ta *Table) applyRumor(now time.Time, ru Rumor) {
 	if ta.members[ru.Addr] == nil && !ru.State.live() {
 		return
 	}
@@ -40,50 +40,50 @@
 		return
 	case ru.Incarnation < me.incarnation:
 		if me.state == Alive && ru.State > Alive {
-			ta.pass(Rumor{ru.Addr, Alive, me.incarnation}) // whoever told it has missed a refutation
+			ta.enqueue(Rumor{ru.Addr, Alive, me.incarnation}) // whoever told it has missed a refutation
 		}
 		return
-	case ru.Incarnation == me.incarnation && ru.State <= me.state && !me.alone:
+	case ru.Incarnation == me.incarnation && ru.State <= me.state && !me.deadByIsolation:
 		return
 	}
-	if ru.Incarnation == me.incarnation && ru.State > Alive && ru.State < Left && now.Sub(me.heard) < heardFor {
+	if ru.Incarnation == me.incarnation && ru.State > Alive && ru.State < Left && now.Sub(me.lastHeard) < directContactWindow {
 		return
 	}
 	me.incarnation = ru.Incarnation
-	ta.become(now, me, ru.State)
+	ta.setState(now, me, ru.State)
 	if ru.State == Suspect {
-		me.until = now.Add(time.Duration(ta.turns()) * suspectFor)
+		me.suspectedUntil = now.Add(time.Duration(ta.doublings()) * suspicionTimeout)
 	}
-	ta.pass(ru)
+	ta.enqueue(ru)
 }
 
 // Leave makes a rumor that this router ends.
-func (ta *Table) Leave() { ta.pass(Rumor{ta.Self, Left, ta.incarnation}) }
+func (ta *Table) Leave() { ta.enqueue(Rumor{ta.Self, Left, ta.incarnation}) }
 
-// pass puts a rumor among those that are told, in place of an earlier one of that peer.
-func (ta *Table) pass(ru Rumor) {
-	for _, pa := range ta.rumors {
-		if pa.Addr == ru.Addr {
-			pa.Rumor, pa.told = ru, 0
+// enqueue puts a rumor among those that are told, in place of an earlier one of that peer.
+func (ta *Table) enqueue(ru Rumor) {
+	for _, qu := range ta.rumors {
+		if qu.Addr == ru.Addr {
+			qu.Rumor, qu.sent = ru, 0
 			return
 		}
 	}
-	ta.rumors = append(ta.rumors, &passing{Rumor: ru})
+	ta.rumors = append(ta.rumors, &queuedRumor{Rumor: ru})
 }
 
 // Rumors are those to go with a message, at most so many, the least told first.
-func (ta *Table) Rumors(most int) []Rumor {
+func (ta *Table) Rumors(limit int) []Rumor {
 	if len(ta.rumors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(ta.rumors, func(a, b *passing) int { return cmp.Compare(a.told, b.told) })
-	some := ta.rumors[:min(most, len(ta.rumors))]
-	out := make([]Rumor, len(some))
-	for ix, pa := range some {
-		out[ix] = pa.Rumor
-		pa.told++
+	slices.SortStableFunc(ta.rumors, func(a, b *queuedRumor) int { return cmp.Compare(a.sent, b.sent) })
+	selected := ta.rumors[:min(limit, len(ta.rumors))]
+	out := make([]Rumor, len(selected))
+	for ix, qu := range selected {
+		out[ix] = qu.Rumor
+		qu.sent++
 	}
-	enough := rumorTurns * ta.turns()
-	ta.rumors = slices.DeleteFunc(ta.rumors, func(pa *passing) bool { return pa.told >= enough })
+	maxSent := rumorRetransmits * ta.doublings()
+	ta.rumors = slices.DeleteFunc(ta.rumors, func(qu *queuedRumor) bool { return qu.sent >= maxSent })
 	return out
 }
--- a/core/swim/swim.go
+++ b/core/swim/swim.go
@@ -42,30 +42,30 @@
 const Period = 200 * time.Millisecond
 
 const (
-	// answerWait is how long a peer has to answer a probe, helpWait how long through others:
+	// probeTimeout is how long a peer has to answer a probe, helpWait how long through others:
 	// a few ways between zones, and turns at busy processors.
-	answerWait = 200 * time.Millisecond
-	helpWait   = 400 * time.Millisecond
-	// helpers is through how many others a peer is probed.
-	helpers = 3
-	// suspectFor is how long a suspected peer may refute, for each doubling of their number:
+	probeTimeout         = 200 * time.Millisecond
+	indirectProbeTimeout = 400 * time.Millisecond
+	// indirectProbes is through how many others a peer is probed.
+	indirectProbes = 3
+	// suspicionTimeout is how long a suspected peer may refute, for each doubling of their number:
 	// rumors take as many turns to reach all.
-	suspectFor = 300 * time.Millisecond
-	// rumorTurns is how often a rumor is passed on, for each doubling of the number of peers.
-	rumorTurns = 2
-	// heardFor is how long a peer's own word counts more than rumors.
-	heardFor = time.Second
-	// silentFor is how long nobody may be heard before this router takes itself for cut off, and
+	suspicionTimeout = 300 * time.Millisecond
+	// rumorRetransmits is how often a rumor is passed on, for each doubling of the number of peers.
+	rumorRetransmits = 2
+	// directContactWindow is how long a peer's own word counts more than rumors.
+	directContactWindow = time.Second
+	// isolatedAfter is how long nobody may be heard before this router takes itself for cut off, and
 	// aloneFor before those that are silent count as dead all the same.
-	silentFor = 500 * time.Millisecond
-	aloneFor  = 3 * time.Second
+	isolatedAfter     = 500 * time.Millisecond
+	isolatedDeadAfter = 3 * time.Second
 	// rejoinPeriods is how often, in periods, a dead peer is probed: two parts of a fleet that
 	// were cut from each other find together again.
 	rejoinPeriods = 5
 	// ForgetAfter is how long a dead peer is remembered, longer than regions are cut off from each
 	// other; leftFor how long one that left.
-	ForgetAfter = 10 * time.Minute
-	leftFor     = 30 * time.Second
+	ForgetAfter     = 10 * time.Minute
+	forgetLeftAfter = 30 * time.Second
 )
 
 // State is what is believed of a peer; a higher one is worse.
@@ -74,7 +74,7 @@
 // States of peers.
 const (
 	// Named: others know of it, and it was not heard yet.
-	Named State = iota
+	Unverified State = iota
 	Alive
 	// Suspect: it did not answer, and may refute that.
 	Suspect
@@ -115,11 +115,11 @@
 	// probes are those without an answer.
 	probes  []*probe
 	periods int
-	// began is the first Tick, heard when anybody was heard last.
-	began, heard time.Time
+	// startedAt is the first Tick, heard when anybody was heard last.
+	startedAt, lastHeard time.Time
 	// rumors are passed on, owed tells peers what was rumored of themselves.
-	rumors []*passing
-	owed   []Probe
+	rumors  []*queuedRumor
+	notices []Probe
 	// live counts the members that are alive or suspected.
 	live int
 }
@@ -128,23 +128,23 @@
 	addr        string
 	state       State
 	incarnation Incarnation
-	heard       time.Time
+	lastHeard   time.Time
 	// since is when the state began, until when a suspicion ends.
-	since, until time.Time
-	// alone is set if it was taken for dead by a router that heard nobody.
-	alone bool
+	since, suspectedUntil time.Time
+	// deadByIsolation is set if it was taken for dead by a router that heard nobody.
+	deadByIsolation bool
 }
 
 type probe struct {
-	target string
-	at     time.Time
-	helped bool
+	target   string
+	sentAt   time.Time
+	indirect bool
 }
 
-// passing is a rumor and how often it was told.
-type passing struct {
+// queuedRumor is a rumor and how often it was told.
+type queuedRumor struct {
 	Rumor
-	told int
+	sent int
 }
 
 // Add makes an address known that may be nobody's.
@@ -153,8 +153,8 @@
 // Join takes a peer's word that another is alive.
 func (ta *Table) Join(now time.Time, addr string) {
 	me := ta.member(now, addr)
-	if me != nil && (me.state == Named || me.alone) {
-		ta.become(now, me, Alive)
+	if me != nil && (me.state == Unverified || me.deadByIsolation) {
+		ta.setState(now, me, Alive)
 	}
 }
 
@@ -169,13 +169,13 @@
 	if me == nil {
 		me = &member{addr: addr, since: now}
 		ta.members[addr] = me
-		ta.enlist(addr)
+		ta.scheduleProbe(addr)
 	}
 	return me
 }
 
-// enlist puts a new peer at a random place of those that are still to be probed.
-func (ta *Table) enlist(addr string) {
+// scheduleProbe puts a new peer at a random place of those that are still to be probed.
+func (ta *Table) scheduleProbe(addr string) {
 	at := ta.next + ta.draw(len(ta.order)-ta.next+1)
 	ta.order = slices.Insert(ta.order, at, addr)
 }
@@ -184,41 +184,41 @@
 
 func (st State) live() bool { return st == Alive || st == Suspect }
 
-func (ta *Table) become(now time.Time, me *member, st State) {
+func (ta *Table) setState(now time.Time, me *member, st State) {
 	if me.state.live() {
 		ta.live--
 	}
 	if st.live() {
 		ta.live++
 	}
-	me.state, me.since, me.alone = st, now, false
+	me.state, me.since, me.deadByIsolation = st, now, false
 }
 
-// Heard takes that a message came from the address, whose sender told its incarnation, or 0. It
+// MessageReceived takes that a message came from the address, whose sender told its incarnation, or 0. It
 // returns true if it was not alive here.
-func (ta *Table) Heard(now time.Time, addr string, in Incarnation) bool {
+func (ta *Table) MessageReceived(now time.Time, addr string, in Incarnation) bool {
 	me := ta.member(now, addr)
 	if me == nil {
 		return false
 	}
-	ta.heard, me.heard = now, now
+	ta.lastHeard, me.lastHeard = now, now
 	before := me.state
-	if before >= Suspect && !me.alone && in <= me.incarnation {
-		ta.owed = append(ta.owed, Probe{To: addr, About: Rumor{addr, before, me.incarnation}})
+	if before >= Suspect && !me.deadByIsolation && in <= me.incarnation {
+		ta.notices = append(ta.notices, Probe{To: addr, About: Rumor{addr, before, me.incarnation}})
 	}
 	me.incarnation = max(me.incarnation, in)
 	if before == Alive {
 		return false
 	}
-	ta.become(now, me, Alive)
+	ta.setState(now, me, Alive)
 	if before != Suspect {
-		ta.pass(Rumor{addr, Alive, me.incarnation})
+		ta.enqueue(Rumor{addr, Alive, me.incarnation})
 	}
 	return before != Suspect
 }
 
-// Some draws peers that are alive, at most so many.
-func (ta *Table) Some(most int) []string {
+// Sample draws peers that are alive, at most so many.
+func (ta *Table) Sample(limit int) []string {
 	all := make([]string, 0, ta.live)
 	for addr, me := range ta.members {
 		if me.state.live() {
@@ -226,16 +226,16 @@
 		}
 	}
 	slices.Sort(all) // a run repeats from its seed
-	most = min(most, len(all))
-	for ix := range most {
+	limit = min(limit, len(all))
+	for ix := range limit {
 		other := ix + ta.draw(len(all)-ix)
 		all[ix], all[other] = all[other], all[ix]
 	}
-	return all[:most]
+	return all[:limit]
 }
 
-// Greets tells whether a peer that knows so many others is to be told of more.
-func (ta *Table) Greets(knows int) bool { return knows < ta.live }
+// KnowsMore tells whether a peer that knows so many others is to be told of more.
+func (ta *Table) KnowsMore(known int) bool { return known < ta.live }
 
 // Live is how many peers are alive, those that are suspected among them.
 func (ta *Table) Live() int { return ta.live }
@@ -255,8 +255,8 @@
 // Known tells whether the peer is remembered.
 func (ta *Table) Known(addr string) bool { return ta.members[addr] != nil }
 
-// Counted is how many peers there are that are not dead, or have been for less than that.
-func (ta *Table) Counted(now time.Time, within time.Duration) int {
+// CountNotLongDead is how many peers there are that are not dead, or have been for less than that.
+func (ta *Table) CountNotLongDead(now time.Time, within time.Duration) int {
 	count := 0
 	for _, me := range ta.members {
 		if me.state <= Suspect || me.state == Dead && now.Sub(me.since) < within {
@@ -266,93 +266,93 @@
 	return count
 }
 
-// HeardAt is when a peer was heard last; the zero time if never.
-func (ta *Table) HeardAt(addr string) time.Time {
+// LastHeard is when a peer was heard last; the zero time if never.
+func (ta *Table) LastHeard(addr string) time.Time {
 	if me := ta.members[addr]; me != nil {
-		return me.heard
+		return me.lastHeard
 	}
 	return time.Time{}
 }
 
-// Silent tells for how long nobody was heard.
-func (ta *Table) Silent(now time.Time) time.Duration {
-	if ta.heard.IsZero() {
-		return now.Sub(ta.began)
+// SilentFor tells for how long nobody was heard.
+func (ta *Table) SilentFor(now time.Time) time.Duration {
+	if ta.lastHeard.IsZero() {
+		return now.Sub(ta.startedAt)
 	}
-	return now.Sub(ta.heard)
+	return now.Sub(ta.lastHeard)
 }
 
 // Incarnation is the own one, to be told with probes and their answers.
 func (ta *Table) Incarnation() Incarnation { return ta.incarnation }
 
-// turns is how many times their number doubles from one: the rounds that a rumor takes.
-func (ta *Table) turns() int { return max(1, bits.Len(uint(ta.live+1))) }
+// doublings is how many times their number doubles from one: the rounds that a rumor takes.
+func (ta *Table) doublings() int { return max(1, bits.Len(uint(ta.live+1))) }
 
 // Tick goes on by a period. It returns the probes to be sent.
 func (ta *Table) Tick(now time.Time) []Probe {
-	if ta.began.IsZero() {
-		ta.began = now
+	if ta.startedAt.IsZero() {
+		ta.startedAt = now
 	}
 	ta.periods++
-	ta.endSuspicions(now)
-	out := append(ta.owed, ta.followUp(now)...)
-	ta.owed = nil
+	ta.expireStates(now)
+	out := append(ta.notices, ta.checkProbes(now)...)
+	ta.notices = nil
 	if to := ta.nextTarget(now); to != "" {
-		ta.probes = append(ta.probes, &probe{target: to, at: now})
+		ta.probes = append(ta.probes, &probe{target: to, sentAt: now})
 		out = append(out, Probe{To: to})
 	}
 	if ta.periods%rejoinPeriods == 0 {
-		if to := ta.oneDead(); to != "" {
+		if to := ta.randomDead(); to != "" {
 			out = append(out, Probe{To: to})
 		}
 	}
 	return out
 }
 
-// endSuspicions takes for dead who did not refute in time, and forgets who has long been.
-func (ta *Table) endSuspicions(now time.Time) {
-	alone := ta.Silent(now) > aloneFor
+// expireStates takes for dead who did not refute in time, and forgets who has long been.
+func (ta *Table) expireStates(now time.Time) {
+	isolated := ta.SilentFor(now) > isolatedDeadAfter
 	var ended []string
 	for addr, me := range ta.members {
 		switch {
-		case me.state == Suspect && !now.Before(me.until):
+		case me.state == Suspect && !now.Before(me.suspectedUntil):
 			ended = append(ended, addr)
-		case alone && me.state.live():
-			ta.become(now, me, Dead)
-			me.alone = true
-		case me.state == Left && now.Sub(me.since) > leftFor, !me.state.live() && now.Sub(me.since) > ForgetAfter:
+		case isolated && me.state.live():
+			ta.setState(now, me, Dead)
+			me.deadByIsolation = true
+		case me.state == Left && now.Sub(me.since) > forgetLeftAfter, !me.state.live() && now.Sub(me.since) > ForgetAfter:
 			delete(ta.members, addr)
 		}
 	}
 	slices.Sort(ended) // a run repeats from its seed
 	for _, addr := range ended {
 		me := ta.members[addr]
-		ta.become(now, me, Dead)
-		ta.pass(Rumor{addr, Dead, me.incarnation})
+		ta.setState(now, me, Dead)
+		ta.enqueue(Rumor{addr, Dead, me.incarnation})
 	}
 }
 
-// followUp looks after the probes that were not answered.
-func (ta *Table) followUp(now time.Time) []Probe {
+// checkProbes looks after the probes that were not answered.
+func (ta *Table) checkProbes(now time.Time) []Probe {
 	var out []Probe
 	ta.probes = slices.DeleteFunc(ta.probes, func(pr *probe) bool {
 		me := ta.members[pr.target]
 		switch {
-		case me == nil || !me.state.live() || !me.heard.Before(pr.at):
+		case me == nil || !me.state.live() || !me.lastHeard.Before(pr.sentAt):
 			return true
-		case now.Sub(pr.at) < answerWait:
+		case now.Sub(pr.sentAt) < probeTimeout:
 			return false
-		case !pr.helped:
-			pr.helped = true
-			for range helpers {
-				if by := ta.helper(pr.target); by != "" {
+		case !pr.indirect:
+			pr.indirect = true
+			for range indirectProbes {
+				if by := ta.indirectProber(pr.target); by != "" {
 					out = append(out, Probe{To: by, Target: pr.target})
 				}
 			}
 			return false
-		case now.Sub(pr.at) < answerWait+helpWait:
+		case now.Sub(pr.sentAt) < probeTimeout+indirectProbeTimeout:
 			return false
-		case ta.Silent(now) < silentFor && me.state == Alive:
+		case ta.SilentFor(now) < isolatedAfter && me.state == Alive:
 			ta.suspect(now, me)
 		}
 		return true
@@ -361,17 +361,17 @@
 }
 
 func (ta *Table) suspect(now time.Time, me *member) {
-	ta.become(now, me, Suspect)
-	me.until = now.Add(time.Duration(ta.turns()) * suspectFor)
-	ta.pass(Rumor{me.addr, Suspect, me.incarnation})
+	ta.setState(now, me, Suspect)
+	me.suspectedUntil = now.Add(time.Duration(ta.doublings()) * suspicionTimeout)
+	ta.enqueue(Rumor{me.addr, Suspect, me.incarnation})
 }
 
-// mostDraws bounds the search for a peer of some kind.
-const mostDraws = 8
+// maxDraws bounds the search for a peer of some kind.
+const maxDraws = 8
 
-// helper draws a live peer other than the target; "" if none was found.
-func (ta *Table) helper(target string) string {
-	for range mostDraws {
+// indirectProber draws a live peer other than the target; "" if none was found.
+func (ta *Table) indirectProber(target string) string {
+	for range maxDraws {
 		if len(ta.order) == 0 {
 			return ""
 		}
@@ -396,7 +396,7 @@
 		addr := ta.order[ta.next]
 		ta.next++
 		me := ta.members[addr]
-		if me != nil && me.state <= Suspect && now.Sub(me.heard) >= Period {
+		if me != nil && me.state <= Suspect && now.Sub(me.lastHeard) >= Period {
 			return addr
 		}
 	}
@@ -419,8 +419,8 @@
 	}
 }
 
-// oneDead draws a dead peer that may be back.
-func (ta *Table) oneDead() string {
+// randomDead draws a dead peer that may be back.
+func (ta *Table) randomDead() string {
 	var dead []string
 	for addr, me := range ta.members {
 		if me.state == Dead {
--- a/core/swim/swim_test.go
+++ b/core/swim/swim_test.go
@@ -23,13 +23,13 @@
 	t.Parallel()
 	for _, size := range sizes {
 		fl := newFleet(t, size)
-		fl.meet()
+		fl.connectAll()
 		fl.run(2 * time.Second)
 		lost := fl.routers[size/2]
 		lost.down = true
-		first := fl.within(deadWithin, "one knows of the lost router", func() bool { return fl.believers(lost) < size-1 })
-		half := fl.within(deadWithin, "half know of the lost router", func() bool { return fl.believers(lost) <= size/2 })
-		all := fl.within(deadWithin, "all know of the lost router", func() bool { return fl.believers(lost) == 0 })
+		first := fl.waitUntil(deadWithin, "one knows of the lost router", func() bool { return fl.aliveTo(lost) < size-1 })
+		half := fl.waitUntil(deadWithin, "half know of the lost router", func() bool { return fl.aliveTo(lost) <= size/2 })
+		all := fl.waitUntil(deadWithin, "all know of the lost router", func() bool { return fl.aliveTo(lost) == 0 })
 		t.Logf("%d routers: lost one known to the first after %s, half %s, all %s", size, first, first+half, first+half+all)
 		if first+half+all > deadWithin {
 			t.Errorf("%d routers: known to all after %s, want %s", size, first+half+all, deadWithin)
@@ -39,7 +39,7 @@
 
 // Guards against routers that mean different keepers for good: grants for cold endpoints and counts
 // of calls hold only while they mean the same one.
-func TestRoutersAgreeOnKeepersThroughChurn(t *testing.T) {
+func TestRoutersAgreeOnOwnersThroughChurn(t *testing.T) {
 	t.Parallel()
 	churned := []int{30, 357}
 	if *large {
@@ -47,7 +47,7 @@
 	}
 	for _, size := range churned {
 		fl := newFleet(t, size)
-		fl.meet()
+		fl.connectAll()
 		fl.run(2 * time.Second)
 		const seconds = 20
 		var total, least float64 = 0, 1
@@ -78,10 +78,10 @@
 }
 
 // Guards against routers that are taken for dead though they run: what they keep is forgotten.
-func TestNobodyIsFalselyDead(t *testing.T) {
+func TestNoRouterIsFalselyDeclaredDead(t *testing.T) {
 	t.Parallel()
 	for name, disturb := range map[string]func(fl *fleet){
-		"messages are lost": func(fl *fleet) { fl.lost = 0.03 },
+		"messages are lost": func(fl *fleet) { fl.lossRate = 0.03 },
 		"a one-way cut": func(fl *fleet) {
 			fl.cut = func(from, to *router) bool { return from == fl.routers[1] && to == fl.routers[2] }
 		},
@@ -94,13 +94,13 @@
 		t.Run(name, func(t *testing.T) {
 			const size = 200
 			fl := newFleet(t, size)
-			fl.meet()
+			fl.connectAll()
 			fl.run(2 * time.Second)
 			disturb(fl)
 			for range 15 {
 				fl.run(time.Second)
 				for ix, ro := range fl.routers {
-					if got := fl.believers(ro); got < size-1 {
+					if got := fl.aliveTo(ro); got < size-1 {
 						t.Fatalf("router %d is alive to %d of %d others", ix, got, size-1)
 					}
 				}
@@ -110,11 +110,11 @@
 }
 
 // Guards against two parts of a fleet that take each other for dead for good after a cut between them.
-func TestPartsFindTogetherAfterACut(t *testing.T) {
+func TestPartitionsRejoinAfterACut(t *testing.T) {
 	t.Parallel()
 	const size = 100
 	fl := newFleet(t, size)
-	fl.meet()
+	fl.connectAll()
 	fl.run(2 * time.Second)
 	side := func(ro *router) bool { return slices.Index(fl.routers, ro) < size/2 }
 	sides := map[*router]bool{}
@@ -122,13 +122,13 @@
 		sides[ro] = side(ro)
 	}
 	fl.cut = func(from, to *router) bool { return sides[from] != sides[to] }
-	fl.within(30*time.Second, "each part takes the other for dead", func() bool {
-		return fl.believers(fl.routers[0]) == size/2-1 && fl.believers(fl.routers[size-1]) == size/2-1
+	fl.waitUntil(30*time.Second, "each part takes the other for dead", func() bool {
+		return fl.aliveTo(fl.routers[0]) == size/2-1 && fl.aliveTo(fl.routers[size-1]) == size/2-1
 	})
 	fl.cut = func(_, _ *router) bool { return false }
-	fl.within(30*time.Second, "all are alive to all", func() bool {
+	fl.waitUntil(30*time.Second, "all are alive to all", func() bool {
 		for _, ro := range fl.routers {
-			if fl.believers(ro) < size-1 {
+			if fl.aliveTo(ro) < size-1 {
 				return false
 			}
 		}
@@ -138,10 +138,10 @@
 
 // Guards against a router that is cut off and has all others believe that everybody is dead, and
 // against one of two that goes on counting on the other after its end.
-func TestRouterThatHearsNobody(t *testing.T) {
+func TestIsolatedRouter(t *testing.T) {
 	t.Parallel()
 	fl := newFleet(t, 50)
-	fl.meet()
+	fl.connectAll()
 	fl.run(2 * time.Second)
 	alone := fl.routers[7]
 	fl.cut = func(from, to *router) bool { return from == alone || to == alone }
@@ -150,9 +150,9 @@
 		t.Errorf("%d peers are alive to a router that has heard nobody for 4 s", got)
 	}
 	fl.cut = func(_, _ *router) bool { return false }
-	fl.within(5*time.Second, "all are alive to all", func() bool {
+	fl.waitUntil(5*time.Second, "all are alive to all", func() bool {
 		for _, ro := range fl.routers {
-			if fl.believers(ro) < 49 {
+			if fl.aliveTo(ro) < 49 {
 				return false
 			}
 		}
@@ -161,27 +161,27 @@
 }
 
 // Guards against a router that leaves and stays a keeper to those that did not hear its last words.
-func TestRouterThatLeavesIsKnownToHaveLeft(t *testing.T) {
+func TestAnnouncedShutdownIsKnownToAll(t *testing.T) {
 	t.Parallel()
 	fl := newFleet(t, 100)
-	fl.meet()
+	fl.connectAll()
 	fl.run(2 * time.Second)
 	ro := fl.routers[3]
 	ro.Leave()
 	for _, to := range fl.routers[10:14] {
-		fl.message(ro, to)
+		fl.send(ro, to)
 	}
 	ro.down = true
-	fl.within(2*time.Second, "all know that it left", func() bool { return fl.believers(ro) == 0 })
+	fl.waitUntil(2*time.Second, "all know that it left", func() bool { return fl.aliveTo(ro) == 0 })
 	fl.start(ro)
-	fl.within(5*time.Second, "it is alive again", func() bool { return fl.believers(ro) == 99 })
+	fl.waitUntil(5*time.Second, "it is alive again", func() bool { return fl.aliveTo(ro) == 99 })
 }
 
 // Guards against a start of all routers at once after which some do not know each other.
 func TestAllRoutersStartAtOnce(t *testing.T) {
 	t.Parallel()
 	fl := newFleet(t, 357)
-	took := fl.within(4*time.Second, "all are alive to all", func() bool {
+	took := fl.waitUntil(4*time.Second, "all are alive to all", func() bool {
 		for _, ro := range fl.routers {
 			if ro.Live() < 356 {
 				return false
@@ -197,7 +197,7 @@
 	t.Parallel()
 	perSecond := func(size int) float64 {
 		fl := newFleet(t, size)
-		fl.meet()
+		fl.connectAll()
 		fl.run(5 * time.Second)
 		fl.sent = 0
 		fl.run(5 * time.Second)
@@ -215,8 +215,8 @@
 	t.Parallel()
 	now := time.Unix(1_000_000, 0)
 	ta := &swim.Table{Self: "self:1", Rand: newFleet(t, 1).rand}
-	take := func(st swim.State, in swim.Incarnation) {
-		ta.Take(now, []swim.Rumor{{Addr: "a:1", State: st, Incarnation: in}})
+	apply := func(st swim.State, in swim.Incarnation) {
+		ta.ApplyRumors(now, []swim.Rumor{{Addr: "a:1", State: st, Incarnation: in}})
 	}
 	for _, sp := range []struct {
 		state swim.State
@@ -235,12 +235,12 @@
 		{swim.Left, 4, false},
 		{9, 9, false},
 	} {
-		take(sp.state, sp.in)
+		apply(sp.state, sp.in)
 		if got := ta.Alive("a:1"); got != sp.alive {
 			t.Errorf("after state %d of incarnation %d: alive %v, want %v", sp.state, sp.in, got, sp.alive)
 		}
 	}
-	ta.Take(now, []swim.Rumor{{Addr: "self:1", State: swim.Dead, Incarnation: 6}})
+	ta.ApplyRumors(now, []swim.Rumor{{Addr: "self:1", State: swim.Dead, Incarnation: 6}})
 	if ta.Incarnation() != 7 {
 		t.Errorf("incarnation %d after a rumor of the own death in 6, want 7", ta.Incarnation())
 	}
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -242,7 +242,7 @@
 func (gr *Group) Routers() int {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	return 1 + gr.alive.Counted(time.Now(), countedFor)
+	return 1 + gr.alive.CountNotLongDead(time.Now(), countedFor)
 }
 
 // Announces tells whether this router is one of those that are to be found through the store.
@@ -365,7 +365,7 @@
 	}
 	if ms.From != "" {
 		me.id, me.hears, me.config = ms.From, ms.Hears, ms.Config
-		if gr.alive.Greets(int(ms.Hears)) {
+		if gr.alive.KnowsMore(int(ms.Hears)) {
 			gr.greet = append(gr.greet, from)
 		}
 	}
--- a/io/gossip/grants.go
+++ b/io/gossip/grants.go
@@ -59,7 +59,7 @@
 	// One without peers is alone only if others could find it.
 	heard := len(gr.members) == 0 && !gr.announced.IsZero() && now.Sub(gr.announced) >= settleTime
 	for addr, me := range gr.members {
-		heard = heard || !gr.alive.HeardAt(addr).IsZero()
+		heard = heard || !gr.alive.LastHeard(addr).IsZero()
 		if gr.alive.Alive(addr) && int(me.hears) > len(gr.members) {
 			settled = false // it hears peers that are not known here
 		}
--- a/io/gossip/lead.go
+++ b/io/gossip/lead.go
@@ -64,7 +64,7 @@
 func (gr *Group) Patience() time.Duration {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	if gr.alive.Silent(time.Now()) > silentFor {
+	if gr.alive.SilentFor(time.Now()) > silentFor {
 		return 0
 	}
 	return elect.AskDelay(gr.rank(anyMember))
--- a/io/gossip/probe.go
+++ b/io/gossip/probe.go
@@ -80,7 +80,7 @@
 // sendProbe sends a probeMessage, with what was rumored of its receiver first.
 func (gr *Group) sendProbe(pc net.PacketConn, to string, pm *probeMessage, about swim.Rumor) {
 	ms := &message{Probe: pm}
-	if about.State != swim.Named {
+	if about.State != swim.Unverified {
 		ms.Rumors = append(ms.Rumors, rumor{Addr: packAddr(about.Addr), State: about.State, Incarnation: about.Incarnation})
 	}
 	gr.addRumors(ms)
@@ -107,7 +107,7 @@
 
 // hearRumors takes that a peer was heard, and what it tells of others. The lock is held.
 func (gr *Group) hearRumors(now time.Time, from string, ms *message) {
-	if gr.alive.Heard(now, from, ms.Incarnation) {
+	if gr.alive.MessageReceived(now, from, ms.Incarnation) {
 		gr.listKeepers()
 		gr.Log.Info("Hears a peer.", zap.String("Peer", string(ms.From)), zap.String("Addr", from))
 	}
@@ -122,7 +122,7 @@
 		}
 		rumors = append(rumors, swim.Rumor{Addr: addr, State: ru.State, Incarnation: ru.Incarnation})
 	}
-	gr.alive.Take(now, rumors)
+	gr.alive.ApplyRumors(now, rumors)
 }
 
 // hearProbe takes a probeMessage.
@@ -150,7 +150,7 @@
 	case pm.Kind == probeAnswered && named:
 		gr.mu.Lock()
 		if gr.member(target) != nil {
-			gr.alive.Heard(now, target, 0)
+			gr.alive.MessageReceived(now, target, 0)
 		}
 		gr.mu.Unlock()
 	}
--- a/io/gossip/tell.go
+++ b/io/gossip/tell.go
@@ -136,7 +136,7 @@
 func (gr *Group) living(most int) []string {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	return gr.alive.Some(most)
+	return gr.alive.Sample(most)
 }
 
 func (gr *Group) send(pc net.PacketConn, addr string, data []byte) {
