--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -44,20 +44,20 @@
 	// userTimeout is how long the system waits for bytes to be acknowledged. Without
 	// it, connections to a machine that lost power hang.
 	userTimeout = 2 * time.Second
-	// keepAlive is when an idle connection is probed.
-	keepAlive = 2 * time.Second
-	// idleDefault is how long a connection is kept whose endpoint does not tell.
-	idleDefault = 3 * time.Second
+	// keepAliveInterval is when an idle connection is probed.
+	keepAliveInterval = 2 * time.Second
+	// defaultIdleTimeout is how long a connection is kept whose endpoint does not tell.
+	defaultIdleTimeout = 3 * time.Second
 	// idleMargin is how much sooner than the endpoint says a connection is closed,
 	// so that no request crosses the endpoint's close.
 	idleMargin = 500 * time.Millisecond
-	// readBuffer holds an answer's head and several events.
-	readBuffer = 4 << 10
-	// mostStray is how many answers to earlier requests are passed over.
-	mostStray = 4
-	// writeAhead is the size up to which a request is written without expecting
+	// readBufferSize holds an answer's head and several events.
+	readBufferSize = 4 << 10
+	// maxStray is how many answers to earlier requests are passed over.
+	maxStray = 4
+	// maxSyncWrite is the size up to which a request is written without expecting
 	// an answer meanwhile: it fits into the system's buffers.
-	writeAhead = 16 << 10
+	maxSyncWrite = 16 << 10
 )
 
 // ErrStray: what came was no answer to the request.
@@ -75,25 +75,25 @@
 	Addr   string
 	Reused bool
 
-	po      *Pool
-	raw     net.Conn
-	rd      *bufio.Reader
-	keep    time.Duration
-	until   time.Time
-	sent    bool
-	written chan error // set while the body is written in the background
-	once    sync.Once
+	po          *Pool
+	raw         net.Conn
+	rd          *bufio.Reader
+	idleTimeout time.Duration
+	expires     time.Time
+	sent        bool
+	written     chan error // set while the body is written in the background
+	closeOnce   sync.Once
 }
 
 // Get takes an idle connection to the address or makes one.
 func (po *Pool) Get(ctx context.Context, addr string) (*Conn, error) {
 	now := time.Now()
 	for {
-		co := po.take(addr)
+		co := po.popIdle(addr)
 		if co == nil {
 			return po.dial(ctx, addr)
 		}
-		if now.Before(co.until) && co.quiet() {
+		if now.Before(co.expires) && co.usable() {
 			co.Reused = true
 			co.sent = false
 			return co, nil
@@ -102,9 +102,9 @@
 	}
 }
 
-// Reach makes a connection to the address, whether or not there are idle ones, and keeps it
+// Connect makes a connection to the address, whether or not there are idle ones, and keeps it
 // for the next Get. Its error tells why it could not.
-func (po *Pool) Reach(ctx context.Context, addr string) error {
+func (po *Pool) Connect(ctx context.Context, addr string) error {
 	co, err := po.dial(ctx, addr)
 	if err != nil {
 		return err
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// take takes the connection that was used last: the others may then end.
-func (po *Pool) take(addr string) *Conn {
+// popIdle takes the connection that was used last: the others may then end.
+func (po *Pool) popIdle(addr string) *Conn {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	list := po.idle[addr]
@@ -126,27 +126,27 @@
 	return co
 }
 
-// Open is how many connections to the address there are.
-func (po *Pool) Open(addr string) int {
+// OpenCount is how many connections to the address there are.
+func (po *Pool) OpenCount(addr string) int {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	return po.open[addr]
 }
 
 func (po *Pool) dial(ctx context.Context, addr string) (*Conn, error) {
-	di := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive, Control: control}
+	di := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval, Control: control}
 	raw, err := di.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", addr, err)
 	}
-	po.count(addr, 1)
+	po.addOpen(addr, 1)
 	return &Conn{
-		Addr: addr, po: po, raw: raw, rd: bufio.NewReaderSize(raw, readBuffer),
-		keep: idleDefault, until: time.Now().Add(idleDefault - idleMargin),
+		Addr: addr, po: po, raw: raw, rd: bufio.NewReaderSize(raw, readBufferSize),
+		idleTimeout: defaultIdleTimeout, expires: time.Now().Add(defaultIdleTimeout - idleMargin),
 	}, nil
 }
 
-func (po *Pool) count(addr string, by int) {
+func (po *Pool) addOpen(addr string, by int) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	if po.open == nil {
@@ -176,14 +176,14 @@
 // Put gives a connection back after its answer was read to the end. One that the
 // answer marked to be closed, or that holds further bytes, is closed.
 func (po *Pool) Put(co *Conn, rs *http.Response) {
-	if rs.Close || co.rd.Buffered() > 0 || !co.wroteAll() {
+	if rs.Close || co.rd.Buffered() > 0 || !co.writeFinished() {
 		co.Close()
 		return
 	}
-	if told := keepAliveOf(rs); told > 0 {
-		co.keep = told
+	if timeout := keepAliveTimeout(rs); timeout > 0 {
+		co.idleTimeout = timeout
 	}
-	co.until = time.Now().Add(co.keep - idleMargin)
+	co.expires = time.Now().Add(co.idleTimeout - idleMargin)
 	po.PutUnused(co)
 }
 
@@ -197,8 +197,8 @@
 	po.idle[co.Addr] = append(po.idle[co.Addr], co)
 }
 
-// Drop closes the idle connections to an address.
-func (po *Pool) Drop(addr string) {
+// CloseIdle closes the idle connections to an address.
+func (po *Pool) CloseIdle(addr string) {
 	po.mu.Lock()
 	list := po.idle[addr]
 	delete(po.idle, addr)
@@ -208,18 +208,18 @@
 	}
 }
 
-// Tidy closes idle connections whose time is over. It is to be called now and
+// CloseExpired closes idle connections whose time is over. It is to be called now and
 // then.
-func (po *Pool) Tidy(now time.Time) {
+func (po *Pool) CloseExpired(now time.Time) {
 	po.mu.Lock()
-	var over []*Conn
+	var expired []*Conn
 	for addr, list := range po.idle {
 		kept := list[:0]
 		for _, co := range list {
-			if now.Before(co.until) {
+			if now.Before(co.expires) {
 				kept = append(kept, co)
 			} else {
-				over = append(over, co)
+				expired = append(expired, co)
 			}
 		}
 		if len(kept) == 0 {
@@ -229,13 +229,13 @@
 		}
 	}
 	po.mu.Unlock()
-	for _, co := range over {
+	for _, co := range expired {
 		co.Close()
 	}
 }
 
-// keepAliveOf is the idle time that an answer's Keep-Alive header tells, 0 if none.
-func keepAliveOf(rs *http.Response) time.Duration {
+// keepAliveTimeout is the idle time that an answer's Keep-Alive header tells, 0 if none.
+func keepAliveTimeout(rs *http.Response) time.Duration {
 	for _, field := range strings.Split(rs.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if strings.EqualFold(name, "timeout") {
@@ -247,10 +247,10 @@
 	return 0
 }
 
-// quiet tells whether an idle connection is still open and nothing came on it.
+// usable tells whether an idle connection is still open and nothing came on it.
 // An endpoint that closed it, or sent a second answer, shows here; a request sent
 // on it would be lost or get the wrong answer.
-func (co *Conn) quiet() bool {
+func (co *Conn) usable() bool {
 	sc, ok := co.raw.(syscall.Conn)
 	if !ok || co.rd.Buffered() > 0 {
 		return false
@@ -259,21 +259,21 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	empty := false
 	err = rc.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, rerr := syscall.Read(int(fd), one[:])
-		nothing = errors.Is(rerr, syscall.EAGAIN)
+		empty = errors.Is(rerr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && empty
 }
 
 // Close closes the connection; the endpoint then drops what runs on it.
 func (co *Conn) Close() {
-	co.once.Do(func() {
+	co.closeOnce.Do(func() {
 		_ = co.raw.Close() // nothing is lost by a failed close
-		co.po.count(co.Addr, -1)
+		co.po.addOpen(co.Addr, -1)
 	})
 }
 
@@ -283,8 +283,8 @@
 	_ = co.raw.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
-// Deadline bounds reads and writes; the zero time lifts the bound.
-func (co *Conn) Deadline(at time.Time) {
+// SetDeadline bounds reads and writes; the zero time lifts the bound.
+func (co *Conn) SetDeadline(at time.Time) {
 	_ = co.raw.SetDeadline(at) // fails only on a closed connection
 }
 
@@ -294,17 +294,17 @@
 // Do writes a request, head and body, and reads the head of its answer. own tells
 // an answer to this request from a late one to an earlier request, which is
 // passed over.
-func (co *Conn) Do(head, body []byte, method string, own func(http.Header) bool) (*http.Response, error) {
+func (co *Conn) Do(head, body []byte, method string, isOwn func(http.Header) bool) (*http.Response, error) {
 	if err := co.write(head, body); err != nil {
 		return nil, err
 	}
 	rq := &http.Request{Method: method}
-	for range mostStray {
+	for range maxStray {
 		rs, err := http.ReadResponse(co.rd, rq)
 		if err != nil {
 			return nil, fmt.Errorf("read answer of %s: %w", co.Addr, err)
 		}
-		if rs.StatusCode >= http.StatusOK && own(rs.Header) {
+		if rs.StatusCode >= http.StatusOK && isOwn(rs.Header) {
 			return rs, nil
 		}
 		if rs.StatusCode < http.StatusOK {
@@ -325,7 +325,7 @@
 func (co *Conn) write(head, body []byte) error {
 	co.sent = true
 	co.written = nil
-	if len(body) <= writeAhead {
+	if len(body) <= maxSyncWrite {
 		count, err := co.raw.Write(append(head, body...))
 		co.sent = count > 0 || err == nil
 		if err != nil {
@@ -343,8 +343,8 @@
 	return nil
 }
 
-// wroteAll tells whether the last request went out whole.
-func (co *Conn) wroteAll() bool {
+// writeFinished tells whether the last request went out whole.
+func (co *Conn) writeFinished() bool {
 	if co.written == nil {
 		return true
 	}
@@ -356,10 +356,10 @@
 	}
 }
 
-// Head formats a request's head.
-func Head(method, uri, host string, hd http.Header, length int) []byte {
+// FormatHead formats a request's head.
+func FormatHead(method, uri, host string, hd http.Header, length int) []byte {
 	var out bytes.Buffer
-	out.Grow(headSize)
+	out.Grow(usualHeadSize)
 	out.WriteString(method + " " + uri + " HTTP/1.1\r\nHost: " + host + "\r\n")
 	if length > 0 || method != http.MethodGet && method != http.MethodHead {
 		out.WriteString("Content-Length: " + strconv.Itoa(length) + "\r\n")
@@ -369,5 +369,5 @@
 	return out.Bytes()
 }
 
-// headSize is room for the usual head of a request.
-const headSize = 768
+// usualHeadSize is room for the usual head of a request.
+const usualHeadSize = 768
--- a/io/conns/conns_test.go
+++ b/io/conns/conns_test.go
@@ -16,8 +16,8 @@
 	"almondrill/io/conns"
 )
 
-// server answers each connection with a script.
-func server(t *testing.T, script func(co net.Conn, rd *bufio.Reader)) string {
+// startServer answers each connection with a script.
+func startServer(t *testing.T, script func(co net.Conn, rd *bufio.Reader)) string {
 	t.Helper()
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,8 +39,8 @@
 	return li.Addr().String()
 }
 
-// take reads one request and returns its id.
-func take(rd *bufio.Reader) (string, bool) {
+// readRequest reads one request and returns its id.
+func readRequest(rd *bufio.Reader) (string, bool) {
 	rq, err := http.ReadRequest(rd)
 	if err != nil {
 		return "", false
@@ -61,8 +61,8 @@
 }
 
 func send(co *conns.Conn, id string, body []byte) (string, *http.Response, error) {
-	head := conns.Head("POST", "/x", "h", http.Header{"Id": {id}}, len(body))
-	co.Deadline(time.Now().Add(5 * time.Second))
+	head := conns.FormatHead("POST", "/x", "h", http.Header{"Id": {id}}, len(body))
+	co.SetDeadline(time.Now().Add(5 * time.Second))
 	rs, err := co.Do(head, body, "POST", func(hd http.Header) bool { return hd.Get("Id") == id })
 	if err != nil {
 		return "", nil, err
@@ -82,11 +82,11 @@
 
 // An endpoint answers one request twice. The second answer lies on the connection
 // when the next request's is expected; that caller must not get another's answer.
-func TestLateSecondAnswerIsPassedOver(t *testing.T) {
-	addr := server(t, func(co net.Conn, rd *bufio.Reader) {
-		first, _ := take(rd)
+func TestDuplicateResponseIsSkipped(t *testing.T) {
+	addr := startServer(t, func(co net.Conn, rd *bufio.Reader) {
+		first, _ := readRequest(rd)
 		_, _ = io.WriteString(co, reply(first, "one"))
-		second, _ := take(rd)
+		second, _ := readRequest(rd)
 		_, _ = io.WriteString(co, reply(first, "late")+reply(second, "two"))
 		_, _ = rd.ReadByte()
 	})
@@ -105,8 +105,8 @@
 // The second answer arrives while the connection is idle: the connection is not used
 // again.
 func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
-	addr := server(t, func(co net.Conn, rd *bufio.Reader) {
-		id, _ := take(rd)
+	addr := startServer(t, func(co net.Conn, rd *bufio.Reader) {
+		id, _ := readRequest(rd)
 		_, _ = io.WriteString(co, reply(id, "one"))
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(co, reply(id, "again"))
@@ -127,10 +127,10 @@
 
 // An endpoint closes an idle connection without a word. A request sent on it would be
 // lost, and one that must not repeat could not be sent again.
-func TestClosedIdleConnectionIsSeenBeforeSending(t *testing.T) {
+func TestClosedIdleConnectionIsDetectedBeforeSending(t *testing.T) {
 	var requests atomic.Int64
-	addr := server(t, func(co net.Conn, rd *bufio.Reader) {
-		id, ok := take(rd)
+	addr := startServer(t, func(co net.Conn, rd *bufio.Reader) {
+		id, ok := readRequest(rd)
 		if ok {
 			requests.Add(1)
 			_, _ = io.WriteString(co, reply(id, "one"))
@@ -155,9 +155,9 @@
 // client would send it again by itself on a reused connection.
 func TestRequestIsWrittenOnce(t *testing.T) {
 	var requests atomic.Int64
-	addr := server(t, func(co net.Conn, rd *bufio.Reader) {
+	addr := startServer(t, func(co net.Conn, rd *bufio.Reader) {
 		for {
-			id, ok := take(rd)
+			id, ok := readRequest(rd)
 			if !ok {
 				return
 			}
@@ -191,8 +191,8 @@
 
 // An endpoint refuses a long request before it has read it, and reads on later. The
 // answer has to come through, and the connection must not be used for another.
-func TestEarlyAnswerToALongBody(t *testing.T) {
-	addr := server(t, func(co net.Conn, rd *bufio.Reader) {
+func TestResponseBeforeBodyIsRead(t *testing.T) {
+	addr := startServer(t, func(co net.Conn, rd *bufio.Reader) {
 		rq, err := http.ReadRequest(rd)
 		if err != nil {
 			return
@@ -214,9 +214,9 @@
 }
 
 // Answers that belong to nobody must end, else the connection is held for ever.
-func TestOnlyStrayAnswersEnd(t *testing.T) {
-	addr := server(t, func(co net.Conn, rd *bufio.Reader) {
-		_, _ = take(rd)
+func TestStrayResponsesAreLimited(t *testing.T) {
+	addr := startServer(t, func(co net.Conn, rd *bufio.Reader) {
+		_, _ = readRequest(rd)
 		_, _ = io.WriteString(co, strings.Repeat(reply("other", "x"), 9))
 		_, _ = rd.ReadByte()
 	})
@@ -227,9 +227,9 @@
 }
 
 // The endpoint tells how long it keeps idle connections; they are closed sooner.
-func TestIdleTimeIsKept(t *testing.T) {
-	addr := server(t, func(co net.Conn, rd *bufio.Reader) {
-		id, _ := take(rd)
+func TestKeepAliveTimeoutIsRespected(t *testing.T) {
+	addr := startServer(t, func(co net.Conn, rd *bufio.Reader) {
+		id, _ := readRequest(rd)
 		_, _ = io.WriteString(co, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nId: "+id+"\r\nContent-Length: 0\r\n\r\n")
 		_, _ = rd.ReadByte()
 	})
@@ -240,17 +240,17 @@
 		t.Fatal(err)
 	}
 	po.Put(co, rs)
-	po.Tidy(time.Now().Add(300 * time.Millisecond))
-	if po.Open(addr) != 1 {
+	po.CloseExpired(time.Now().Add(300 * time.Millisecond))
+	if po.OpenCount(addr) != 1 {
 		t.Fatal("closed too early")
 	}
-	po.Tidy(time.Now().Add(900 * time.Millisecond))
-	if po.Open(addr) != 0 {
+	po.CloseExpired(time.Now().Add(900 * time.Millisecond))
+	if po.OpenCount(addr) != 0 {
 		t.Error("still open when the endpoint may close it")
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectErrorNamesAddress(t *testing.T) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -200,7 +200,7 @@
 // reach tells whether a connection to an endpoint can be made; known is false for one that is gone.
 func (pr *Process) reach(ctx context.Context, endpoint uint64) (reached, known bool) {
 	addr, known := pr.placer.AddrOf(endpoint)
-	return known && pr.pool.Reach(ctx, addr) == nil, known
+	return known && pr.pool.Connect(ctx, addr) == nil, known
 }
 
 // seed makes the routers known that the settings name. Their port for peers is
@@ -293,7 +293,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-tick.C:
-			pr.pool.Tidy(now)
+			pr.pool.CloseExpired(now)
 		}
 	}
 }
--- a/io/entry/view.go
+++ b/io/entry/view.go
@@ -144,7 +144,7 @@
 	case was && old.start != ep.Start:
 		// Its process is gone, and with it the connections: those left idle would only
 		// show that once a request is lost on them.
-		vi.pr.pool.Drop(old.addr)
+		vi.pr.pool.CloseIdle(old.addr)
 		vi.replaced(ep.ID, old)
 		vi.log.Info("Endpoint started again.", fields...)
 	case !was || !old.sameAs(now):
@@ -217,7 +217,7 @@
 func (vi *view) displace(id, by core.EndpointID) {
 	addr := vi.known[id].addr
 	vi.pr.placer.Doubt(id)
-	vi.pr.pool.Drop(addr)
+	vi.pr.pool.CloseIdle(addr)
 	vi.pr.Stats.Add(stats.EndpointsDisplaced, 1)
 	vi.log.Info("Another endpoint has this one's address.", zap.String("Endpoint", string(id)), zap.String("Other", string(by)),
 		zap.String("Addr", addr), zap.Duration("Age", vi.pr.reader.Age()))
--- a/io/guard/guard.go
+++ b/io/guard/guard.go
@@ -105,7 +105,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
 	defer cancel()
 	for range 2 {
-		if err := ct.Conns.Reach(ctx, en.Addr); errors.Is(err, syscall.ECONNREFUSED) {
+		if err := ct.Conns.Connect(ctx, en.Addr); errors.Is(err, syscall.ECONNREFUSED) {
 			ct.gone(en, crash.Refused)
 			return
 		}
--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -68,7 +68,7 @@
 	if ex.rq.sends == 1 {
 		ex.rq.re.Latency.Note(stats.SentMs, time.Since(ex.rq.began))
 	}
-	co.Deadline(ex.rq.end)
+	co.SetDeadline(ex.rq.end)
 	ex.ended = context.AfterFunc(ctx, co.Interrupt)
 	ex.silence.start(ex)
 	defer func() {
@@ -112,7 +112,7 @@
 		header.Set(di.Resume, ex.rq.lastEvent)
 	}
 	hr := ex.rq.hr
-	return conns.Head(hr.Method, hr.RequestURI, hr.Host, header, len(ex.rq.body))
+	return conns.FormatHead(hr.Method, hr.RequestURI, hr.Host, header, len(ex.rq.body))
 }
 
 // heard notes that something came from the endpoint.
@@ -244,7 +244,7 @@
 	if ex.silence.end() != nil || !ex.ended() {
 		return
 	}
-	ex.co.Deadline(time.Time{})
+	ex.co.SetDeadline(time.Time{})
 	ex.rq.re.Conns.Put(ex.co, ex.rs)
 	ex.co = nil
 }
