--- a/io/entry/caller.go
+++ b/io/entry/caller.go
@@ -117,7 +117,7 @@
 // callerContext lets the relay see whether the connection has ended.
 func callerContext(ctx context.Context, co net.Conn) context.Context {
 	if cc, ok := co.(*callerConn); ok {
-		return relay.WithClosed(ctx, cc.ended)
+		return relay.WithConnClosed(ctx, cc.ended)
 	}
 	return ctx
 }
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -186,11 +186,11 @@
 	}
 	pr.peers.Blamed, pr.peers.Reach = pr.guard.Hear, pr.reach
 	pr.relay = &relay.Relay{
-		Dialect: pr.Platform.Dialect(), Self: se.Name, Placer: pr.placer, Counts: pr.peers, Grants: pr.peers, Blame: pr.guard, Budget: pr.budget, Conns: pr.pool,
+		Dialect: pr.Platform.Dialect(), Self: se.Name, Placer: pr.placer, Counts: pr.peers, Grants: pr.peers, Crashes: pr.guard, Budget: pr.budget, Conns: pr.pool,
 		Stats: pr.Stats, Latency: &pr.latency, Rand: pr.rand, Log: pr.Logs.Part("relay"),
-		Age: pr.reader.Age, Leaving: pr.leaving.Load,
+		ViewAge: pr.reader.Age, ShuttingDown: pr.leaving.Load,
 	}
-	pr.relay.Memory.Most = int64(heldPart * float64(se.MemoryMB) * (1 << 20))
+	pr.relay.Memory.Limit = int64(heldPart * float64(se.MemoryMB) * (1 << 20))
 	pr.view = &view{pr: pr, log: pr.Logs.Part("view"), zones: newZones()}
 	pr.mirror.Changed, pr.mirror.Restored = pr.view.changed, pr.reader.Restored
 	pr.seed()
--- a/io/relay/blame.go
+++ b/io/relay/crash.go
@@ -11,8 +11,8 @@
 	"almondrill/core/crash"
 )
 
-// identify works out the request's fingerprint.
-func (rq *request) identify() core.Fingerprint {
+// computeFingerprint works out the request's fingerprint.
+func (rq *request) computeFingerprint() core.Fingerprint {
 	customer := core.CustomerID("")
 	if rq.customer != nil {
 		customer = rq.customer.ID
@@ -20,14 +20,14 @@
 	return crash.Fingerprint(customer, rq.hr.Method, rq.hr.Host, rq.hr.URL.RequestURI(), rq.body)
 }
 
-// quarantined refuses a request that crashes the endpoints that run it, before each send: it
+// checkQuarantine refuses a request that crashes the endpoints that run it, before each send: it
 // comes again as another attempt, through any router, and each costs an endpoint with all
 // that runs there. It is told when to return, as whether it is the cause is inferred.
-func (rq *request) quarantined(ctx context.Context) *core.Refusal {
-	if rq.re.Blame == nil {
+func (rq *request) checkQuarantine(ctx context.Context) *core.Refusal {
+	if rq.re.Crashes == nil {
 		return nil
 	}
-	allowed, after := rq.re.Blame.May(ctx, rq.fingerprint)
+	allowed, after := rq.re.Crashes.May(ctx, rq.fingerprint)
 	if allowed {
 		return nil
 	}
@@ -36,10 +36,10 @@
 	return rf
 }
 
-// tellBlame tells how the attempt ended. A success clears the request; a failure that the
+// reportOutcome tells how the attempt ended. A success clears the request; a failure that the
 // endpoint answers does not, as endpoints fail requests that they have hardly begun.
-func (ex *exchange) tellBlame(began time.Time, rf *core.Refusal) {
-	bl := ex.rq.re.Blame
+func (ex *exchange) reportOutcome(began time.Time, rf *core.Refusal) {
+	bl := ex.rq.re.Crashes
 	if bl == nil {
 		return
 	}
@@ -49,18 +49,18 @@
 		if ex.rq.status < http.StatusMultipleChoices {
 			bl.Ended(ex.rq.fingerprint)
 		}
-	case ex.refused:
+	case ex.connRefused:
 		bl.Refused(en)
-	case rf.Outcome == core.Unknown && mayBeCrash[rf.Reason]:
+	case rf.Outcome == core.Unknown && possibleCrash[rf.Reason]:
 		bl.Broke(en, began, ex.rq.fingerprint)
 	}
 }
 
-// mayBeCrash are the reasons for which an attempt ends when its endpoint crashes: the
+// possibleCrash are the reasons for which an attempt ends when its endpoint crashes: the
 // connection ends, or nothing comes any more.
-var mayBeCrash = map[core.Reason]bool{
+var possibleCrash = map[core.Reason]bool{
 	core.ReasonCutShort: true, core.ReasonStalled: true, core.ReasonDeadline: true,
 }
 
-// isRefused tells whether the endpoint's VM is there but nothing listens.
-func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnRefused tells whether the endpoint's VM is there but nothing listens.
+func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/io/relay/blame_test.go
+++ b/io/relay/crash_test.go
@@ -14,53 +14,53 @@
 	"almondrill/core/route"
 )
 
-// blames keeps what a relay tells, and refuses after some asks.
-type blames struct {
-	mu      sync.Mutex // guards all below
-	allowed int
-	after   time.Duration
-	broke   []core.EndpointID
-	refused []core.EndpointID
-	ended   []core.Fingerprint
+// fakeCrashWatch keeps what a relay tells, and refuses after some asks.
+type fakeCrashWatch struct {
+	mu         sync.Mutex // guards all below
+	allowed    int
+	retryAfter time.Duration
+	broken     []core.EndpointID
+	refused    []core.EndpointID
+	ended      []core.Fingerprint
 }
 
-func (bl *blames) May(context.Context, core.Fingerprint) (bool, time.Duration) {
+func (bl *fakeCrashWatch) May(context.Context, core.Fingerprint) (bool, time.Duration) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.allowed--
-	return bl.allowed >= 0, bl.after
+	return bl.allowed >= 0, bl.retryAfter
 }
 
-func (bl *blames) Ended(fp core.Fingerprint) {
+func (bl *fakeCrashWatch) Ended(fp core.Fingerprint) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.ended = append(bl.ended, fp)
 }
 
-func (bl *blames) Broke(en core.EndpointRef, _ time.Time, _ core.Fingerprint) {
+func (bl *fakeCrashWatch) Broke(en core.EndpointRef, _ time.Time, _ core.Fingerprint) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
-	bl.broke = append(bl.broke, en.ID)
+	bl.broken = append(bl.broken, en.ID)
 }
 
-func (bl *blames) Refused(en core.EndpointRef) {
+func (bl *fakeCrashWatch) Refused(en core.EndpointRef) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.refused = append(bl.refused, en.ID)
 }
 
-func (*blames) Crashed(uint64, core.Fingerprint) {}
+func (*fakeCrashWatch) Crashed(uint64, core.Fingerprint) {}
 
-func crashing(*seen, net.Conn) bool { return false }
+func crashing(*received, net.Conn) bool { return false }
 
 // A request that crashed endpoints comes again. It is answered at once, with the promise that
 // it did not run and the time after which it may be tried, and no endpoint gets it. A caller
 // that returned sooner would be refused for nothing.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
-	fl := newFleet(t, answer(200, "x")).serve(route.Route{Kind: route.OnceOnly})
-	fl.re.Blame = &blames{after: 20 * time.Second}
+	fl := newFleet(t, respond(200, "x")).configure(route.Route{Kind: route.OnceOnly})
+	fl.re.Crashes = &fakeCrashWatch{retryAfter: 20 * time.Second}
 	for range 20 {
-		rs, body, err := fl.call("POST", "/r/x", "b")
+		rs, body, err := fl.send("POST", "/r/x", "b")
 		fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 		after, perr := strconv.ParseFloat(rs.Header.Get("Retry-After"), 64)
 		if perr != nil || after < 20 || after > 28 {
@@ -74,44 +74,44 @@
 
 // A lookup crashes its endpoint and is quarantined by that. It is not sent to the next, though
 // lookups may be repeated, and the caller is not told that it did not run.
-func TestQuarantineHoldsBetweenAttempts(t *testing.T) {
-	fl := newFleet(t, crashing, crashing).serve(route.Route{Kind: route.Idempotent, MaxAttempts: 2})
-	bl := &blames{allowed: 1}
-	fl.re.Blame = bl
-	rs, _, err := fl.call("GET", "/r/x", "")
+func TestQuarantineAppliesBetweenAttempts(t *testing.T) {
+	fl := newFleet(t, crashing, crashing).configure(route.Route{Kind: route.Idempotent, MaxAttempts: 2})
+	bl := &fakeCrashWatch{allowed: 1}
+	fl.re.Crashes = bl
+	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, http.StatusBadGateway, 1)
-	if len(bl.broke) != 1 || len(bl.ended) != 0 {
-		t.Errorf("%d attempts are told to have broken off, %d to have ended", len(bl.broke), len(bl.ended))
+	if len(bl.broken) != 1 || len(bl.ended) != 0 {
+		t.Errorf("%d attempts are told to have broken off, %d to have ended", len(bl.broken), len(bl.ended))
 	}
 }
 
 // What a request ran to clears it, or not: a whole answer does. An endpoint's own failure tells
 // nothing, as endpoints fail requests that they have hardly begun, and a refusal or a connection
 // that breaks off do not either.
-func TestWhatEndsARequest(t *testing.T) {
+func TestOutcomesReportedToCrashWatch(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		script        script
 		status        int
 		ended, broken int
 	}{
-		{"whole", answer(200, "x"), http.StatusOK, 1, 0},
-		{"failed", answer(500, "x"), http.StatusInternalServerError, 0, 0},
-		{"refused", say(func(se *seen) string {
-			return "HTTP/1.1 503 X\r\nX-Id: " + se.head.Header.Get("X-Id") + "\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+		{"whole", respond(200, "x"), http.StatusOK, 1, 0},
+		{"failed", respond(500, "x"), http.StatusInternalServerError, 0, 0},
+		{"refused", respondWith(func(se *received) string {
+			return "HTTP/1.1 503 X\r\nX-Id: " + se.request.Header.Get("X-Id") + "\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 		}), http.StatusServiceUnavailable, 0, 0},
 		{"crashed", crashing, http.StatusBadGateway, 0, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			fl := newFleet(t, tc.script).serve(route.Route{Kind: route.OnceOnly})
-			bl := &blames{allowed: 9}
-			fl.re.Blame = bl
-			rs, _, err := fl.call("POST", "/r/x", "b")
+			fl := newFleet(t, tc.script).configure(route.Route{Kind: route.OnceOnly})
+			bl := &fakeCrashWatch{allowed: 9}
+			fl.re.Crashes = bl
+			rs, _, err := fl.send("POST", "/r/x", "b")
 			fl.expect(rs, err, tc.status, 1)
 			bl.mu.Lock()
 			defer bl.mu.Unlock()
-			if len(bl.ended) != tc.ended || len(bl.broke) != tc.broken || len(bl.refused) != 0 {
-				t.Errorf("%d ended, %d broke, %d refused; want %d, %d, 0", len(bl.ended), len(bl.broke), len(bl.refused), tc.ended, tc.broken)
+			if len(bl.ended) != tc.ended || len(bl.broken) != tc.broken || len(bl.refused) != 0 {
+				t.Errorf("%d ended, %d broke, %d refused; want %d, %d, 0", len(bl.ended), len(bl.broken), len(bl.refused), tc.ended, tc.broken)
 			}
 		})
 	}
@@ -120,20 +120,20 @@
 // An endpoint answers a failure that is too long to be kept, and it is passed on as it comes. The
 // caller gets all of it: a fault after its end would cut the connection, so that the answer
 // looks broken off.
-func TestLongFailureIsPassedOnWhole(t *testing.T) {
+func TestLongFailureIsForwardedWhole(t *testing.T) {
 	long := strings.Repeat("x", 3<<20)
-	fl := newFleet(t, answer(500, long)).serve(route.Route{Kind: route.OnceOnly})
-	bl := &blames{allowed: 9}
-	fl.re.Blame = bl
-	rs, body, err := fl.call("POST", "/r/x", "b")
+	fl := newFleet(t, respond(500, long)).configure(route.Route{Kind: route.OnceOnly})
+	bl := &fakeCrashWatch{allowed: 9}
+	fl.re.Crashes = bl
+	rs, body, err := fl.send("POST", "/r/x", "b")
 	fl.expect(rs, err, http.StatusInternalServerError, 1)
 	if len(body) != len(long) {
 		t.Errorf("%d bytes came, want %d", len(body), len(long))
 	}
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
-	if len(bl.ended)+len(bl.broke) > 0 {
-		t.Errorf("told as %d ends and %d that broke off", len(bl.ended), len(bl.broke))
+	if len(bl.ended)+len(bl.broken) > 0 {
+		t.Errorf("told as %d ends and %d that broke off", len(bl.ended), len(bl.broken))
 	}
 	if got := fl.faults.Load(); got != 0 {
 		t.Errorf("%d faults while it was served", got)
--- a/io/relay/passing_test.go
+++ b/io/relay/forward_test.go
@@ -17,8 +17,8 @@
 // A caller names headers that concern only its own connection. Passed on, they would
 // change what the router's connection to the endpoint means: an upgrade, a length that
 // is not the body's, credentials for a proxy.
-func TestHeadersOfOneConnectionAreNotPassedOn(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok")).serve(onceOnly)
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
+	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	co, err := net.Dial("tcp", fl.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -30,11 +30,11 @@
 	_ = co.SetReadDeadline(time.Now().Add(2 * time.Second))
 	_, _ = io.ReadAll(co)
 	got := fl.requests()
-	if len(got) != 1 || got[0].head.Header.Get("X-Other") != "kept" || got[0].body != "hi" {
+	if len(got) != 1 || got[0].request.Header.Get("X-Other") != "kept" || got[0].body != "hi" {
 		t.Fatalf("%d requests reached the endpoint", len(got))
 	}
 	for _, name := range []string{"Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "Te", "Upgrade"} {
-		if value := got[0].head.Header.Get(name); value != "" {
+		if value := got[0].request.Header.Get(name); value != "" {
 			t.Errorf("%s was passed on: %q", name, value)
 		}
 	}
@@ -42,30 +42,30 @@
 
 // One endpoint breaks off while it runs a request that may be repeated; the other has
 // no room. A 503 would promise that the request has not run.
-func TestRefusalAfterARunIsNoPromise(t *testing.T) {
-	full := say(func(*seen) string {
+func TestRefusalAfterExecutionIsNotReportedAsNotRun(t *testing.T) {
+	full := respondWith(func(*received) string {
 		return "HTTP/1.1 503 X\r\nX-Id: id-1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	})
 	var asked atomic.Int32
-	runThenFull := func(se *seen, co net.Conn) bool {
+	runThenFull := func(se *received, co net.Conn) bool {
 		if asked.Add(1) == 1 {
-			return breakOff(se, co)
+			return closeConn(se, co)
 		}
 		return full(se, co)
 	}
-	fl := newFleet(t, runThenFull, runThenFull).serve(idempotent)
-	rs, _, err := fl.call("GET", "/r/x", "")
+	fl := newFleet(t, runThenFull, runThenFull).configure(idempotent)
+	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, http.StatusBadGateway, 2)
 }
 
 // A late answer to another caller's request, complete and stamped, comes before the one
 // that is awaited. The caller must get its own.
-func TestAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
-	fl := newFleet(t, say(func(se *seen) string {
+func TestResponseToAnotherRequestIsNotForwarded(t *testing.T) {
+	fl := newFleet(t, respondWith(func(se *received) string {
 		others := "HTTP/1.1 200 X\r\nX-Id: other\r\nX-Stamp: s0\r\nContent-Length: 6\r\n\r\nothers"
-		return others + whole(se, 200, "mine")
-	})).serve(onceOnly)
-	rs, body, err := fl.call("POST", "/r/x", "hello")
+		return others + formatResponse(se, 200, "mine")
+	})).configure(onceOnly)
+	rs, body, err := fl.send("POST", "/r/x", "hello")
 	if err != nil || rs.StatusCode != http.StatusOK || body != "mine" {
 		t.Errorf("%v %q %v, want the own answer", rs, body, err)
 	}
@@ -73,24 +73,24 @@
 
 // A caller gives up while its request waits for the processor; the close is there, but
 // the server has not read it yet. Sent on, the request would run for nobody.
-func TestRequestOfACallerThatLeftIsNotSent(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok")).serve(onceOnly)
+func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
+	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	left := httptest.NewUnstartedServer(fl.re)
 	left.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return relay.WithClosed(ctx, func() bool { return true })
+		return relay.WithConnClosed(ctx, func() bool { return true })
 	}
 	left.Start()
 	t.Cleanup(left.Close)
 	fl.front.Close()
 	fl.front = left
-	rs, _, err := fl.call("POST", "/r/x", "hello")
+	rs, _, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 }
 
 // All endpoints fail a request that may be repeated. It goes to as many as its route
 // allows: callers' failures must not multiply the load on a pool that is in trouble.
 func TestAttemptsAreBounded(t *testing.T) {
-	fl := newFleet(t, answer(500, "a"), answer(500, "b"), answer(500, "c"), answer(500, "d")).serve(idempotent)
-	rs, _, err := fl.call("GET", "/r/x", "")
+	fl := newFleet(t, respond(500, "a"), respond(500, "b"), respond(500, "c"), respond(500, "d")).configure(idempotent)
+	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, 500, idempotent.MaxAttempts)
 }
--- a/io/relay/grants_test.go
+++ b/io/relay/grants_test.go
@@ -13,28 +13,28 @@
 	"almondrill/core/route"
 )
 
-// granter grants that many requests to each endpoint, and counts what it was asked.
-type granter struct {
-	each int
+// fakeGrants grants that many requests to each endpoint, and counts what it was asked.
+type fakeGrants struct {
+	perEndpoint int
 
 	mu    sync.Mutex // guards asked
 	asked map[uint64]int
 }
 
-func (gr *granter) Grant(_ context.Context, endpoint uint64, _ int) (bool, time.Duration) {
+func (gr *fakeGrants) Grant(_ context.Context, endpoint uint64, _ int) (bool, time.Duration) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	if gr.asked == nil {
 		gr.asked = map[uint64]int{}
 	}
 	gr.asked[endpoint]++
-	return gr.asked[endpoint] <= gr.each, time.Minute
+	return gr.asked[endpoint] <= gr.perEndpoint, time.Minute
 }
 
 var coldPool = route.Pool{ID: "pool", Engine: true, ColdFor: time.Minute, ColdRate: 100}
 
-// cool makes an endpoint of a fleet cold.
-func (fl *fleet) cool(ix int) {
+// makeCold makes an endpoint of a fleet cold.
+func (fl *fleet) makeCold(ix int) {
 	fl.re.Placer.Register(time.Now(), place.Endpoint{
 		ID: core.EndpointID(fmt.Sprint("e", ix)), Addr: fl.addrs[ix], Pool: "pool", Zone: "a", Slots: 8,
 		ColdUntil: time.Now().Add(time.Minute),
@@ -43,14 +43,14 @@
 
 // Guards against requests to a cold endpoint that were not granted: they go to a warm one,
 // and a denied endpoint is not asked for again at once.
-func TestDeniedRequestsGoElsewhere(t *testing.T) {
-	fl := newFleet(t, answer(http.StatusOK, "cold"), answer(http.StatusOK, "warm")).serveFrom(onceOnly, coldPool)
-	gr := &granter{each: 2}
+func TestRequestsDeniedByColdEndpointGoElsewhere(t *testing.T) {
+	fl := newFleet(t, respond(http.StatusOK, "cold"), respond(http.StatusOK, "warm")).configurePool(onceOnly, coldPool)
+	gr := &fakeGrants{perEndpoint: 2}
 	fl.re.Grants = gr
-	fl.cool(0)
+	fl.makeCold(0)
 	served := map[string]int{}
 	for range 12 {
-		rs, body, err := fl.call("POST", "/r/x", "hello")
+		rs, body, err := fl.send("POST", "/r/x", "hello")
 		if err != nil || rs.StatusCode != http.StatusOK {
 			t.Fatal(rs, err)
 		}
@@ -68,13 +68,13 @@
 
 // Guards against callers that wait where all endpoints are cold and none is granted: they are
 // refused at once, as not run.
-func TestRequestIsRefusedWhereAllAreColdAndDenied(t *testing.T) {
-	fl := newFleet(t, answer(http.StatusOK, "a"), answer(http.StatusOK, "b")).serveFrom(onceOnly, coldPool)
-	fl.re.Grants = &granter{}
-	fl.cool(0)
-	fl.cool(1)
+func TestRequestIsRefusedWhenAllEndpointsAreCold(t *testing.T) {
+	fl := newFleet(t, respond(http.StatusOK, "a"), respond(http.StatusOK, "b")).configurePool(onceOnly, coldPool)
+	fl.re.Grants = &fakeGrants{}
+	fl.makeCold(0)
+	fl.makeCold(1)
 	began := time.Now()
-	rs, _, err := fl.call("POST", "/r/x", "hello")
+	rs, _, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 	if rs.Header.Get("Retry-After") == "" || time.Since(began) > time.Second {
 		t.Errorf("after %s, to return after %q", time.Since(began), rs.Header.Get("Retry-After"))
--- a/io/relay/harness_test.go
+++ b/io/relay/harness_test.go
@@ -30,62 +30,62 @@
 // dialect has names of its own, so that the tests hold whatever a platform's are.
 var dialect = relay.Dialect{
 	RequestID: "X-Id", Deadline: "X-Wait", Key: "X-Key", Customer: "X-Customer", Expect: "X-Expect",
-	NotRun: "X-Not-Run", Stamp: "X-Stamp", Rank: "X-Rank", MostRank: 9, Resume: "Last-Event-Id", Fetch: "X-Fetch",
-	Private: []string{"X-Key", "X-Customer", "X-Expect", "X-Rank", "X-Fetch", "X-Secret"},
-	Prompt:  func(http.Header) []place.Part { return nil },
-	Calls:   func(http.Header) (int, bool) { return 0, false },
-	Notice:  notice,
+	NotRun: "X-Not-Run", Stamp: "X-Stamp", Rank: "X-Rank", MaxRank: 9, Resume: "Last-Event-Id", Fetch: "X-Fetch",
+	RouterOnly: []string{"X-Key", "X-Customer", "X-Expect", "X-Rank", "X-Fetch", "X-Secret"},
+	Prompt:     func(http.Header) []place.Part { return nil },
+	Calls:      func(http.Header) (int, bool) { return 0, false },
+	Notice:     notice,
 }
 
 // notice reads what the harness' endpoints announce.
 func notice(_ int, hd http.Header) relay.Notice {
 	backoff, _ := time.ParseDuration(hd.Get("X-Backoff"))
-	return relay.Notice{Leaving: hd.Get("X-Leaving") != "", Backoff: backoff}
+	return relay.Notice{Draining: hd.Get("X-Leaving") != "", Backoff: backoff}
 }
 
-// seen is a request as an endpoint got it.
-type seen struct {
-	at     int // which endpoint
-	head   *http.Request
-	body   string
-	closed chan struct{} // closed when the router closes the connection
+// received is a request as an endpoint got it.
+type received struct {
+	endpoint int // which endpoint
+	request  *http.Request
+	body     string
+	closed   chan struct{} // closed when the router closes the connection
 }
 
 // fleet is a router before scripted endpoints.
 type fleet struct {
-	t      *testing.T
-	re     *relay.Relay
-	front  *httptest.Server
-	addrs  []string
-	age    time.Duration
-	leaves bool
+	t            *testing.T
+	re           *relay.Relay
+	front        *httptest.Server
+	addrs        []string
+	viewAge      time.Duration
+	shuttingDown bool
 
 	// faults counts requests whose serving ended by a fault of the program.
 	faults atomic.Int64
 
 	mu  sync.Mutex // guards got
-	got []*seen
+	got []*received
 }
 
 // script answers a request of an endpoint by writing to the connection; it returns
 // false to close it.
-type script func(se *seen, co net.Conn) bool
+type script func(se *received, co net.Conn) bool
 
-// whole is a well-formed answer of an endpoint.
-func whole(se *seen, status int, body string) string {
+// formatResponse is a well-formed answer of an endpoint.
+func formatResponse(se *received, status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\nX-Stamp: s%d\r\nContent-Length: %d\r\n\r\n%s",
-		status, se.head.Header.Get("X-Id"), se.at, len(body), body)
+		status, se.request.Header.Get("X-Id"), se.endpoint, len(body), body)
 }
 
-func say(text func(se *seen) string) script {
-	return func(se *seen, co net.Conn) bool {
+func respondWith(text func(se *received) string) script {
+	return func(se *received, co net.Conn) bool {
 		_, _ = io.WriteString(co, text(se))
 		return true
 	}
 }
 
-func answer(status int, body string) script {
-	return say(func(se *seen) string { return whole(se, status, body) })
+func respond(status int, body string) script {
+	return respondWith(func(se *received) string { return formatResponse(se, status, body) })
 }
 
 // newFleet starts a router before endpoints with these scripts, all of one pool.
@@ -96,25 +96,25 @@
 	one := func() int { return 1 }
 	fl.re = &relay.Relay{
 		Dialect: dialect, Self: "router", Conns: &conns.Pool{}, Stats: stats.New(), Latency: &stats.Latency{}, Rand: ra, Log: zap.NewNop(),
-		Placer:  &place.Placer{Zone: "a", Rand: ra, Routers: one},
-		Budget:  &retry.Window{Ratio: 0.2, Slack: 200, Span: 10 * time.Second, Routers: one},
-		Age:     func() time.Duration { return fl.age },
-		Leaving: func() bool { return fl.leaves },
+		Placer:       &place.Placer{Zone: "a", Rand: ra, Routers: one},
+		Budget:       &retry.Window{Ratio: 0.2, Slack: 200, Span: 10 * time.Second, Routers: one},
+		ViewAge:      func() time.Duration { return fl.viewAge },
+		ShuttingDown: func() bool { return fl.shuttingDown },
 	}
 	for ix, sc := range scripts {
-		addr := fl.endpoint(ix, sc)
+		addr := fl.startEndpoint(ix, sc)
 		fl.addrs = append(fl.addrs, addr)
 		fl.re.Placer.Register(time.Now(), place.Endpoint{
 			ID: core.EndpointID(fmt.Sprint("e", ix)), Addr: addr, Pool: "pool", Zone: "a", Slots: 8,
 		})
 	}
-	fl.front = httptest.NewServer(http.HandlerFunc(fl.serveFront))
+	fl.front = httptest.NewServer(http.HandlerFunc(fl.serveCaller))
 	t.Cleanup(fl.front.Close)
 	return fl
 }
 
-// serveFront serves a caller, and counts faults.
-func (fl *fleet) serveFront(wr http.ResponseWriter, rq *http.Request) {
+// serveCaller serves a caller, and counts faults.
+func (fl *fleet) serveCaller(wr http.ResponseWriter, rq *http.Request) {
 	defer func() {
 		fault := recover()
 		if fault == nil {
@@ -128,7 +128,7 @@
 	fl.re.ServeHTTP(wr, rq)
 }
 
-func (fl *fleet) endpoint(ix int, sc script) string {
+func (fl *fleet) startEndpoint(ix int, sc script) string {
 	li := local.Listen(fl.t)
 	go func() {
 		for {
@@ -136,24 +136,24 @@
 			if err != nil {
 				return
 			}
-			go fl.answer(ix, sc, co)
+			go fl.serveConn(ix, sc, co)
 		}
 	}()
 	return li.Addr().String()
 }
 
-func (fl *fleet) answer(ix int, sc script, co net.Conn) {
+func (fl *fleet) serveConn(ix int, sc script, co net.Conn) {
 	defer co.Close()
-	for se := range fl.read(ix, co) {
+	for se := range fl.readRequests(ix, co) {
 		if !sc(se, co) {
 			return
 		}
 	}
 }
 
-// read takes the requests of a connection, and notices when it is closed.
-func (fl *fleet) read(ix int, co net.Conn) <-chan *seen {
-	requests := make(chan *seen, 1)
+// readRequests takes the requests of a connection, and notices when it is closed.
+func (fl *fleet) readRequests(ix int, co net.Conn) <-chan *received {
+	requests := make(chan *received, 1)
 	go func() {
 		defer close(requests)
 		rd := bufio.NewReader(co)
@@ -169,7 +169,7 @@
 				return
 			}
 			closed = make(chan struct{})
-			se := &seen{at: ix, head: rq, body: string(body), closed: closed}
+			se := &received{endpoint: ix, request: rq, body: string(body), closed: closed}
 			fl.mu.Lock()
 			fl.got = append(fl.got, se)
 			fl.mu.Unlock()
@@ -179,19 +179,19 @@
 	return requests
 }
 
-func (fl *fleet) requests() []*seen {
+func (fl *fleet) requests() []*received {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return append([]*seen(nil), fl.got...)
+	return append([]*received(nil), fl.got...)
 }
 
-// serve puts a configuration in force with the route at /.
-func (fl *fleet) serve(ro route.Route) *fleet {
-	return fl.serveFrom(ro, route.Pool{ID: "pool"})
+// configure puts a configuration in force with the route at /.
+func (fl *fleet) configure(ro route.Route) *fleet {
+	return fl.configurePool(ro, route.Pool{ID: "pool"})
 }
 
-// serveFrom is serve with the pool's limits.
-func (fl *fleet) serveFrom(ro route.Route, po route.Pool) *fleet {
+// configurePool is serve with the pool's limits.
+func (fl *fleet) configurePool(ro route.Route, po route.Pool) *fleet {
 	fl.t.Helper()
 	ro.Name, ro.Host, ro.Prefix = "r", "127.0.0.1", "/r/"
 	if ro.Timeout == 0 {
@@ -210,8 +210,8 @@
 	return fl
 }
 
-// call sends a request of the customer's.
-func (fl *fleet) call(method, path, body string, header ...string) (*http.Response, string, error) {
+// send sends a request of the customer's.
+func (fl *fleet) send(method, path, body string, header ...string) (*http.Response, string, error) {
 	fl.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	fl.t.Cleanup(cancel)
--- a/io/relay/log_test.go
+++ b/io/relay/log_test.go
@@ -13,17 +13,17 @@
 
 // Someone on call looks for the other turns of a chat whose request failed. As a JSON
 // number its name loses its last digits in most readers, and nothing is found.
-func TestLogNamesChatsExactly(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok"))
+func TestLoggedChatIDIsExact(t *testing.T) {
+	fl := newFleet(t, respond(200, "ok"))
 	fl.re.Dialect.Prompt = func(http.Header) []place.Part {
 		return []place.Part{{Hash: 1, Tokens: 500}, {Hash: 2, Tokens: 9000}, {Hash: 3, Tokens: 100}}
 	}
 	ro := onceOnly
 	ro.Sticky = true
-	fl.serve(ro)
+	fl.configure(ro)
 	logged, lines := observer.New(zapcore.InfoLevel)
 	fl.re.Log = zap.New(logged)
-	rs, _, err := fl.call("POST", "/r/x", "hello")
+	rs, _, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, 200, 1)
 	served := lines.FilterMessage("Served.").All()
 	if len(served) != 1 {
--- a/io/relay/memory.go
+++ b/io/relay/memory.go
@@ -13,8 +13,8 @@
 // Memory bounds what a router holds of bodies and answers, for callers and endpoints that are slow.
 // The zero value bounds nothing.
 type Memory struct {
-	// Most is how many bytes are held at most; 0 if nothing bounds them.
-	Most int64
+	// Limit is how many bytes are held at most; 0 if nothing bounds them.
+	Limit int64
 
 	held atomic.Int64
 }
@@ -22,9 +22,9 @@
 // Held is how many bytes are held.
 func (me *Memory) Held() int64 { return me.held.Load() }
 
-// take holds so many bytes more, unless that is beyond the bound.
-func (me *Memory) take(size int64) bool {
-	if held := me.held.Add(size); me.Most > 0 && held > me.Most {
+// reserve holds so many bytes more, unless that is beyond the bound.
+func (me *Memory) reserve(size int64) bool {
+	if held := me.held.Add(size); me.Limit > 0 && held > me.Limit {
 		me.held.Add(-size)
 		return false
 	}
@@ -32,25 +32,25 @@
 }
 
 const (
-	// firstHeld is how much is held at first of a body or an answer; what was not sent yet takes
+	// initialBuffer is how much is held at first of a body or an answer; what was not sent yet takes
 	// no memory, however long it is said to be.
-	firstHeld = 4 << 10
-	// memoryAfter is when a caller may return for whose body there was no memory: slow ones are
+	initialBuffer = 4 << 10
+	// memoryRetryAfter is when a caller may return for whose body there was no memory: slow ones are
 	// cut off after seconds.
-	memoryAfter = time.Second
+	memoryRetryAfter = time.Second
 )
 
-var errMemory = errors.New("no memory is left for bodies and answers")
+var errNoMemory = errors.New("no memory is left for bodies and answers")
 
-// readHeld reads to the end, and holds what it read until the request is over. length is how long it
+// readBounded reads to the end, and holds what it read until the request is over. length is how long it
 // is said to be, -1 if it does not say. Where it returns errMemory, it has read a part.
-func (rq *request) readHeld(rd io.Reader, length int64) ([]byte, error) {
+func (rq *request) readBounded(rd io.Reader, length int64) ([]byte, error) {
 	var body []byte
 	for {
 		if len(body) == cap(body) {
-			grown, ok := rq.grow(body, length)
+			grown, ok := rq.growBuffer(body, length)
 			if !ok {
-				return body, errMemory
+				return body, errNoMemory
 			}
 			body = grown
 		}
@@ -68,22 +68,22 @@
 	}
 }
 
-// grow makes room for twice as much, or for the byte behind the end that shows that it is one.
-func (rq *request) grow(body []byte, length int64) ([]byte, bool) {
-	size := max(firstHeld, 2*int64(cap(body)))
+// growBuffer makes room for twice as much, or for the byte behind the end that shows that it is one.
+func (rq *request) growBuffer(body []byte, length int64) ([]byte, bool) {
+	size := max(initialBuffer, 2*int64(cap(body)))
 	if length >= int64(len(body)) {
 		size = min(size, length+1)
 	}
 	more := size - int64(cap(body))
-	if !rq.re.Memory.take(more) {
+	if !rq.re.Memory.reserve(more) {
 		return nil, false
 	}
-	rq.holds += more
+	rq.heldBytes += more
 	return append(make([]byte, 0, size), body...), true
 }
 
-// release frees what the request held.
-func (rq *request) release() {
-	rq.re.Memory.held.Add(-rq.holds)
-	rq.holds = 0
+// releaseMemory frees what the request held.
+func (rq *request) releaseMemory() {
+	rq.re.Memory.held.Add(-rq.heldBytes)
+	rq.heldBytes = 0
 }
--- a/io/relay/memory_test.go
+++ b/io/relay/memory_test.go
@@ -41,10 +41,10 @@
 // Guards against a router that is ended for its memory by many callers who send long bodies slowly:
 // what they send is held within a bound, those beyond it are refused at once and as not run, and who
 // announces a long body and sends nothing takes next to nothing.
-func TestSlowSendersAreHeldWithinABound(t *testing.T) {
+func TestSlowSendersStayWithinMemoryLimit(t *testing.T) {
 	const most, sent, callers = 1 << 20, 200 << 10, 30
-	fl := newFleet(t, answer(200, "ok")).serve(onceOnly)
-	fl.re.Memory.Most = most
+	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
+	fl.re.Memory.Limit = most
 	head := "POST /r/x HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Key: k\r\nX-Wait: 60000\r\nContent-Length: %d\r\n\r\n"
 	for range callers {
 		fl.slowCaller(fmt.Sprintf(head, 1<<20))
@@ -65,16 +65,16 @@
 		_ = co.Close()
 	}
 	waitFor(t, "what was held is free again", func() bool { return fl.re.Memory.Held() <= callers*4<<10 })
-	rs, _, err := fl.call("POST", "/r/x", strings.Repeat("x", 100<<10))
+	rs, _, err := fl.send("POST", "/r/x", strings.Repeat("x", 100<<10))
 	fl.expect(rs, err, http.StatusOK, 1)
 }
 
 // Guards against callers who are refused though their bodies are short, and against a refusal for
 // want of memory that promises nothing, or does not tell when to return.
-func TestRefusalForWantOfMemory(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok")).serve(onceOnly)
-	fl.re.Memory.Most = 64 << 10
-	rs, _, err := fl.call("POST", "/r/x", strings.Repeat("x", 100<<10))
+func TestRefusalOnMemoryLimit(t *testing.T) {
+	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
+	fl.re.Memory.Limit = 64 << 10
+	rs, _, err := fl.send("POST", "/r/x", strings.Repeat("x", 100<<10))
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 	if rs.Header.Get("Retry-After") == "" {
 		t.Error("the caller is not told when to return")
@@ -82,16 +82,16 @@
 	if held := fl.re.Memory.Held(); held != 0 {
 		t.Errorf("%d bytes are held after the request", held)
 	}
-	rs, _, err = fl.call("POST", "/r/x", "short")
+	rs, _, err = fl.send("POST", "/r/x", "short")
 	fl.expect(rs, err, http.StatusOK, 1)
 }
 
 // Guards against a router that is ended for its memory by callers who read long answers slowly, and
 // against answers that are cut for it: what there is no memory for is passed on as it comes.
-func TestSlowReadersAreHeldWithinABound(t *testing.T) {
+func TestSlowReadersStayWithinMemoryLimit(t *testing.T) {
 	const most, long, callers = 256 << 10, 900 << 10, 12
-	fl := newFleet(t, answer(200, strings.Repeat("y", long))).serve(onceOnly)
-	fl.re.Memory.Most = most
+	fl := newFleet(t, respond(200, strings.Repeat("y", long))).configure(onceOnly)
+	fl.re.Memory.Limit = most
 	var slow []net.Conn
 	for range callers {
 		slow = append(slow, fl.slowCaller("GET /r/x HTTP/1.1\r\nHost: 127.0.0.1\r\nX-Key: k\r\nConnection: close\r\n\r\n"))
--- a/io/relay/notice_test.go
+++ b/io/relay/notice_test.go
@@ -17,20 +17,20 @@
 	"almondrill/core/place"
 )
 
-// announcing is an answer that bears a further header.
-func announcing(status int, body, name, value string) script {
-	return say(func(se *seen) string {
+// respondWithHeader is an answer that bears a further header.
+func respondWithHeader(status int, body, name, value string) script {
+	return respondWith(func(se *received) string {
 		return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\nX-Stamp: s%d\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
-			status, se.head.Header.Get("X-Id"), se.at, name, value, len(body), body)
+			status, se.request.Header.Get("X-Id"), se.endpoint, name, value, len(body), body)
 	})
 }
 
 // Guards against a notice that nobody finds in the logs or counters.
 func TestNoticesAreLogged(t *testing.T) {
-	fl := newFleet(t, announcing(200, "ok", "X-Leaving", "1")).serve(onceOnly)
+	fl := newFleet(t, respondWithHeader(200, "ok", "X-Leaving", "1")).configure(onceOnly)
 	logged, lines := observer.New(zapcore.InfoLevel)
 	fl.re.Log = zap.New(logged)
-	rs, _, err := fl.call("POST", "/r/x", "hello")
+	rs, _, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusOK, 1)
 	served := lines.FilterMessage("Served.").All()
 	if len(served) != 1 || served[0].ContextMap()["EndpointLeaves"] != true {
@@ -43,52 +43,52 @@
 
 // Guards against requests that reach an endpoint after it has announced, beside any answer, that
 // it leaves: chosen later or before, with its registration renewed or lapsed and back.
-func TestEndpointThatAnnouncedItLeavesGetsNothingNew(t *testing.T) {
+func TestDrainingEndpointGetsNoNewRequests(t *testing.T) {
 	for name, ca := range map[string]struct {
 		answer string
 		change func(fl *fleet)
 	}{
-		"success": {announced(200, ""), func(*fleet) {}},
-		"failure": {announced(500, ""), func(*fleet) {}},
-		"refusal": {announced(503, "X-Not-Run: 1\r\n"), func(*fleet) {}},
-		"renewed": {announced(200, ""), func(fl *fleet) { fl.register(0) }},
-		"back": {announced(200, ""), func(fl *fleet) {
+		"success": {drainingReply(200, ""), func(*fleet) {}},
+		"failure": {drainingReply(500, ""), func(*fleet) {}},
+		"refusal": {drainingReply(503, "X-Not-Run: 1\r\n"), func(*fleet) {}},
+		"renewed": {drainingReply(200, ""), func(fl *fleet) { fl.register(0) }},
+		"back": {drainingReply(200, ""), func(fl *fleet) {
 			fl.re.Placer.Remove("e0")
 			fl.register(0)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fl := newFleet(t, say(func(se *seen) string { return fmt.Sprintf(ca.answer, se.head.Header.Get("X-Id")) })).serve(onceOnly)
-			fl.addrs = append(fl.addrs, fl.endpoint(1, answer(200, "other")))
-			_, _, err := fl.call("POST", "/r/x", "hello")
+			fl := newFleet(t, respondWith(func(se *received) string { return fmt.Sprintf(ca.answer, se.request.Header.Get("X-Id")) })).configure(onceOnly)
+			fl.addrs = append(fl.addrs, fl.startEndpoint(1, respond(200, "other")))
+			_, _, err := fl.send("POST", "/r/x", "hello")
 			if err != nil {
 				t.Fatal(err)
 			}
 			ca.change(fl)
 			fl.register(1)
 			for range 20 {
-				if rs, body, err := fl.call("POST", "/r/x", "hello"); err != nil || rs.StatusCode != 200 || body != "other" {
+				if rs, body, err := fl.send("POST", "/r/x", "hello"); err != nil || rs.StatusCode != 200 || body != "other" {
 					t.Fatalf("%v, %q, %v", rs, body, err)
 				}
 			}
 		})
 	}
 	t.Run("chosen before", func(t *testing.T) {
-		fl := newFleet(t, say(func(se *seen) string { return fmt.Sprintf(announced(200, ""), se.head.Header.Get("X-Id")) })).serve(onceOnly)
-		fl.addrs = append(fl.addrs, fl.endpoint(1, answer(200, "other")))
+		fl := newFleet(t, respondWith(func(se *received) string { return fmt.Sprintf(drainingReply(200, ""), se.request.Header.Get("X-Id")) })).configure(onceOnly)
+		fl.addrs = append(fl.addrs, fl.startEndpoint(1, respond(200, "other")))
 		first := true
 		fl.beforeSending(func() {
 			if !first {
 				return
 			}
 			first = false
-			_, _, err := fl.call("POST", "/r/x", "hello")
+			_, _, err := fl.send("POST", "/r/x", "hello")
 			if err != nil {
 				t.Error(err)
 			}
 			fl.register(1)
 		})
-		rs, body, err := fl.call("POST", "/r/x", "hello")
+		rs, body, err := fl.send("POST", "/r/x", "hello")
 		fl.expect(rs, err, 200, 2)
 		if body != "other" {
 			t.Errorf("%q", body)
@@ -96,8 +96,8 @@
 	})
 }
 
-// announced is an answer, without its request's id, whose endpoint leaves.
-func announced(status int, more string) string {
+// drainingReply is an answer, without its request's id, whose endpoint leaves.
+func drainingReply(status int, more string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %%s\r\nX-Stamp: s\r\nX-Leaving: 1\r\n%sContent-Length: 0\r\n\r\n", status, more)
 }
 
@@ -109,89 +109,89 @@
 }
 
 // Guards against peers that are told of each answer of an endpoint that leaves, not once.
-func TestLeavingEndpointIsToldOnce(t *testing.T) {
+func TestDrainingEndpointIsReportedOnce(t *testing.T) {
 	const calls = 4
-	ke := &keeper{}
+	ke := &fakeCounts{}
 	var fl *fleet
-	fl = newFleet(t, func(se *seen, co net.Conn) bool {
+	fl = newFleet(t, func(se *received, co net.Conn) bool {
 		for len(fl.requests()) < calls {
 			time.Sleep(time.Millisecond)
 		}
-		return announcing(200, "ok", "X-Leaving", "1")(se, co)
-	}).serve(onceOnly)
+		return respondWithHeader(200, "ok", "X-Leaving", "1")(se, co)
+	}).configure(onceOnly)
 	fl.re.Counts = ke
 	var all sync.WaitGroup
 	for range calls {
 		all.Go(func() {
-			if rs, _, err := fl.call("POST", "/r/x", "hello"); err != nil || rs.StatusCode != http.StatusOK {
+			if rs, _, err := fl.send("POST", "/r/x", "hello"); err != nil || rs.StatusCode != http.StatusOK {
 				t.Errorf("%v, %v", rs, err)
 			}
 		})
 	}
 	all.Wait()
-	if got := ke.toldLeaving(); got != 1 {
+	if got := ke.drainReports(); got != 1 {
 		t.Errorf("peers were told %d times", got)
 	}
 }
 
-func (ke *keeper) toldLeaving() int {
+func (ke *fakeCounts) drainReports() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return len(ke.leaves)
+	return len(ke.draining)
 }
 
-// refusing turns requests away and asks for no more for so long.
-func refusing(backoff time.Duration) script {
-	return say(func(se *seen) string {
+// refuseWithBackoff turns requests away and asks for no more for so long.
+func refuseWithBackoff(backoff time.Duration) script {
+	return respondWith(func(se *received) string {
 		return fmt.Sprintf("HTTP/1.1 503 X\r\nX-Id: %s\r\nX-Not-Run: 1\r\nX-Backoff: %s\r\nContent-Length: 0\r\n\r\n",
-			se.head.Header.Get("X-Id"), backoff)
+			se.request.Header.Get("X-Id"), backoff)
 	})
 }
 
 // Guards against requests that reach an endpoint within the time for which it has asked for none:
 // as the one with the fewest calls it would get most of them, and refuse them all.
-func TestEndpointThatAskedForNoRequestsGetsNone(t *testing.T) {
+func TestBackoffIsRespected(t *testing.T) {
 	const backoff = 600 * time.Millisecond
-	fl := newFleet(t, refusing(backoff)).serve(onceOnly)
-	fl.addrs = append(fl.addrs, fl.endpoint(1, answer(200, "other")))
-	rs, _, err := fl.call("POST", "/r/x", "hello")
+	fl := newFleet(t, refuseWithBackoff(backoff)).configure(onceOnly)
+	fl.addrs = append(fl.addrs, fl.startEndpoint(1, respond(200, "other")))
+	rs, _, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusServiceUnavailable, 1)
 	asked := time.Now()
 	fl.register(1)
 	for time.Since(asked) < backoff-100*time.Millisecond {
-		if rs, body, err := fl.call("POST", "/r/x", "hello"); err != nil || rs.StatusCode != 200 || body != "other" {
+		if rs, body, err := fl.send("POST", "/r/x", "hello"); err != nil || rs.StatusCode != 200 || body != "other" {
 			t.Fatalf("after %s: %v, %q, %v", time.Since(asked), rs, body, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if got := fl.reached(0); got != 1 {
+	if got := fl.requestsTo(0); got != 1 {
 		t.Errorf("%d requests reached the endpoint, want the first alone", got)
 	}
 	time.Sleep(backoff - time.Since(asked) + 50*time.Millisecond)
 	for range 40 {
-		_, _, _ = fl.call("POST", "/r/x", "hello")
+		_, _, _ = fl.send("POST", "/r/x", "hello")
 	}
-	if fl.reached(0) == 1 {
+	if fl.requestsTo(0) == 1 {
 		t.Error("the endpoint gets nothing after that time")
 	}
 }
 
 // Guards against a request that is sent on a choice made before its endpoint asked for no more.
-func TestRequestIsNotSentToAnEndpointThatAskedForNone(t *testing.T) {
-	fl := newFleet(t, refusing(10*time.Second)).serve(onceOnly)
-	fl.addrs = append(fl.addrs, fl.endpoint(1, answer(200, "other")))
+func TestRequestIsNotSentToEndpointInBackoff(t *testing.T) {
+	fl := newFleet(t, refuseWithBackoff(10*time.Second)).configure(onceOnly)
+	fl.addrs = append(fl.addrs, fl.startEndpoint(1, respond(200, "other")))
 	first := true
 	fl.beforeSending(func() {
 		if !first {
 			return
 		}
 		first = false
-		if _, _, err := fl.call("POST", "/r/x", "hello"); err != nil {
+		if _, _, err := fl.send("POST", "/r/x", "hello"); err != nil {
 			t.Error(err)
 		}
 		fl.register(1)
 	})
-	rs, body, err := fl.call("POST", "/r/x", "hello")
+	rs, body, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusOK, 2)
 	if body != "other" {
 		t.Errorf("%q", body)
@@ -200,15 +200,15 @@
 
 // Guards against callers that wait, or are told to return too soon, when all endpoints of a pool
 // have asked for no requests: they are refused at once and told when the first takes some again.
-func TestAllEndpointsAskedForNoRequests(t *testing.T) {
-	fl := newFleet(t, refusing(3*time.Second), refusing(5*time.Second)).serve(onceOnly)
-	for fl.reached(0) == 0 || fl.reached(1) == 0 {
-		_, _, _ = fl.call("POST", "/r/x", "hello")
+func TestAllEndpointsInBackoff(t *testing.T) {
+	fl := newFleet(t, refuseWithBackoff(3*time.Second), refuseWithBackoff(5*time.Second)).configure(onceOnly)
+	for fl.requestsTo(0) == 0 || fl.requestsTo(1) == 0 {
+		_, _, _ = fl.send("POST", "/r/x", "hello")
 	}
 	before := len(fl.requests())
 	for range 20 {
 		began := time.Now()
-		rs, body, err := fl.call("POST", "/r/x", "hello")
+		rs, body, err := fl.send("POST", "/r/x", "hello")
 		fl.expect(rs, err, http.StatusServiceUnavailable, before)
 		after, _ := strconv.ParseFloat(rs.Header.Get("Retry-After"), 64)
 		if after < 2 || after > 5 || time.Since(began) > time.Second {
@@ -217,11 +217,11 @@
 	}
 }
 
-// reached counts the requests that reached an endpoint.
-func (fl *fleet) reached(ix int) int {
+// requestsTo counts the requests that reached an endpoint.
+func (fl *fleet) requestsTo(ix int) int {
 	count := 0
 	for _, se := range fl.requests() {
-		if se.at == ix {
+		if se.endpoint == ix {
 			count++
 		}
 	}
--- a/io/relay/refused_test.go
+++ b/io/relay/refused_test.go
@@ -12,8 +12,8 @@
 	"almondrill/core/route"
 )
 
-// promises are the statuses that tell a caller that its request did not run and never will.
-var promises = map[int]bool{408: true, 421: true, 429: true, 503: true}
+// notRunStatuses are the statuses that tell a caller that its request did not run and never will.
+var notRunStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
 // ending is how an endpoint ends a request.
 type ending struct {
@@ -23,24 +23,24 @@
 	end  script
 }
 
-// headed is an answer with that head after its status line, whose body is as long as it says.
-func headed(status int, head, body string) script {
-	return say(func(se *seen) string {
-		return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, se.head.Header.Get("X-Id"), head, len(body), body)
+// respondWithHead is an answer with that head after its status line, whose body is as long as it says.
+func respondWithHead(status int, head, body string) script {
+	return respondWith(func(se *received) string {
+		return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, se.request.Header.Get("X-Id"), head, len(body), body)
 	})
 }
 
-// then breaks the connection off after what another script wrote.
-func then(first script) script {
-	return func(se *seen, co net.Conn) bool {
+// thenClose breaks the connection off after what another script wrote.
+func thenClose(first script) script {
+	return func(se *received, co net.Conn) bool {
 		first(se, co)
 		return false
 	}
 }
 
-// until waits so long before it goes on.
-func until(pause time.Duration, next script) script {
-	return func(se *seen, co net.Conn) bool {
+// delayed waits so long before it goes on.
+func delayed(pause time.Duration, next script) script {
+	return func(se *received, co net.Conn) bool {
 		select {
 		case <-se.closed:
 		case <-time.After(pause):
@@ -49,8 +49,8 @@
 	}
 }
 
-// reset ends the connection so that what was sent on it is lost.
-func reset(_ *seen, co net.Conn) bool {
+// resetConn ends the connection so that what was sent on it is lost.
+func resetConn(_ *received, co net.Conn) bool {
 	_ = co.(*net.TCPConn).SetLinger(0)
 	return false
 }
@@ -63,43 +63,43 @@
 // callerWait is how long the callers wait, mute how long an endpoint is silent that answers too late.
 const (
 	callerWait = 100 * time.Millisecond
-	mute       = 2 * callerWait
+	lateDelay  = 2 * callerWait
 )
 
 // endings are those that endpoints may bring about, faulty ones too.
 func endings() []ending {
 	long := strings.Repeat("x", 1<<20+1)
 	text := func(status int, rest string) script {
-		return say(func(*seen) string { return fmt.Sprintf("HTTP/1.1 %d X\r\n%s", status, rest) })
+		return respondWith(func(*received) string { return fmt.Sprintf("HTTP/1.1 %d X\r\n%s", status, rest) })
 	}
 	return []ending{
-		{"answered", true, answer(200, "ok")},
-		{"failed", true, answer(500, "no")},
-		{"own 503", true, headed(503, stamped, "busy")},
-		{"own 503 without a stamp", true, headed(503, "", "busy")},
-		{"own 429", true, headed(429, stamped, "busy")},
-		{"own 408", true, headed(408, stamped, "late")},
-		{"own 503, long", true, headed(503, stamped, long)},
-		{"own 429, chunked", true, say(func(se *seen) string {
-			return "HTTP/1.1 429 X\r\nX-Id: " + se.head.Header.Get("X-Id") + "\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n"
+		{"answered", true, respond(200, "ok")},
+		{"failed", true, respond(500, "no")},
+		{"own 503", true, respondWithHead(503, stamped, "busy")},
+		{"own 503 without a stamp", true, respondWithHead(503, "", "busy")},
+		{"own 429", true, respondWithHead(429, stamped, "busy")},
+		{"own 408", true, respondWithHead(408, stamped, "late")},
+		{"own 503, long", true, respondWithHead(503, stamped, long)},
+		{"own 429, chunked", true, respondWith(func(se *received) string {
+			return "HTTP/1.1 429 X\r\nX-Id: " + se.request.Header.Get("X-Id") + "\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n"
 		})},
-		{"own 503 that ends with its connection", true, then(say(func(se *seen) string {
-			return "HTTP/1.1 503 X\r\nX-Id: " + se.head.Header.Get("X-Id") + "\r\n" + stamped + "\r\nbusy"
+		{"own 503 that ends with its connection", true, thenClose(respondWith(func(se *received) string {
+			return "HTTP/1.1 503 X\r\nX-Id: " + se.request.Header.Get("X-Id") + "\r\n" + stamped + "\r\nbusy"
 		}))},
-		{"own 503 that breaks off", true, then(text(503, "Content-Length: 9\r\n\r\nbusy"))},
-		{"own 503 after the caller's deadline", true, until(mute, headed(503, stamped, "late"))},
-		{"not run, 503", false, headed(503, notRun, "")},
-		{"not run, 429", false, headed(429, notRun, "full")},
-		{"not run, and breaks off", false, then(text(503, notRun+"Content-Length: 9\r\n\r\nfull"))},
-		{"another endpoint", false, headed(421, "", "")},
+		{"own 503 that breaks off", true, thenClose(text(503, "Content-Length: 9\r\n\r\nbusy"))},
+		{"own 503 after the caller's deadline", true, delayed(lateDelay, respondWithHead(503, stamped, "late"))},
+		{"not run, 503", false, respondWithHead(503, notRun, "")},
+		{"not run, 429", false, respondWithHead(429, notRun, "full")},
+		{"not run, and breaks off", false, thenClose(text(503, notRun+"Content-Length: 9\r\n\r\nfull"))},
+		{"another endpoint", false, respondWithHead(421, "", "")},
 		{"not run, of another request", true, text(503, "X-Id: other\r\n"+notRun+"Content-Length: 0\r\n\r\n")},
-		{"broken off before the answer", true, breakOff},
-		{"reset before the answer", true, reset},
-		{"broken off in the status line", true, then(say(func(*seen) string { return "HTTP/1.1 50" }))},
-		{"broken off in the head", true, then(text(503, "X-Not-Run: 1\r\nX-Id"))},
-		{"broken off in the body", true, then(text(200, stamped+"Content-Length: 9\r\n\r\nok"))},
-		{"no answer in the protocol", true, then(say(func(*seen) string { return "\x00\x01\x02 nonsense\r\n\r\n" }))},
-		{"silent", true, until(mute, breakOff)},
+		{"broken off before the answer", true, closeConn},
+		{"reset before the answer", true, resetConn},
+		{"broken off in the status line", true, thenClose(respondWith(func(*received) string { return "HTTP/1.1 50" }))},
+		{"broken off in the head", true, thenClose(text(503, "X-Not-Run: 1\r\nX-Id"))},
+		{"broken off in the body", true, thenClose(text(200, stamped+"Content-Length: 9\r\n\r\nok"))},
+		{"no answer in the protocol", true, thenClose(respondWith(func(*received) string { return "\x00\x01\x02 nonsense\r\n\r\n" }))},
+		{"silent", true, delayed(lateDelay, closeConn)},
 	}
 }
 
@@ -113,7 +113,7 @@
 // Guards against REFUSED: a caller that is told that its request did not run, though an endpoint
 // has run it, sends it again. Every pair of ways in which two endpoints may end a request, each
 // kind of route, and on a router that leaves.
-func TestPromiseOfNotRunIsTrue(t *testing.T) {
+func TestNotRunStatusIsTruthful(t *testing.T) {
 	kinds := map[string]route.Route{
 		"once only": {Kind: route.OnceOnly, MaxAttempts: 2}, "idempotent": {Kind: route.Idempotent, MaxAttempts: 2},
 		"stream": {Kind: route.Stream, MaxAttempts: 2}, "resumable": {Kind: route.Stream, Resumable: true, MaxAttempts: 2},
@@ -141,24 +141,24 @@
 	var runs atomic.Int64
 	var fl *fleet
 	counted := func(en ending) script {
-		return func(se *seen, co net.Conn) bool {
+		return func(se *received, co net.Conn) bool {
 			if en.runs {
 				runs.Add(1)
 			}
 			return en.end(se, co)
 		}
 	}
-	fl = newFleet(t, counted(ca.first), counted(ca.second)).serve(ca.kind)
-	fl.leaves = ca.leaving
-	rs, _, _ := fl.call("POST", "/r/x", "draft", "X-Wait", fmt.Sprint(callerWait.Milliseconds()))
+	fl = newFleet(t, counted(ca.first), counted(ca.second)).configure(ca.kind)
+	fl.shuttingDown = ca.leaving
+	rs, _, _ := fl.send("POST", "/r/x", "draft", "X-Wait", fmt.Sprint(callerWait.Milliseconds()))
 	ran := runs.Load()
 	if ca.kind.Kind == route.OnceOnly && ran > 1 {
 		t.Errorf("ran %d times", ran)
 	}
-	if rs != nil && promises[rs.StatusCode] && ran > 0 {
+	if rs != nil && notRunStatuses[rs.StatusCode] && ran > 0 {
 		t.Errorf("status %d, though it ran %d times", rs.StatusCode, ran)
 	}
-	if rs != nil && promises[rs.StatusCode] && rs.StatusCode != http.StatusServiceUnavailable {
+	if rs != nil && notRunStatuses[rs.StatusCode] && rs.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503 for a request that did not run", rs.StatusCode)
 	}
 }
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -61,14 +61,14 @@
 	// Stamp proves that an answer is an endpoint's.
 	Stamp string
 	// Rank tells an endpoint the request's urgency, from 0 to MostRank.
-	Rank     string
-	MostRank int
+	Rank    string
+	MaxRank int
 	// Resume names the last event that the caller has.
 	Resume string
 	// Fetch names the endpoint from which another takes kept tokens over.
 	Fetch string
-	// Private are headers that only a router sets; what callers send is dropped.
-	Private []string
+	// RouterOnly are headers that only a router sets; what callers send is dropped.
+	RouterOnly []string
 	// Prompt reads the parts of a request's prompt.
 	Prompt func(hd http.Header) []place.Part
 	// Calls reads how many calls an endpoint has, from its answer; false if it does
@@ -80,8 +80,8 @@
 
 // Notice is what an endpoint announces beside an answer. The zero value announces nothing.
 type Notice struct {
-	// Leaving is set by an endpoint that is about to leave.
-	Leaving bool
+	// Draining is set by an endpoint that is about to leave.
+	Draining bool
 	// Backoff is for how long the endpoint wants no requests from this router.
 	Backoff time.Duration
 }
@@ -95,20 +95,20 @@
 	Counts core.Counts
 	// Grants divides the limits of cold endpoints among routers; nil if this is the only one.
 	Grants core.Grants
-	// Blame is told how attempts end that did not end well; nil if nobody asks.
-	Blame  core.CrashWatch
-	Budget *retry.Window
-	Conns  *conns.Pool
+	// Crashes is told how attempts end that did not end well; nil if nobody asks.
+	Crashes core.CrashWatch
+	Budget  *retry.Window
+	Conns   *conns.Pool
 	// Memory bounds what is held of bodies and answers.
 	Memory  Memory
 	Stats   *stats.Set
 	Latency *stats.Latency
 	Rand    core.Rand
 	Log     *zap.Logger
-	// Age is how long ago what is believed of routes and endpoints was confirmed.
-	Age func() time.Duration
-	// Leaving tells that the process is about to stop.
-	Leaving func() bool
+	// ViewAge is how long ago what is believed of routes and endpoints was confirmed.
+	ViewAge func() time.Duration
+	// ShuttingDown tells that the process is about to stop.
+	ShuttingDown func() bool
 
 	table atomic.Pointer[route.Table]
 }
@@ -121,8 +121,8 @@
 	// configuration does not.
 	defaultMaxHead = 64 << 10
 	defaultMaxBody = 4 << 20
-	// noConfigAfter is when callers may return to a router that is starting.
-	noConfigAfter = 500 * time.Millisecond
+	// noConfigRetryAfter is when callers may return to a router that is starting.
+	noConfigRetryAfter = 500 * time.Millisecond
 )
 
 // SetTable puts a configuration in force.
@@ -142,61 +142,61 @@
 	}
 	// A bound that an earlier answer on this connection had would cut this one.
 	_ = rq.control.SetWriteDeadline(time.Time{})
-	if re.Leaving() {
+	if re.ShuttingDown() {
 		wr.Header().Set("Connection", "close")
 	}
-	defer rq.release()
-	if rf := rq.read(); rf != nil {
+	defer rq.releaseMemory()
+	if rf := rq.prepare(); rf != nil {
 		rq.refuse(rf)
 		return
 	}
-	ctx, cancel := context.WithDeadline(hr.Context(), rq.end)
+	ctx, cancel := context.WithDeadline(hr.Context(), rq.deadline)
 	defer cancel()
-	defer rq.watch()()
+	defer rq.watchLongRunning()()
 	rq.serve(ctx)
 }
 
-type closedKey struct{}
+type connClosedKey struct{}
 
-// WithClosed lets requests of a connection ask whether it has ended, on either side.
-func WithClosed(ctx context.Context, closed func() bool) context.Context {
-	return context.WithValue(ctx, closedKey{}, closed)
+// WithConnClosed lets requests of a connection ask whether it has ended, on either side.
+func WithConnClosed(ctx context.Context, closed func() bool) context.Context {
+	return context.WithValue(ctx, connClosedKey{}, closed)
 }
 
-// closed tells whether the caller's connection has ended.
-func (rq *request) closed() bool {
-	closed, ok := rq.hr.Context().Value(closedKey{}).(func() bool)
+// connClosed tells whether the caller's connection has ended.
+func (rq *request) connClosed() bool {
+	closed, ok := rq.hr.Context().Value(connClosedKey{}).(func() bool)
 	return ok && closed()
 }
 
-// read finds out what is asked and reads the body.
-func (rq *request) read() *core.Refusal {
-	if rf := rq.find(); rf != nil {
+// prepare finds out what is asked and reads the body.
+func (rq *request) prepare() *core.Refusal {
+	if rf := rq.resolve(); rf != nil {
 		return rf
 	}
-	if rf := rq.times(); rf != nil {
+	if rf := rq.setDeadline(); rf != nil {
 		return rf
 	}
 	if rf := rq.readBody(); rf != nil {
 		return rf
 	}
-	if rq.re.Blame != nil {
-		rq.fingerprint = rq.identify()
+	if rq.re.Crashes != nil {
+		rq.fingerprint = rq.computeFingerprint()
 	}
 	rq.pool = rq.route.Pool(rq.re.Rand.Float64())
 	if rq.route.Sticky {
-		rq.parts = rq.re.Dialect.Prompt(rq.hr.Header)
+		rq.promptParts = rq.re.Dialect.Prompt(rq.hr.Header)
 	}
 	return nil
 }
 
-// find looks the route and the customer up. Where the beliefs are old, something
+// resolve looks the route and the customer up. Where the beliefs are old, something
 // unknown may have come since: the caller is told to return, not that it is wrong.
-func (rq *request) find() *core.Refusal {
+func (rq *request) resolve() *core.Refusal {
 	rq.table = rq.re.table.Load()
 	if rq.table == nil {
 		rf := rq.notRun(core.ReasonNoConfig, "find", "no configuration is known yet")
-		rf.RetryAfter = noConfigAfter
+		rf.RetryAfter = noConfigRetryAfter
 		return rf
 	}
 	if limit := rq.maxHead(); headSize(rq.hr) > limit {
@@ -204,33 +204,33 @@
 	}
 	rq.route = rq.table.Find(rq.hr.Host, rq.hr.URL.Path)
 	if rq.route == nil {
-		return rq.unknown(core.ReasonUnknownModel, http.StatusNotFound, "no route for "+rq.hr.Host+rq.hr.URL.Path)
+		return rq.unknownTarget(core.ReasonUnknownModel, http.StatusNotFound, "no route for "+rq.hr.Host+rq.hr.URL.Path)
 	}
 	if rq.route.Public || !rq.table.Keyed {
 		return nil
 	}
 	rq.customer = rq.table.ByKey(rq.hr.Header.Get(rq.re.Dialect.Key))
 	if rq.customer == nil {
-		return rq.unknown(core.ReasonBadKey, http.StatusUnauthorized, "no customer has this key")
+		return rq.unknownTarget(core.ReasonBadKey, http.StatusUnauthorized, "no customer has this key")
 	}
 	return nil
 }
 
-func (rq *request) unknown(re core.Reason, status int, detail string) *core.Refusal {
+func (rq *request) unknownTarget(re core.Reason, status int, detail string) *core.Refusal {
 	rf := rq.notRun(re, "find", detail)
-	if age := rq.re.Age(); age > staleAfter {
+	if age := rq.re.ViewAge(); age > staleAfter {
 		rf.Reason = core.ReasonNoConfig
 		rf.Detail += ", but the configuration was last confirmed " + age.Round(time.Millisecond).String() + " ago"
-		rf.RetryAfter = noConfigAfter
+		rf.RetryAfter = noConfigRetryAfter
 		return rf
 	}
 	rf.Status = status
 	return rf
 }
 
-// times works out until when the caller waits.
-func (rq *request) times() *core.Refusal {
-	rq.end = rq.began.Add(rq.route.Timeout)
+// setDeadline works out until when the caller waits.
+func (rq *request) setDeadline() *core.Refusal {
+	rq.deadline = rq.began.Add(rq.route.Timeout)
 	text := rq.hr.Header.Get(rq.re.Dialect.Deadline)
 	if text == "" {
 		return nil
@@ -241,8 +241,8 @@
 		rf.Status = http.StatusBadRequest
 		return rf
 	}
-	if deadline := rq.began.Add(time.Duration(ms) * time.Millisecond); deadline.Before(rq.end) {
-		rq.end = deadline
+	if deadline := rq.began.Add(time.Duration(ms) * time.Millisecond); deadline.Before(rq.deadline) {
+		rq.deadline = deadline
 	}
 	return nil
 }
@@ -261,8 +261,8 @@
 	if hr.ContentLength > limit {
 		return rq.tooLarge(http.StatusRequestEntityTooLarge, "body", limit)
 	}
-	_ = rq.control.SetReadDeadline(rq.end) // supported by every server connection
-	body, err := rq.readHeld(http.MaxBytesReader(rq.wr, hr.Body, limit), hr.ContentLength)
+	_ = rq.control.SetReadDeadline(rq.deadline) // supported by every server connection
+	body, err := rq.readBounded(http.MaxBytesReader(rq.wr, hr.Body, limit), hr.ContentLength)
 	if err == nil {
 		_ = rq.control.SetReadDeadline(time.Time{})
 		rq.body = body
@@ -270,9 +270,9 @@
 	}
 	var large *http.MaxBytesError
 	switch {
-	case errors.Is(err, errMemory):
+	case errors.Is(err, errNoMemory):
 		rf := rq.notRun(core.ReasonMemory, "read", "bodies and answers of other requests take the memory that there is for them")
-		rf.RetryAfter = memoryAfter
+		rf.RetryAfter = memoryRetryAfter
 		return rf
 	case errors.As(err, &large):
 		return rq.tooLarge(http.StatusRequestEntityTooLarge, "body", limit)
@@ -327,13 +327,13 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// forwarded is the header that an endpoint gets, but for the deadline and the
+// forwardedHeader is the header that an endpoint gets, but for the deadline and the
 // endpoint's id, which differ by attempt.
-func (rq *request) forwarded() http.Header {
+func (rq *request) forwardedHeader() http.Header {
 	di := &rq.re.Dialect
 	hd := rq.hr.Header.Clone()
 	dropConnection(hd)
-	for _, name := range di.Private {
+	for _, name := range di.RouterOnly {
 		hd.Del(name)
 	}
 	if rq.customer != nil {
@@ -344,7 +344,7 @@
 		if rq.customer != nil && rq.customer.Ranked {
 			rank = rq.customer.Rank
 		}
-		hd.Set(di.Rank, strconv.Itoa(min(max(0, rank), di.MostRank)))
+		hd.Set(di.Rank, strconv.Itoa(min(max(0, rank), di.MaxRank)))
 	}
 	return hd
 }
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -22,34 +22,34 @@
 	idempotent = route.Route{Kind: route.Idempotent, MaxAttempts: 2}
 )
 
-func breakOff(*seen, net.Conn) bool { return false }
+func closeConn(*received, net.Conn) bool { return false }
 
-func TestRequestIsPassedOnAsItIs(t *testing.T) {
-	fl := newFleet(t, answer(200, "hello")).serve(onceOnly)
-	rs, body, err := fl.call("POST", "/r/a%2Fb?x=1&y", "the body", "X-Wait", "900", "X-Customer", "forged",
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	fl := newFleet(t, respond(200, "hello")).configure(onceOnly)
+	rs, body, err := fl.send("POST", "/r/a%2Fb?x=1&y", "the body", "X-Wait", "900", "X-Customer", "forged",
 		"X-Secret", "forged", "X-Expect", "forged", "X-Other", "kept", "Connection", "X-Hop", "X-Hop", "dropped")
 	fl.expect(rs, err, 200, 1)
 	if body != "hello" || rs.Header.Get("X-Stamp") != "s0" {
 		t.Errorf("body %q, header %v", body, rs.Header)
 	}
 	se := fl.requests()[0]
-	if se.head.RequestURI != "/r/a%2Fb?x=1&y" || se.body != "the body" || se.head.Method != "POST" {
-		t.Errorf("%s %s %q", se.head.Method, se.head.RequestURI, se.body)
+	if se.request.RequestURI != "/r/a%2Fb?x=1&y" || se.body != "the body" || se.request.Method != "POST" {
+		t.Errorf("%s %s %q", se.request.Method, se.request.RequestURI, se.body)
 	}
 	for name, want := range map[string]string{
 		"X-Customer": "herb", "X-Expect": "e0", "X-Secret": "", "X-Key": "", "X-Other": "kept", "X-Hop": "", "X-Id": "id-1",
 	} {
-		if got := se.head.Header.Get(name); got != want {
+		if got := se.request.Header.Get(name); got != want {
 			t.Errorf("%s: %q, want %q", name, got, want)
 		}
 	}
-	if left, err := strconv.Atoi(se.head.Header.Get("X-Wait")); err != nil || left > 900 || left < 500 {
-		t.Errorf("deadline %q, want what is left of 900", se.head.Header.Get("X-Wait"))
+	if left, err := strconv.Atoi(se.request.Header.Get("X-Wait")); err != nil || left > 900 || left < 500 {
+		t.Errorf("deadline %q, want what is left of 900", se.request.Header.Get("X-Wait"))
 	}
 }
 
 func TestChunkedBodyArrivesWhole(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok")).serve(onceOnly)
+	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	rq, _ := http.NewRequest("POST", fl.front.URL+"/r/x", io.MultiReader(strings.NewReader("one "), strings.NewReader("two")))
 	rq.Header.Set("X-Key", "k")
 	rs, err := http.DefaultTransport.RoundTrip(rq)
@@ -64,7 +64,7 @@
 // and endpoint disagree on where it ends, the endpoint runs a request that nobody
 // sent.
 func TestSmuggledRequestDoesNotRun(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok")).serve(onceOnly)
+	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	co, err := net.Dial("tcp", fl.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 	_ = co.SetReadDeadline(time.Now().Add(2 * time.Second))
 	_, _ = io.ReadAll(co)
 	for _, se := range fl.requests() {
-		if strings.Contains(se.head.RequestURI, "hidden") {
+		if strings.Contains(se.request.RequestURI, "hidden") {
 			t.Error("the hidden request ran")
 		}
 	}
@@ -84,8 +84,8 @@
 // The endpoint takes a request that must not repeat and breaks the connection. It may
 // have run: it must not be sent again, nor may the caller be told that it did not run.
 func TestOnceOnlyIsNeverSentAgain(t *testing.T) {
-	fl := newFleet(t, breakOff, breakOff).serve(onceOnly)
-	rs, _, err := fl.call("POST", "/r/x", "draft")
+	fl := newFleet(t, closeConn, closeConn).configure(onceOnly)
+	rs, _, err := fl.send("POST", "/r/x", "draft")
 	fl.expect(rs, err, 502, 1)
 	if rs.Header.Get("Retry-After") != "" {
 		t.Error("the caller is told to return, though the request may have run")
@@ -93,13 +93,13 @@
 }
 
 // An endpoint that says that it did not run a request may be followed by another.
-func TestRefusedOnceOnlyGoesElsewhere(t *testing.T) {
-	full := say(func(se *seen) string {
+func TestRefusedOnceOnlyIsRetriedElsewhere(t *testing.T) {
+	full := respondWith(func(se *received) string {
 		return "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nX-Id: id-1\r\nContent-Length: 0\r\n\r\n"
 	})
-	fl := newFleet(t, full, full, answer(200, "ok")).serve(onceOnly)
+	fl := newFleet(t, full, full, respond(200, "ok")).configure(onceOnly)
 	for range 6 {
-		rs, _, err := fl.call("POST", "/r/x", "draft")
+		rs, _, err := fl.send("POST", "/r/x", "draft")
 		if err != nil || rs.StatusCode != 200 {
 			t.Fatal(rs, err)
 		}
@@ -108,12 +108,12 @@
 
 // All endpoints refuse: the caller is told that the request did not run and when to
 // return, and that is true.
-func TestRefusalOfAllIsAPromise(t *testing.T) {
-	full := say(func(se *seen) string {
+func TestRefusalByAllEndpointsGuaranteesNotRun(t *testing.T) {
+	full := respondWith(func(se *received) string {
 		return "HTTP/1.1 429 X\r\nX-Not-Run: 1\r\nX-Id: id-1\r\nContent-Length: 0\r\n\r\n"
 	})
-	fl := newFleet(t, full).serve(onceOnly)
-	rs, _, err := fl.call("POST", "/r/x", "draft")
+	fl := newFleet(t, full).configure(onceOnly)
+	rs, _, err := fl.send("POST", "/r/x", "draft")
 	fl.expect(rs, err, 503, 1)
 	if after, err := strconv.ParseFloat(rs.Header.Get("Retry-After"), 64); err != nil || after <= 0 {
 		t.Errorf("Retry-After %q", rs.Header.Get("Retry-After"))
@@ -122,10 +122,10 @@
 
 // An endpoint answers 503 without saying that it did not run the request. Passed on,
 // the caller would take it for a promise and send the request again.
-func TestUnmarked503IsNotPassedOn(t *testing.T) {
+func TestUnmarked503IsNotForwarded(t *testing.T) {
 	for _, status := range []int{503, 429, 408} {
-		fl := newFleet(t, answer(status, "busy")).serve(onceOnly)
-		rs, _, err := fl.call("POST", "/r/x", "draft")
+		fl := newFleet(t, respond(status, "busy")).configure(onceOnly)
+		rs, _, err := fl.send("POST", "/r/x", "draft")
 		fl.expect(rs, err, 502, 1)
 		if rs.Header.Get("X-Stamp") != "" {
 			t.Errorf("%d became 502, but still bears the stamp", status)
@@ -135,17 +135,17 @@
 
 // Another endpoint has the address now and says so. The caller's request goes to one
 // that is still there.
-func TestReusedAddressIsLeft(t *testing.T) {
-	other := say(func(se *seen) string { return "HTTP/1.1 421 X\r\nX-Id: id-1\r\nContent-Length: 0\r\n\r\n" })
-	fl := newFleet(t, other, answer(200, "ok")).serve(onceOnly)
+func TestReusedAddressIsAvoided(t *testing.T) {
+	other := respondWith(func(se *received) string { return "HTTP/1.1 421 X\r\nX-Id: id-1\r\nContent-Length: 0\r\n\r\n" })
+	fl := newFleet(t, other, respond(200, "ok")).configure(onceOnly)
 	for range 8 {
-		if rs, _, err := fl.call("POST", "/r/x", ""); err != nil || rs.StatusCode != 200 {
+		if rs, _, err := fl.send("POST", "/r/x", ""); err != nil || rs.StatusCode != 200 {
 			t.Fatal(rs, err)
 		}
 	}
 	count := 0
 	for _, se := range fl.requests() {
-		if se.at == 0 {
+		if se.endpoint == 0 {
 			count++
 		}
 	}
@@ -156,21 +156,21 @@
 
 // A lookup fails at one endpoint; another answers it. What the first answered does
 // not show.
-func TestIdempotentIsTriedElsewhere(t *testing.T) {
+func TestIdempotentIsRetriedElsewhere(t *testing.T) {
 	for name, sc := range map[string]script{
-		"failed": answer(500, "oops"), "broken": breakOff, "short": say(func(se *seen) string {
+		"failed": respond(500, "oops"), "broken": closeConn, "short": respondWith(func(se *received) string {
 			return "HTTP/1.1 200 X\r\nX-Id: id-1\r\nX-Stamp: s0\r\nContent-Length: 99\r\n\r\nshort"
 		}),
-		"no stamp": say(func(se *seen) string { return "HTTP/1.1 200 X\r\nX-Id: id-1\r\nContent-Length: 2\r\n\r\nhi" }),
-		"encoded": say(func(se *seen) string {
+		"no stamp": respondWith(func(se *received) string { return "HTTP/1.1 200 X\r\nX-Id: id-1\r\nContent-Length: 2\r\n\r\nhi" }),
+		"encoded": respondWith(func(se *received) string {
 			return "HTTP/1.1 200 X\r\nX-Id: id-1\r\nX-Stamp: s0\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi"
 		}),
-		"nonsense": say(func(se *seen) string { return "\x00\x01 what?\r\n\r\n" }),
-		"crossed":  say(func(se *seen) string { return "HTTP/1.1 200 X\r\nX-Id: other\r\nX-Stamp: s0\r\n\r\nhi" }),
+		"nonsense": respondWith(func(se *received) string { return "\x00\x01 what?\r\n\r\n" }),
+		"crossed":  respondWith(func(se *received) string { return "HTTP/1.1 200 X\r\nX-Id: other\r\nX-Stamp: s0\r\n\r\nhi" }),
 	} {
-		fl := newFleet(t, sc, answer(200, "fine")).serve(idempotent)
+		fl := newFleet(t, sc, respond(200, "fine")).configure(idempotent)
 		for range 8 {
-			rs, body, err := fl.call("GET", "/r/x", "")
+			rs, body, err := fl.send("GET", "/r/x", "")
 			if err != nil || rs.StatusCode != 200 || body != "fine" || rs.Header.Get("X-Stamp") != "s1" {
 				t.Errorf("%s: %v %q %v", name, rs, body, err)
 				break
@@ -179,9 +179,9 @@
 	}
 }
 
-func TestFailureOfAllIsPassedOn(t *testing.T) {
-	fl := newFleet(t, answer(500, "oops"), answer(500, "oops")).serve(idempotent)
-	rs, body, err := fl.call("GET", "/r/x", "")
+func TestFailureOfAllEndpointsIsForwarded(t *testing.T) {
+	fl := newFleet(t, respond(500, "oops"), respond(500, "oops")).configure(idempotent)
+	rs, body, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, 500, 2)
 	if body != "oops" || rs.Header.Get("X-Stamp") == "" {
 		t.Errorf("body %q, stamp %q", body, rs.Header.Get("X-Stamp"))
@@ -190,12 +190,12 @@
 
 // An endpoint has gone silent. A lookup must not wait for it until the caller's time
 // is over.
-func TestIdempotentLeavesSilentEndpoint(t *testing.T) {
-	silent := func(se *seen, _ net.Conn) bool { <-se.closed; return false }
-	fl := newFleet(t, silent, answer(200, "fine")).serve(idempotent)
+func TestIdempotentIsRetriedWhenEndpointStalls(t *testing.T) {
+	silent := func(se *received, _ net.Conn) bool { <-se.closed; return false }
+	fl := newFleet(t, silent, respond(200, "fine")).configure(idempotent)
 	began := time.Now()
 	for range 4 {
-		rs, _, err := fl.call("GET", "/r/x", "", "X-Wait", "1000")
+		rs, _, err := fl.send("GET", "/r/x", "", "X-Wait", "1000")
 		if err != nil || rs.StatusCode != 200 {
 			t.Fatal(rs, err)
 		}
@@ -208,10 +208,10 @@
 // Retries stop when the fleet's budget is spent: failing endpoints are not sent a
 // multiple of the load.
 func TestBudgetBoundsRetries(t *testing.T) {
-	fl := newFleet(t, answer(500, "a"), answer(500, "b")).serve(idempotent)
+	fl := newFleet(t, respond(500, "a"), respond(500, "b")).configure(idempotent)
 	fl.re.Budget.SetBound(0, 10)
 	for range 30 {
-		_, _, _ = fl.call("GET", "/r/x", "")
+		_, _, _ = fl.send("GET", "/r/x", "")
 	}
 	if got := len(fl.requests()); got > 35 {
 		t.Errorf("%d requests reached endpoints for 30, want at most 5 more", got)
@@ -220,13 +220,13 @@
 
 // The route's time is over while the endpoint works: the caller gets an end at once,
 // and the endpoint stops.
-func TestTimeoutOfTheRoute(t *testing.T) {
-	silent := func(se *seen, _ net.Conn) bool { <-se.closed; return false }
+func TestRouteTimeout(t *testing.T) {
+	silent := func(se *received, _ net.Conn) bool { <-se.closed; return false }
 	ro := onceOnly
 	ro.Timeout = 200 * time.Millisecond
-	fl := newFleet(t, silent).serve(ro)
+	fl := newFleet(t, silent).configure(ro)
 	began := time.Now()
-	rs, _, err := fl.call("POST", "/r/x", "", "X-Wait", "5000")
+	rs, _, err := fl.send("POST", "/r/x", "", "X-Wait", "5000")
 	fl.expect(rs, err, 504, 1)
 	if took := time.Since(began); took < 190*time.Millisecond || took > 500*time.Millisecond {
 		t.Errorf("answered after %s, want 200ms", took)
@@ -234,7 +234,7 @@
 	waitClosed(t, fl.requests()[0])
 }
 
-func waitClosed(t *testing.T, se *seen) {
+func waitClosed(t *testing.T, se *received) {
 	t.Helper()
 	select {
 	case <-se.closed:
@@ -244,10 +244,10 @@
 }
 
 // A caller gives up before its answer begins. The endpoint's work would be for nobody.
-func TestCallerThatLeavesStopsTheEndpoint(t *testing.T) {
-	silent := func(se *seen, _ net.Conn) bool { <-se.closed; return false }
+func TestCallerDisconnectStopsEndpoint(t *testing.T) {
+	silent := func(se *received, _ net.Conn) bool { <-se.closed; return false }
 	for name, ro := range map[string]route.Route{"stream": {Kind: route.Stream}, "once": onceOnly} {
-		fl := newFleet(t, silent).serve(ro)
+		fl := newFleet(t, silent).configure(ro)
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		rq, _ := http.NewRequestWithContext(ctx, "POST", fl.front.URL+"/r/x", strings.NewReader("hello"))
 		rq.Header.Set("X-Key", "k")
@@ -262,10 +262,10 @@
 
 // A second request comes on a kept connection after the first one's time is over. A
 // bound left from the first would cut the second's answer.
-func TestKeptConnectionServesLaterRequests(t *testing.T) {
+func TestKeepAliveConnectionServesLaterRequests(t *testing.T) {
 	ro := onceOnly
 	ro.Timeout = 100 * time.Millisecond
-	fl := newFleet(t, answer(200, "ok")).serve(ro)
+	fl := newFleet(t, respond(200, "ok")).configure(ro)
 	co, err := net.Dial("tcp", fl.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -285,11 +285,11 @@
 
 // Before any configuration is known, and when what is known is old, nobody may be
 // told that a route or a key does not exist: it may just not have come through.
-func TestUnknownIsRefusedOnlyOnFreshNews(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok"))
-	rs, _, err := fl.call("GET", "/r/x", "")
+func TestNotFoundRequiresFreshConfig(t *testing.T) {
+	fl := newFleet(t, respond(200, "ok"))
+	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, 503, 0)
-	fl.serve(idempotent)
+	fl.configure(idempotent)
 	for _, te := range []struct {
 		path, key string
 		age       time.Duration
@@ -301,28 +301,28 @@
 		{"/r/x", "wrong", 10 * time.Second, 503},
 		{"/r/x", "k", 10 * time.Second, 200},
 	} {
-		fl.age = te.age
-		rs, _, err := fl.call("GET", te.path, "", "X-Key", te.key)
+		fl.viewAge = te.age
+		rs, _, err := fl.send("GET", te.path, "", "X-Key", te.key)
 		if err != nil || rs.StatusCode != te.want {
 			t.Errorf("%s with key %s at age %s: %v %v, want %d", te.path, te.key, te.age, rs.StatusCode, err, te.want)
 		}
 	}
 }
 
-func TestLimits(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok")).serve(onceOnly)
-	rs, _, err := fl.call("POST", "/r/x", strings.Repeat("x", 2<<20))
+func TestRequestLimits(t *testing.T) {
+	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
+	rs, _, err := fl.send("POST", "/r/x", strings.Repeat("x", 2<<20))
 	fl.expect(rs, err, 413, 0)
-	rs, _, err = fl.call("POST", "/r/x", "", "X-Wait", "soon")
+	rs, _, err = fl.send("POST", "/r/x", "", "X-Wait", "soon")
 	fl.expect(rs, err, 400, 0)
 }
 
 // The process is about to stop: answers tell callers to leave the connection, so that
 // none is cut later.
-func TestLeavingRouterTellsCallersToClose(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok")).serve(idempotent)
-	fl.leaves = true
-	rs, _, err := fl.call("GET", "/r/x", "")
+func TestDrainingRouterClosesCallerConnections(t *testing.T) {
+	fl := newFleet(t, respond(200, "ok")).configure(idempotent)
+	fl.shuttingDown = true
+	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, 200, 1)
 	if !rs.Close {
 		t.Error("the answer does not say that the connection closes")
@@ -330,9 +330,9 @@
 }
 
 func TestNoEndpointIsRefusedAtOnce(t *testing.T) {
-	fl := newFleet(t).serve(idempotent)
+	fl := newFleet(t).configure(idempotent)
 	began := time.Now()
-	rs, body, err := fl.call("GET", "/r/x", "")
+	rs, body, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, 503, 0)
 	if time.Since(began) > time.Second || !strings.Contains(body, string(core.ReasonNoEndpoint)) {
 		t.Errorf("after %s: %s", time.Since(began), body)
@@ -341,11 +341,11 @@
 
 // Nothing listens where an endpoint is registered. Nothing was sent, so even a request
 // that must not repeat goes elsewhere.
-func TestDeadAddressCostsNothing(t *testing.T) {
-	fl := newFleet(t, answer(200, "ok")).serve(onceOnly)
+func TestUnreachableEndpointIsSkipped(t *testing.T) {
+	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	fl.re.Placer.Register(time.Now(), place.Endpoint{ID: "dead", Addr: "127.0.0.1:1", Pool: "pool", Zone: "a", Slots: 8})
 	for range 6 {
-		if rs, _, err := fl.call("POST", "/r/x", ""); err != nil || rs.StatusCode != 200 {
+		if rs, _, err := fl.send("POST", "/r/x", ""); err != nil || rs.StatusCode != 200 {
 			t.Fatal(rs, err)
 		}
 	}
@@ -354,16 +354,16 @@
 // A caller asks for a long report, larger than the router keeps of an answer. The
 // request ran, so that an error in its place would lose the answer: it has to be
 // passed on as it comes.
-func TestAnswerLargerThanIsKeptArrivesWhole(t *testing.T) {
+func TestResponseLargerThanBufferArrivesWhole(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 200_000)
-	unframed := func(se *seen, co net.Conn) bool {
+	unframed := func(se *received, co net.Conn) bool {
 		_, _ = io.WriteString(co, "HTTP/1.1 200 X\r\nX-Id: id-1\r\nX-Stamp: s0\r\n\r\n"+long)
 		return false
 	}
-	for name, sc := range map[string]script{"counted": answer(200, long), "unframed": unframed, "failure": answer(500, long)} {
+	for name, sc := range map[string]script{"counted": respond(200, long), "unframed": unframed, "failure": respond(500, long)} {
 		t.Run(name, func(t *testing.T) {
-			fl := newFleet(t, sc).serve(onceOnly)
-			rs, body, err := fl.call("POST", "/r/x", "")
+			fl := newFleet(t, sc).configure(onceOnly)
+			rs, body, err := fl.send("POST", "/r/x", "")
 			if err != nil || body != long {
 				t.Fatalf("%d of %d bytes: %v", len(body), len(long), err)
 			}
@@ -376,14 +376,14 @@
 
 // The endpoint breaks off in the middle of a long answer, of which the caller has the
 // beginning. It must not look whole.
-func TestLongAnswerThatBreaksOffDoesNotLookWhole(t *testing.T) {
+func TestTruncatedLongResponseIsVisible(t *testing.T) {
 	part := strings.Repeat("x", 2<<20)
-	cut := func(se *seen, co net.Conn) bool {
+	cut := func(se *received, co net.Conn) bool {
 		_, _ = fmt.Fprintf(co, "HTTP/1.1 200 X\r\nX-Id: id-1\r\nX-Stamp: s0\r\nContent-Length: %d\r\n\r\n%s", 2*len(part), part)
 		return false
 	}
-	fl := newFleet(t, cut, cut).serve(idempotent)
-	_, body, err := fl.call("GET", "/r/x", "")
+	fl := newFleet(t, cut, cut).configure(idempotent)
+	_, body, err := fl.send("GET", "/r/x", "")
 	if err == nil {
 		t.Errorf("%d bytes look whole", len(body))
 	}
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -24,17 +24,17 @@
 	control *http.ResponseController
 	id      string
 	began   time.Time
-	// end is when the caller, or the route, stops waiting.
-	end time.Time
+	// deadline is when the caller, or the route, stops waiting.
+	deadline time.Time
 
-	table    *route.Table
-	route    *route.Route
-	customer *route.Customer
-	pool     core.PoolID
-	parts    []place.Part
-	body     []byte
-	// holds is how many bytes of Relay.Memory it takes.
-	holds int64
+	table       *route.Table
+	route       *route.Route
+	customer    *route.Customer
+	pool        core.PoolID
+	promptParts []place.Part
+	body        []byte
+	// heldBytes is how many bytes of Relay.Memory it takes.
+	heldBytes int64
 	// fingerprint tells that attempts of the caller are the same request.
 	fingerprint core.Fingerprint
 
@@ -42,66 +42,66 @@
 	tried []core.EndpointID
 	// sends counts the endpoints that the request was sent to.
 	sends int
-	// asked is set if an endpoint's calls were asked for, and told, before a choice.
-	asked bool
-	// ran is how an attempt ended that may have run, nil if none may have.
-	ran *core.Refusal
-	// reply is what an endpoint answered when it failed the request.
-	reply *reply
-	// begun is set once the caller has the answer's head, first when, status which.
-	begun  bool
-	first  time.Time
-	status int
+	// countAsked is set if an endpoint's calls were asked for, and told, before a choice.
+	countAsked bool
+	// mayHaveRun is how an attempt ended that may have run, nil if none may have.
+	mayHaveRun *core.Refusal
+	// failure is what an endpoint answered when it failed the request.
+	failure *failureResponse
+	// headSent is set once the caller has the answer's head, first when, status which.
+	headSent   bool
+	firstWrite time.Time
+	status     int
 	// lastEvent is the id of the last event that the caller has, wrote when it got
 	// something last, and gap the longest pause so far.
-	lastEvent string
-	wrote     time.Time
-	gap       time.Duration
-	ticket    *place.Ticket
+	lastEvent  string
+	lastWrite  time.Time
+	longestGap time.Duration
+	ticket     *place.Ticket
 	// notice is what the last endpoint that answered announced.
 	notice Notice
-	// next is reserved for the next attempt, nil if none is.
-	next *place.Ticket
-	// sent is where it was sent last, for tellRunning.
-	sent atomic.Pointer[sending]
+	// reserved is reserved for the next attempt, nil if none is.
+	reserved *place.Ticket
+	// lastSend is where it was sent last, for tellRunning.
+	lastSend atomic.Pointer[sendRecord]
 }
 
-// reply is an endpoint's own answer that is no success.
-type reply struct {
+// failureResponse is an endpoint's own answer that is no success.
+type failureResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// mostDials bounds the endpoints that a request is offered to in vain: each costs
+// maxDials bounds the endpoints that a request is offered to in vain: each costs
 // up to a dial's timeout.
-const mostDials = 4
+const maxDials = 4
 
 // serve makes attempts until one ends the request.
 func (rq *request) serve(ctx context.Context) {
 	rq.re.Budget.First(rq.began, rq.pool)
-	defer rq.dropReserved()
-	header := rq.forwarded()
+	defer rq.releaseReserved()
+	header := rq.forwardedHeader()
 	for dials := 0; ; dials++ {
-		rf := rq.quarantined(ctx)
+		rf := rq.checkQuarantine(ctx)
 		if rf == nil {
-			rf = rq.place(ctx)
+			rf = rq.chooseEndpoint(ctx)
 		}
 		if rf != nil {
-			rq.finish(rf)
+			rq.finishFailed(rf)
 			return
 		}
 		rf = rq.attempt(ctx, header)
 		if rf == nil {
-			rq.served()
+			rq.finishServed()
 			return
 		}
 		rq.tried = append(rq.tried, rq.ticket.Endpoint.ID)
 		if rf.Outcome != core.NotRun {
-			rq.ran = rf
+			rq.mayHaveRun = rf
 		}
-		if !rq.again(ctx, rf, dials) {
-			rq.finish(rf)
+		if !rq.mayRetry(ctx, rf, dials) {
+			rq.finishFailed(rf)
 			return
 		}
 		rq.re.Stats.Retry(rf.Reason)
@@ -109,23 +109,23 @@
 	}
 }
 
-// dropReserved gives back what was reserved and is not needed.
-func (rq *request) dropReserved() {
-	if rq.next != nil {
-		rq.next.Done(time.Now(), place.Neutral)
-		rq.next = nil
+// releaseReserved gives back what was reserved and is not needed.
+func (rq *request) releaseReserved() {
+	if rq.reserved != nil {
+		rq.reserved.Done(time.Now(), place.Neutral)
+		rq.reserved = nil
 	}
 }
 
-// place picks the endpoint of the next attempt. Further ones than the first to run cost a
+// chooseEndpoint picks the endpoint of the next attempt. Further ones than the first to run cost a
 // part of the budget.
-func (rq *request) place(ctx context.Context) *core.Refusal {
-	if rq.next != nil {
-		rq.ticket, rq.next = rq.next, nil
+func (rq *request) chooseEndpoint(ctx context.Context) *core.Refusal {
+	if rq.reserved != nil {
+		rq.ticket, rq.reserved = rq.reserved, nil
 		return nil
 	}
-	as := rq.ask()
-	rq.askCount(ctx, as)
+	as := rq.placementAsk()
+	rq.refreshCount(ctx, as)
 	tk, rf := rq.pick(ctx, as)
 	if rf != nil {
 		return rf
@@ -139,14 +139,14 @@
 	return nil
 }
 
-// mostGrants bounds the cold endpoints that a request is tried to be granted for: each costs a
+// maxGrantRequests bounds the cold endpoints that a request is tried to be granted for: each costs a
 // question of some milliseconds.
-const mostGrants = 3
+const maxGrantRequests = 3
 
 // pick chooses an endpoint. One that is cold needs a grant; without it the request goes
 // elsewhere.
 func (rq *request) pick(ctx context.Context, as *place.Ask) (*place.Ticket, *core.Refusal) {
-	for range mostGrants {
+	for range maxGrantRequests {
 		tk, rf := rq.re.Placer.Pick(time.Now(), as)
 		if rf != nil {
 			return nil, rf
@@ -166,9 +166,9 @@
 	return rq.re.Placer.Pick(time.Now(), as)
 }
 
-// askCount learns how many calls the endpoint has that the choice would fall on. Where it
+// refreshCount learns how many calls the endpoint has that the choice would fall on. Where it
 // turns out to be full, the next is taken without another question.
-func (rq *request) askCount(ctx context.Context, as *place.Ask) {
+func (rq *request) refreshCount(ctx context.Context, as *place.Ask) {
 	if rq.re.Counts == nil {
 		return
 	}
@@ -177,14 +177,14 @@
 		return
 	}
 	if calls, known := rq.re.Counts.Ask(ctx, endpoint); known {
-		rq.asked = true
+		rq.countAsked = true
 		rq.re.Placer.HearCount(time.Now(), endpoint, calls)
 	}
 }
 
-// ask is what the choice of an endpoint goes by.
-func (rq *request) ask() *place.Ask {
-	as := &place.Ask{Pool: rq.pool, Parts: rq.parts, Tried: rq.tried}
+// placementAsk is what the choice of an endpoint goes by.
+func (rq *request) placementAsk() *place.Ask {
+	as := &place.Ask{Pool: rq.pool, Parts: rq.promptParts, Tried: rq.tried}
 	if rq.customer != nil {
 		as.Customer = rq.customer.ID
 	}
@@ -200,9 +200,9 @@
 	return as
 }
 
-// again tells whether another attempt does no harm and may help.
-func (rq *request) again(ctx context.Context, rf *core.Refusal, dials int) bool {
-	if ctx.Err() != nil || rq.hr.Context().Err() != nil || rq.closed() || dials+1 >= mostDials {
+// mayRetry tells whether another attempt does no harm and may help.
+func (rq *request) mayRetry(ctx context.Context, rf *core.Refusal, dials int) bool {
+	if ctx.Err() != nil || rq.hr.Context().Err() != nil || rq.connClosed() || dials+1 >= maxDials {
 		return false
 	}
 	if rq.sends >= rq.route.MaxAttempts {
@@ -211,53 +211,53 @@
 	if rf.Outcome == core.NotRun {
 		return true
 	}
-	return rq.route.MayRepeat() && (!rq.begun || rq.lastEvent != "")
+	return rq.route.MayRepeat() && (!rq.headSent || rq.lastEvent != "")
 }
 
-// served ends a request whose answer was passed on whole.
-func (rq *request) served() {
+// finishServed ends a request whose answer was passed on whole.
+func (rq *request) finishServed() {
 	now := time.Now()
 	rq.re.Stats.Answer(core.Whole)
 	rq.re.Latency.Note(stats.AnswerMs, now.Sub(rq.began))
-	rq.re.Latency.Note(stats.FirstMs, rq.first.Sub(rq.began))
+	rq.re.Latency.Note(stats.FirstMs, rq.firstWrite.Sub(rq.began))
 	if rq.lastEvent != "" {
-		rq.re.Latency.Note(stats.GapMs, rq.gap)
+		rq.re.Latency.Note(stats.GapMs, rq.longestGap)
 	}
-	rq.re.Log.Info("Served.", rq.fields(zap.Int("Status", rq.status), zap.Duration("Took", now.Sub(rq.began)),
-		zap.Duration("First", rq.first.Sub(rq.began)))...)
+	rq.re.Log.Info("Served.", rq.logFields(zap.Int("Status", rq.status), zap.Duration("Took", now.Sub(rq.began)),
+		zap.Duration("First", rq.firstWrite.Sub(rq.began)))...)
 }
 
-// finish ends a request whose last attempt failed, or that found no endpoint.
-func (rq *request) finish(rf *core.Refusal) {
+// finishFailed ends a request whose last attempt failed, or that found no endpoint.
+func (rq *request) finishFailed(rf *core.Refusal) {
 	if rq.hr.Context().Err() != nil {
-		rq.callerGone()
+		rq.finishCallerGone()
 		return
 	}
-	if rq.begun {
-		rq.cut(rf)
+	if rq.headSent {
+		rq.abortResponse(rf)
 	}
-	if rf.Outcome == core.NotRun && rq.ran != nil {
+	if rf.Outcome == core.NotRun && rq.mayHaveRun != nil {
 		// An earlier attempt may have run; that is what counts for the caller.
-		rf = rq.ran
+		rf = rq.mayHaveRun
 	}
-	if rq.reply != nil && rf.Outcome != core.NotRun {
-		rq.passReply(rf)
+	if rq.failure != nil && rf.Outcome != core.NotRun {
+		rq.forwardFailure(rf)
 		return
 	}
 	rq.refuse(rf)
 }
 
-func (rq *request) callerGone() {
+func (rq *request) finishCallerGone() {
 	rq.re.Stats.Refuse(core.ReasonCallerGone)
-	rq.re.Log.Info("The caller left.", rq.fields(zap.Duration("Took", time.Since(rq.began)))...)
-	if rq.begun {
+	rq.re.Log.Info("The caller left.", rq.logFields(zap.Duration("Took", time.Since(rq.began)))...)
+	if rq.headSent {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// cut breaks an answer off that has begun and will not be whole: the caller sees
+// abortResponse breaks an answer off that has begun and will not be whole: the caller sees
 // its connection end before the answer does.
-func (rq *request) cut(rf *core.Refusal) {
+func (rq *request) abortResponse(rf *core.Refusal) {
 	rq.re.Stats.Refuse(rf.Reason)
 	rq.re.Stats.Answer(rf.Outcome)
 	rq.re.Latency.Note(stats.FailedMs, time.Since(rq.began))
@@ -265,8 +265,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// fields are what decided where the request went.
-func (rq *request) fields(more ...zap.Field) []zap.Field {
+// logFields are what decided where the request went.
+func (rq *request) logFields(more ...zap.Field) []zap.Field {
 	fields := append(more, zap.String("Request", rq.id))
 	if rq.route != nil {
 		fields = append(fields, zap.String("Route", rq.route.Name), zap.Uint64("Version", uint64(rq.table.Version)))
@@ -278,10 +278,10 @@
 		fields = append(fields, zap.Stringer("Fingerprint", rq.fingerprint))
 	}
 	if rq.sends > 0 {
-		fields = append(fields, zap.Int("Sends", rq.sends), zap.Bool("Asked", rq.asked))
+		fields = append(fields, zap.Int("Sends", rq.sends), zap.Bool("Asked", rq.countAsked))
 	}
 	if rq.notice != (Notice{}) {
-		fields = append(fields, zap.Bool("EndpointLeaves", rq.notice.Leaving), zap.Int64("BackoffMs", rq.notice.Backoff.Milliseconds()))
+		fields = append(fields, zap.Bool("EndpointLeaves", rq.notice.Draining), zap.Int64("BackoffMs", rq.notice.Backoff.Milliseconds()))
 	}
 	if tk := rq.ticket; tk != nil {
 		fields = append(fields, zap.String("Endpoint", string(tk.Endpoint.ID)), zap.Float64("CostMs", math.Round(tk.CostMs)),
@@ -292,7 +292,7 @@
 				zap.Int64("Uncached", int64(tk.Uncached)), zap.Int64("Fetched", int64(tk.Fetched)), zap.String("FetchFrom", tk.FetchFrom))
 		}
 	}
-	return append(fields, zap.Duration("Age", rq.re.Age()))
+	return append(fields, zap.Duration("Age", rq.re.ViewAge()))
 }
 
 func (rq *request) refusalFields(rf *core.Refusal) []zap.Field {
@@ -300,7 +300,7 @@
 	if rf.Basis != "" {
 		basis = zap.String("Basis", rf.Basis)
 	}
-	return rq.fields(basis, zap.String("Outcome", rf.Outcome.String()), zap.String("Reason", string(rf.Reason)),
+	return rq.logFields(basis, zap.String("Outcome", rf.Outcome.String()), zap.String("Reason", string(rf.Reason)),
 		zap.String("Step", rf.Step), zap.String("Peer", rf.Peer), zap.String("Detail", rf.Detail),
 		zap.Duration("Took", time.Since(rq.began)))
 }
--- a/io/relay/answer.go
+++ b/io/relay/response.go
@@ -13,19 +13,19 @@
 // writeGrace is how long after a request's end its caller may still take bytes.
 const writeGrace = time.Second
 
-// passHead writes the head of an endpoint's answer. Its length is -1 if unknown.
-func (rq *request) passHead(status int, from http.Header, length int64) {
-	rq.begun = true
+// writeHead writes the head of an endpoint's answer. Its length is -1 if unknown.
+func (rq *request) writeHead(status int, from http.Header, length int64) {
+	rq.headSent = true
 	rq.status = status
-	rq.first = time.Now()
+	rq.firstWrite = time.Now()
 	hd := rq.wr.Header()
-	leaving := hd.Get("Connection")
+	connection := hd.Get("Connection")
 	for name, values := range from {
 		hd[name] = values
 	}
 	dropConnection(hd)
-	if leaving != "" {
-		hd.Set("Connection", leaving)
+	if connection != "" {
+		hd.Set("Connection", connection)
 	}
 	if length >= 0 {
 		hd.Set("Content-Length", strconv.FormatInt(length, 10))
@@ -34,20 +34,20 @@
 		hd["Content-Type"] = nil // keeps the server from guessing one
 	}
 	// Without a bound, a caller that reads nothing holds the endpoint's place.
-	_ = rq.control.SetWriteDeadline(rq.end.Add(writeGrace))
+	_ = rq.control.SetWriteDeadline(rq.deadline.Add(writeGrace))
 	rq.wr.WriteHeader(status)
 }
 
-// promises are the statuses that tell a caller that its request did not run. An
+// notRunStatuses are the statuses that tell a caller that its request did not run. An
 // endpoint that answers with one of them, but does not say so, has not promised.
-var promises = map[int]bool{
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// passReply passes an endpoint's failure on as it is.
-func (rq *request) passReply(rf *core.Refusal) {
-	if promises[rq.reply.status] {
+// forwardFailure passes an endpoint's failure on as it is.
+func (rq *request) forwardFailure(rf *core.Refusal) {
+	if notRunStatuses[rq.failure.status] {
 		rq.refuse(rf)
 		return
 	}
@@ -55,8 +55,8 @@
 	rq.re.Stats.Answer(rf.Outcome)
 	rq.re.Latency.Note(stats.FailedMs, time.Since(rq.began))
 	rq.re.Log.Info("Passed an endpoint's failure on.", rq.refusalFields(rf)...)
-	rq.passHead(rq.reply.status, rq.reply.header, int64(len(rq.reply.body)))
-	_, _ = rq.wr.Write(rq.reply.body) // a caller that left loses nothing by it
+	rq.writeHead(rq.failure.status, rq.failure.header, int64(len(rq.failure.body)))
+	_, _ = rq.wr.Write(rq.failure.body) // a caller that left loses nothing by it
 }
 
 // refuse answers in the endpoint's place.
@@ -86,13 +86,13 @@
 // retryAfter is when the caller may return, in seconds, spread so that those that
 // were refused together do not return together.
 func (rq *request) retryAfter(rf *core.Refusal) string {
-	const most = 1.4
-	least := 0.6
+	const maxSpread = 1.4
+	minSpread := 0.6
 	if rf.Reason == core.ReasonQuarantined || rf.Reason == core.ReasonBackoff {
-		least = 1 // sooner it would be refused again
+		minSpread = 1 // sooner it would be refused again
 	}
-	after := max(failedAfter, rf.RetryAfter).Seconds()
-	spread := least + (most-least)*rq.re.Rand.Float64()
+	after := max(defaultRetryAfter, rf.RetryAfter).Seconds()
+	spread := minSpread + (maxSpread-minSpread)*rq.re.Rand.Float64()
 	return strconv.FormatFloat(after*spread, 'f', 3, 64)
 }
 
--- a/io/relay/running_test.go
+++ b/io/relay/running_test.go
@@ -16,20 +16,20 @@
 // lines that tell how requests ended are never written; the on-call engineer looks for a
 // request by its id and has to find router, endpoint and time all the same. Requests that
 // end soon are told once, at their end.
-func TestRequestThatRunsForLongIsTold(t *testing.T) {
+func TestLongRunningRequestIsLogged(t *testing.T) {
 	core, lines := observer.New(zapcore.InfoLevel)
 	isRunning := func() []observer.LoggedEntry { return lines.FilterMessage("Is running.").All() }
-	holdUntilTold := func(*seen, net.Conn) bool {
+	holdUntilTold := func(*received, net.Conn) bool {
 		for deadline := time.Now().Add(2 * time.Second); len(isRunning()) == 0 && time.Now().Before(deadline); {
 			time.Sleep(10 * time.Millisecond)
 		}
 		return false
 	}
-	fl := newFleet(t, answer(http.StatusOK, "soon"), holdUntilTold)
+	fl := newFleet(t, respond(http.StatusOK, "soon"), holdUntilTold)
 	fl.re.Log = zap.New(core)
-	fl.serve(onceOnly)
+	fl.configure(onceOnly)
 	for len(isRunning()) == 0 && len(fl.requests()) < 20 { // until the second endpoint gets one
-		_, _, _ = fl.call("POST", "/r/x", "")
+		_, _, _ = fl.send("POST", "/r/x", "")
 	}
 	running := isRunning()
 	if len(running) != 1 {
--- a/io/relay/silence.go
+++ b/io/relay/stall.go
@@ -16,83 +16,83 @@
 // at another endpoint in good health, and its part of the budget.
 
 const (
-	// attemptPart is the part of the time left that an attempt gets which may be
+	// attemptShare is the part of the time left that an attempt gets which may be
 	// repeated: the rest has to do for the next one.
-	attemptPart = 0.45
+	attemptShare = 0.45
 	// stallGaps and leastStall bound the silence of a stream that may go on
 	// elsewhere: a few times the pause that callers take for on time, below the
 	// two seconds after which they give up.
-	stallGaps  = 4
-	leastStall = time.Second
-	// silenceAgain is when room elsewhere is looked for again: calls end within
+	stallGaps       = 4
+	minStallTimeout = time.Second
+	// reserveRetryInterval is when room elsewhere is looked for again: calls end within
 	// hundreds of milliseconds.
-	silenceAgain = 200 * time.Millisecond
+	reserveRetryInterval = 200 * time.Millisecond
 )
 
-// silence watches an attempt that may be given up for another. The zero value watches
+// stallTimer watches an attempt that may be given up for another. The zero value watches
 // nothing.
-type silence struct {
-	ex       *exchange
-	patience time.Duration
-	timer    *time.Timer
+type stallTimer struct {
+	ex      *exchange
+	timeout time.Duration
+	timer   *time.Timer
 
 	mu sync.Mutex // guards all below
-	// next is reserved for the next attempt, which this one was given up for.
-	next *place.Ticket
-	over bool
+	// reserved is reserved for the next attempt, which this one was given up for.
+	reserved *place.Ticket
+	stopped  bool
 }
 
-// patience is how long the endpoint may be silent before another is tried; 0 if
+// stallTimeout is how long the endpoint may be silent before another is tried; 0 if
 // none will be.
-func (ex *exchange) patience() time.Duration {
+func (ex *exchange) stallTimeout() time.Duration {
 	rq := ex.rq
 	if !rq.route.MayRepeat() || rq.sends >= rq.route.MaxAttempts {
 		return 0
 	}
 	if rq.route.Kind == route.Stream {
-		return max(leastStall, stallGaps*rq.route.GapGoal)
+		return max(minStallTimeout, stallGaps*rq.route.GapGoal)
 	}
-	return time.Duration(attemptPart * float64(time.Until(rq.end)))
+	return time.Duration(attemptShare * float64(time.Until(rq.deadline)))
 }
 
 // start begins to watch, if the attempt may be given up at all.
-func (si *silence) start(ex *exchange) {
+func (si *stallTimer) start(ex *exchange) {
 	si.mu.Lock() // fire needs the timer
 	defer si.mu.Unlock()
-	if si.patience = ex.patience(); si.patience > 0 {
+	if si.timeout = ex.stallTimeout(); si.timeout > 0 {
 		si.ex = ex
-		si.timer = time.AfterFunc(si.patience, si.fire)
+		si.timer = time.AfterFunc(si.timeout, si.expire)
 	}
 }
 
-// heard begins the patience anew.
-func (si *silence) heard() {
+// reset begins the patience anew.
+func (si *stallTimer) reset() {
 	if si.timer != nil {
-		si.timer.Reset(si.patience)
+		si.timer.Reset(si.timeout)
 	}
 }
 
-// end stops watching. It returns what was reserved, nil if the attempt was not given up.
-func (si *silence) end() *place.Ticket {
+// stop stops watching. It returns what was reserved, nil if the attempt was not given up.
+func (si *stallTimer) stop() *place.Ticket {
 	if si.timer == nil {
 		return nil
 	}
 	si.timer.Stop()
 	si.mu.Lock()
 	defer si.mu.Unlock()
-	si.over = true
-	return si.next
+	si.stopped = true
+	return si.reserved
 }
 
-// fire gives the attempt up if another can be reserved.
-func (si *silence) fire() {
+// expire gives the attempt up if another can be reserved.
+func (si *stallTimer) expire() {
 	si.mu.Lock()
 	defer si.mu.Unlock()
-	if si.over || si.next != nil {
+	if si.stopped || si.reserved != nil {
 		return
 	}
-	if si.next = si.ex.rq.reserve(si.ex.tk); si.next == nil {
-		si.timer.Reset(silenceAgain)
+	if si.reserved = si.ex.rq.reserve(si.ex.tk); si.reserved == nil {
+		si.timer.Reset(reserveRetryInterval)
 		return
 	}
 	si.ex.co.Interrupt()
@@ -102,7 +102,7 @@
 // endpoint in good health has room or the budget is spent. It runs beside the request's
 // own goroutine, which changes nothing of what it reads during an attempt.
 func (rq *request) reserve(current *place.Ticket) *place.Ticket {
-	as := rq.ask()
+	as := rq.placementAsk()
 	as.Tried = append(slices.Clone(rq.tried), current.Endpoint.ID)
 	as.Healthy = true
 	now := time.Now()
--- a/io/relay/stream.go
+++ b/io/relay/stream.go
@@ -14,74 +14,74 @@
 
 const (
 	readSize = 8 << 10
-	// mostEvent bounds an event, which is held until it is whole.
-	mostEvent = 1 << 20
+	// maxEventSize bounds an event, which is held until it is whole.
+	maxEventSize = 1 << 20
 )
 
 var (
-	buffers  = sync.Pool{New: func() any { return new([readSize]byte) }}
-	eventEnd = []byte("\n\n")
-	idField  = []byte("id:")
+	readBuffers = sync.Pool{New: func() any { return new([readSize]byte) }}
+	eventEnd    = []byte("\n\n")
+	idField     = []byte("id:")
 
 	errEventTooLarge = errors.New("an event is larger than a megabyte")
 )
 
-// passStream passes events on, as many at a time as have arrived whole: an
+// forwardStream passes events on, as many at a time as have arrived whole: an
 // endpoint may break off within one, and the stream then goes on elsewhere
 // behind the last whole one.
-func (ex *exchange) passStream(ctx context.Context) (*core.Refusal, place.Result) {
-	buffer := buffers.Get().(*[readSize]byte)
-	defer buffers.Put(buffer)
-	var held []byte
+func (ex *exchange) forwardStream(ctx context.Context) (*core.Refusal, place.Result) {
+	buffer := readBuffers.Get().(*[readSize]byte)
+	defer readBuffers.Put(buffer)
+	var pending []byte
 	for {
 		count, err := ex.rs.Body.Read(buffer[:])
 		if count > 0 {
-			ex.heard()
-			held = append(held, buffer[:count]...)
-			cut := bytes.LastIndex(held, eventEnd) + len(eventEnd)
-			if cut >= len(eventEnd) {
-				if werr := ex.rq.passEvents(ex, held[:cut]); werr != nil {
-					return ex.fail(core.Unknown, core.ReasonCallerGone, "write", werr), place.Neutral
+			ex.received()
+			pending = append(pending, buffer[:count]...)
+			end := bytes.LastIndex(pending, eventEnd) + len(eventEnd)
+			if end >= len(eventEnd) {
+				if werr := ex.rq.forwardEvents(ex, pending[:end]); werr != nil {
+					return ex.refusal(core.Unknown, core.ReasonCallerGone, "write", werr), place.Neutral
 				}
-				held = append(held[:0], held[cut:]...)
+				pending = append(pending[:0], pending[end:]...)
 			}
 		}
 		switch {
-		case err == nil && len(held) > mostEvent:
-			return ex.fail(core.Failed, core.ReasonEndpointError, "read", errEventTooLarge), place.Failed
+		case err == nil && len(pending) > maxEventSize:
+			return ex.refusal(core.Failed, core.ReasonEndpointError, "read", errEventTooLarge), place.Failed
 		case err == nil:
 			continue
 		case errors.Is(err, io.EOF):
-			return ex.endStream(held)
+			return ex.finishStream(pending)
 		}
-		return ex.broken(ctx, "read", err)
+		return ex.classifyError(ctx, "read", err)
 	}
 }
 
-// endStream ends a stream that the endpoint ended properly.
-func (ex *exchange) endStream(rest []byte) (*core.Refusal, place.Result) {
-	if len(rest) > 0 || !ex.rq.begun {
-		if err := ex.rq.passEvents(ex, rest); err != nil {
-			return ex.fail(core.Unknown, core.ReasonCallerGone, "write", err), place.Neutral
+// finishStream ends a stream that the endpoint ended properly.
+func (ex *exchange) finishStream(rest []byte) (*core.Refusal, place.Result) {
+	if len(rest) > 0 || !ex.rq.headSent {
+		if err := ex.rq.forwardEvents(ex, rest); err != nil {
+			return ex.refusal(core.Unknown, core.ReasonCallerGone, "write", err), place.Neutral
 		}
 	}
-	ex.keep()
+	ex.returnConn()
 	return nil, place.Served
 }
 
-// passEvents writes whole events to the caller at once.
-func (rq *request) passEvents(ex *exchange, events []byte) error {
-	if !rq.begun {
-		rq.passHead(ex.rs.StatusCode, ex.rs.Header, -1)
+// forwardEvents writes whole events to the caller at once.
+func (rq *request) forwardEvents(ex *exchange, events []byte) error {
+	if !rq.headSent {
+		rq.writeHead(ex.rs.StatusCode, ex.rs.Header, -1)
 	}
 	if id := lastID(events); id != "" {
 		rq.lastEvent = id
 	}
 	now := time.Now()
-	if !rq.wrote.IsZero() {
-		rq.gap = max(rq.gap, now.Sub(rq.wrote))
+	if !rq.lastWrite.IsZero() {
+		rq.longestGap = max(rq.longestGap, now.Sub(rq.lastWrite))
 	}
-	rq.wrote = now
+	rq.lastWrite = now
 	if _, err := rq.wr.Write(events); err != nil {
 		return err
 	}
--- a/io/relay/stream_test.go
+++ b/io/relay/stream_test.go
@@ -18,32 +18,32 @@
 	resumable = route.Route{Kind: route.Stream, MaxAttempts: 2, GapGoal: 100 * time.Millisecond, Resumable: true}
 )
 
-// events writes a stream's head and some of its events in chunks.
-func events(se *seen, co net.Conn, from, to int) {
-	_, _ = fmt.Fprintf(co, "HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s%d\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", se.at)
+// writeEvents writes a stream's head and some of its events in chunks.
+func writeEvents(se *received, co net.Conn, from, to int) {
+	_, _ = fmt.Fprintf(co, "HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s%d\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", se.endpoint)
 	for id := from; id <= to; id++ {
-		chunk(co, fmt.Sprintf("id: %d\ndata: token %d\n\n", id, id))
+		writeChunk(co, fmt.Sprintf("id: %d\ndata: token %d\n\n", id, id))
 	}
 }
 
-func chunk(co net.Conn, text string) { _, _ = fmt.Fprintf(co, "%x\r\n%s\r\n", len(text), text) }
+func writeChunk(co net.Conn, text string) { _, _ = fmt.Fprintf(co, "%x\r\n%s\r\n", len(text), text) }
 
-func end(co net.Conn) { _, _ = io.WriteString(co, "0\r\n\r\n") }
+func endChunks(co net.Conn) { _, _ = io.WriteString(co, "0\r\n\r\n") }
 
 // silentAfterTwo sends two events and falls silent; to whoever has these, it sends the
 // other three.
-func silentAfterTwo(se *seen, co net.Conn) bool {
-	if se.head.Header.Get("Last-Event-Id") == "2" {
-		events(se, co, 3, 5)
-		end(co)
+func silentAfterTwo(se *received, co net.Conn) bool {
+	if se.request.Header.Get("Last-Event-Id") == "2" {
+		writeEvents(se, co, 3, 5)
+		endChunks(co)
 		return true
 	}
-	events(se, co, 1, 2)
+	writeEvents(se, co, 1, 2)
 	<-se.closed
 	return false
 }
 
-func all(from, to int) string {
+func eventText(from, to int) string {
 	var out strings.Builder
 	for id := from; id <= to; id++ {
 		fmt.Fprintf(&out, "id: %d\ndata: token %d\n\n", id, id)
@@ -52,29 +52,29 @@
 }
 
 func TestStreamArrivesWhole(t *testing.T) {
-	fl := newFleet(t, func(se *seen, co net.Conn) bool {
-		events(se, co, 1, 50)
-		end(co)
+	fl := newFleet(t, func(se *received, co net.Conn) bool {
+		writeEvents(se, co, 1, 50)
+		endChunks(co)
 		return true
-	}).serve(stream)
+	}).configure(stream)
 	for range 3 {
-		_, body, err := fl.call("POST", "/r/x", "hello")
-		if err != nil || body != all(1, 50) {
+		_, body, err := fl.send("POST", "/r/x", "hello")
+		if err != nil || body != eventText(1, 50) {
 			t.Fatalf("%q %v", body, err)
 		}
 	}
 }
 
 // Events are to reach the caller as they are made, not when the answer is over.
-func TestEventsArriveAsTheyAreMade(t *testing.T) {
+func TestEventsAreFlushedImmediately(t *testing.T) {
 	next := make(chan struct{})
-	fl := newFleet(t, func(se *seen, co net.Conn) bool {
-		events(se, co, 1, 1)
+	fl := newFleet(t, func(se *received, co net.Conn) bool {
+		writeEvents(se, co, 1, 1)
 		<-next
-		chunk(co, "id: 2\ndata: token 2\n\n")
-		end(co)
+		writeChunk(co, "id: 2\ndata: token 2\n\n")
+		endChunks(co)
 		return true
-	}).serve(stream)
+	}).configure(stream)
 	rq, _ := http.NewRequest("POST", fl.front.URL+"/r/x", nil)
 	rq.Header.Set("X-Key", "k")
 	rq.Header.Set("X-Id", "id-1")
@@ -96,22 +96,22 @@
 
 // An endpoint dies in the middle of an event. A stream that may not be resumed breaks
 // off; the caller must see that it is not whole.
-func TestBrokenStreamDoesNotLookWhole(t *testing.T) {
+func TestTruncatedStreamIsVisible(t *testing.T) {
 	for name, cut := range map[string]func(co net.Conn){
 		"between events":     func(net.Conn) {},
-		"within an event":    func(co net.Conn) { chunk(co, "id: 4\nda") },
+		"within an event":    func(co net.Conn) { writeChunk(co, "id: 4\nda") },
 		"within a chunk":     func(co net.Conn) { _, _ = io.WriteString(co, "ff\r\nid: 4\n") },
 		"before the end":     func(co net.Conn) { _, _ = io.WriteString(co, "0\r\n") },
 		"with nonsense":      func(co net.Conn) { _, _ = io.WriteString(co, "what?\r\n") },
 		"reset by the other": func(co net.Conn) { _ = co.(*net.TCPConn).SetLinger(0) },
 	} {
-		fl := newFleet(t, func(se *seen, co net.Conn) bool {
-			events(se, co, 1, 3)
+		fl := newFleet(t, func(se *received, co net.Conn) bool {
+			writeEvents(se, co, 1, 3)
 			time.Sleep(20 * time.Millisecond)
 			cut(co)
 			return false
-		}).serve(stream)
-		_, body, err := fl.call("POST", "/r/x", "hello")
+		}).configure(stream)
+		_, body, err := fl.send("POST", "/r/x", "hello")
 		if err == nil {
 			t.Errorf("%s: looks whole: %q", name, body)
 		}
@@ -123,39 +123,39 @@
 
 // The same with a stream that may be resumed: another endpoint goes on behind the last
 // whole event, and the caller sees one stream without a gap or a repetition.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
-	script := func(se *seen, co net.Conn) bool {
-		if last := se.head.Header.Get("Last-Event-Id"); last == "3" {
-			events(se, co, 4, 9)
-			end(co)
+func TestBrokenStreamResumesElsewhere(t *testing.T) {
+	script := func(se *received, co net.Conn) bool {
+		if last := se.request.Header.Get("Last-Event-Id"); last == "3" {
+			writeEvents(se, co, 4, 9)
+			endChunks(co)
 			return true
 		} else if last != "" {
 			t.Errorf("resumed behind %s, want 3", last)
 		}
-		events(se, co, 1, 3)
-		chunk(co, "id: 4\nda")
+		writeEvents(se, co, 1, 3)
+		writeChunk(co, "id: 4\nda")
 		time.Sleep(20 * time.Millisecond)
 		return false
 	}
-	fl := newFleet(t, script, script).serve(resumable)
-	rs, body, err := fl.call("POST", "/r/x", "hello")
+	fl := newFleet(t, script, script).configure(resumable)
+	rs, body, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, 200, 2)
-	if body != all(1, 9) {
+	if body != eventText(1, 9) {
 		t.Errorf("the caller got %q", body)
 	}
-	if first := fl.requests()[0].at; rs.Header.Get("X-Stamp") != fmt.Sprint("s", first) {
+	if first := fl.requests()[0].endpoint; rs.Header.Get("X-Stamp") != fmt.Sprint("s", first) {
 		t.Errorf("stamp %s, want that of the first endpoint, %d", rs.Header.Get("X-Stamp"), first)
 	}
 }
 
 // An endpoint falls silent within a stream, its connection open. The stream goes on
 // elsewhere before the caller gives up, and the first endpoint is stopped.
-func TestStalledStreamGoesOnElsewhere(t *testing.T) {
-	fl := newFleet(t, silentAfterTwo, silentAfterTwo).serve(resumable)
+func TestStalledStreamResumesElsewhere(t *testing.T) {
+	fl := newFleet(t, silentAfterTwo, silentAfterTwo).configure(resumable)
 	began := time.Now()
-	rs, body, err := fl.call("POST", "/r/x", "hello")
+	rs, body, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, 200, 2)
-	if body != all(1, 5) || time.Since(began) > 2*time.Second {
+	if body != eventText(1, 5) || time.Since(began) > 2*time.Second {
 		t.Errorf("%q after %s", body, time.Since(began))
 	}
 	waitClosed(t, fl.requests()[0])
@@ -163,14 +163,14 @@
 
 // A caller resumes a stream itself after its connection broke; where it stopped is
 // passed on.
-func TestCallersResumptionIsPassedOn(t *testing.T) {
-	fl := newFleet(t, func(se *seen, co net.Conn) bool {
-		events(se, co, 8, 9)
-		end(co)
+func TestCallerResumptionIsForwarded(t *testing.T) {
+	fl := newFleet(t, func(se *received, co net.Conn) bool {
+		writeEvents(se, co, 8, 9)
+		endChunks(co)
 		return true
-	}).serve(resumable)
-	_, body, err := fl.call("POST", "/r/x", "", "Last-Event-Id", "7")
-	if err != nil || body != all(8, 9) || fl.requests()[0].head.Header.Get("Last-Event-Id") != "7" {
+	}).configure(resumable)
+	_, body, err := fl.send("POST", "/r/x", "", "Last-Event-Id", "7")
+	if err != nil || body != eventText(8, 9) || fl.requests()[0].request.Header.Get("Last-Event-Id") != "7" {
 		t.Errorf("%q %v", body, err)
 	}
 }
@@ -178,28 +178,28 @@
 // An answer without a length ends with its connection; it is whole if that closes in
 // order.
 func TestUnframedStreamEndsWithItsConnection(t *testing.T) {
-	fl := newFleet(t, func(se *seen, co net.Conn) bool {
-		_, _ = fmt.Fprintf(co, "HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s0\r\nContent-Type: text/event-stream\r\n\r\n%s", all(1, 3))
+	fl := newFleet(t, func(se *received, co net.Conn) bool {
+		_, _ = fmt.Fprintf(co, "HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s0\r\nContent-Type: text/event-stream\r\n\r\n%s", eventText(1, 3))
 		return false
-	}).serve(stream)
-	_, body, err := fl.call("POST", "/r/x", "")
-	if err != nil || body != all(1, 3) {
+	}).configure(stream)
+	_, body, err := fl.send("POST", "/r/x", "")
+	if err != nil || body != eventText(1, 3) {
 		t.Errorf("%q %v", body, err)
 	}
 }
 
 // The route's time is over in the middle of a stream.
-func TestTimeoutWithinAStream(t *testing.T) {
+func TestRouteTimeoutDuringStream(t *testing.T) {
 	ro := stream
 	ro.Timeout = 300 * time.Millisecond
-	fl := newFleet(t, func(se *seen, co net.Conn) bool {
-		events(se, co, 1, 2)
+	fl := newFleet(t, func(se *received, co net.Conn) bool {
+		writeEvents(se, co, 1, 2)
 		<-se.closed
 		return false
-	}).serve(ro)
+	}).configure(ro)
 	began := time.Now()
-	_, body, err := fl.call("POST", "/r/x", "")
-	if err == nil || body != all(1, 2) || time.Since(began) > time.Second {
+	_, body, err := fl.send("POST", "/r/x", "")
+	if err == nil || body != eventText(1, 2) || time.Since(began) > time.Second {
 		t.Errorf("%q, %v after %s; want two events and a broken connection", body, err, time.Since(began))
 	}
 	waitClosed(t, fl.requests()[0])
--- a/io/relay/withdrawn_test.go
+++ b/io/relay/withdrawn_test.go
@@ -19,7 +19,7 @@
 func (fl *fleet) beforeSending(hook func()) {
 	front := httptest.NewUnstartedServer(fl.re)
 	front.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return relay.WithClosed(ctx, func() bool {
+		return relay.WithConnClosed(ctx, func() bool {
 			hook()
 			return false
 		})
@@ -32,7 +32,7 @@
 
 // Guards against a request that is sent on a choice made before its zone was evacuated or its
 // endpoint drained: it goes elsewhere, also where it must not repeat.
-func TestRequestIsNotSentOnAnOldChoice(t *testing.T) {
+func TestRequestIsNotSentOnStalePlacement(t *testing.T) {
 	for name, change := range map[string]func(pl *place.Placer){
 		"evacuated": func(pl *place.Placer) { pl.Evacuate(time.Now(), "a", time.Now()) },
 		"drains": func(pl *place.Placer) {
@@ -41,8 +41,8 @@
 		"gone": func(pl *place.Placer) { pl.Remove("e0") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			fl := newFleet(t, answer(http.StatusOK, "zone a")).serve(onceOnly)
-			other := fl.endpoint(1, answer(http.StatusOK, "zone b"))
+			fl := newFleet(t, respond(http.StatusOK, "zone a")).configure(onceOnly)
+			other := fl.startEndpoint(1, respond(http.StatusOK, "zone b"))
 			changed := false
 			fl.beforeSending(func() {
 				if changed {
@@ -52,7 +52,7 @@
 				change(fl.re.Placer)
 				fl.re.Placer.Register(time.Now(), place.Endpoint{ID: "e1", Addr: other, Pool: "pool", Zone: "b", Slots: 8})
 			})
-			rs, body, err := fl.call("POST", "/r/x", "hello")
+			rs, body, err := fl.send("POST", "/r/x", "hello")
 			fl.expect(rs, err, http.StatusOK, 1)
 			if body != "zone b" {
 				t.Errorf("the caller got %q", body)
@@ -63,11 +63,11 @@
 
 // Guards against a caller that is told a wrong outcome, or waits, when nothing is left to send
 // its request to: refused at once, as not run, for the evacuation.
-func TestRequestWithoutAnyZoneLeftIsRefused(t *testing.T) {
-	fl := newFleet(t, answer(http.StatusOK, "ok")).serve(onceOnly)
+func TestRequestIsRefusedAfterEvacuation(t *testing.T) {
+	fl := newFleet(t, respond(http.StatusOK, "ok")).configure(onceOnly)
 	fl.beforeSending(func() { fl.re.Placer.Evacuate(time.Now(), "a", time.Now()) })
 	began := time.Now()
-	rs, body, err := fl.call("POST", "/r/x", "hello")
+	rs, body, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 	if !strings.Contains(body, string(core.ReasonEvacuated)) || rs.Header.Get("Retry-After") == "" || time.Since(began) > time.Second {
 		t.Errorf("after %s: %s", time.Since(began), body)
