--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -41,12 +41,12 @@
 	"almondrill/io/clock"
 	"almondrill/io/conf"
 	"almondrill/io/conns"
-	"almondrill/io/feeds"
 	"almondrill/io/gossip"
 	"almondrill/io/guard"
 	"almondrill/io/logs"
 	"almondrill/io/relay"
 	"almondrill/io/stats"
+	"almondrill/io/watch"
 )
 
 // Platform is what a router needs of the platform it runs on.
@@ -112,7 +112,7 @@
 	budget  *retry.Window
 	pool    *conns.Pool
 	relay   *relay.Relay
-	reader  *feeds.Reader
+	reader  *watch.Reader
 	peers   *gossip.Group
 	guard   *guard.Controller
 	view    *view
@@ -176,9 +176,9 @@
 	}
 	pr.peers.Placer, pr.peers.InForce = pr.placer, pr.inForce
 	pr.budget = &retry.Window{Ratio: se.RetryRatio, Slack: se.RetrySlack, Span: se.RetrySpan, Routers: pr.peers.Routers}
-	pr.reader = &feeds.Reader{Feed: pr.Platform, Mirror: pr.mirror, Rand: pr.rand, Log: pr.Logs.Part("feeds")}
+	pr.reader = &watch.Reader{Feed: pr.Platform, Mirror: pr.mirror, Rand: pr.rand, Log: pr.Logs.Part("feeds")}
 	pr.reader.Init()
-	pr.reader.Leads, pr.reader.Patience, pr.reader.DoubtFor = pr.peers.Leads, pr.peers.Patience, se.ReturnDelay+returnMargin
+	pr.reader.IsWatcher, pr.reader.TakeoverDelay, pr.reader.GracePeriod = pr.peers.Leads, pr.peers.Patience, se.ReturnDelay+returnMargin
 	pr.peers.Feed = pr.reader
 	pr.guard = &guard.Controller{
 		Ledger: &guard.Ledger{Peers: pr.peers, Store: pr.Platform, Stats: pr.Stats, Log: pr.Logs.Part("guard")},
@@ -192,7 +192,7 @@
 	}
 	pr.relay.Memory.Limit = int64(heldPart * float64(se.MemoryMB) * (1 << 20))
 	pr.view = &view{pr: pr, log: pr.Logs.Part("view"), zones: newZones()}
-	pr.mirror.Changed, pr.mirror.Restored = pr.view.changed, pr.reader.Restored
+	pr.mirror.Changed, pr.mirror.Restored = pr.view.changed, pr.reader.NoteRestore
 	pr.seed()
 	pr.publish()
 }
--- a/io/entry/view.go
+++ b/io/entry/view.go
@@ -159,7 +159,7 @@
 	gone, was := vi.departed[ep.ID]
 	delete(vi.departed, ep.ID)
 	delete(vi.returned, ep.ID)
-	if !was || gone.start != ep.Start || !vi.pr.reader.RestoredLately() {
+	if !was || gone.start != ep.Start || !vi.pr.reader.RecentlyRestored() {
 		return
 	}
 	vi.log.Info("Endpoint is back, perhaps from a copy of the store.", zap.String("Endpoint", string(ep.ID)))
@@ -267,7 +267,7 @@
 	if _, was := vi.known[id]; !was {
 		return
 	}
-	doubted := vi.pr.reader.Doubtful()
+	doubted := vi.pr.reader.Uncertain()
 	vi.log.Info("Endpoint's registration is gone.", zap.String("Endpoint", string(id)),
 		zap.Stringer("Rev", rev), zap.Bool("Doubted", doubted))
 	if !doubted || vi.returned[id].ID == id {
@@ -302,10 +302,10 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			if !vi.pr.reader.Doubtful() {
+			if !vi.pr.reader.Uncertain() {
 				vi.removeMissing()
 			}
-			if !vi.pr.reader.RestoredLately() {
+			if !vi.pr.reader.RecentlyRestored() {
 				vi.acceptReturned()
 				vi.settleEvacuations()
 			}
--- a/io/entry/zones.go
+++ b/io/entry/zones.go
@@ -38,7 +38,7 @@
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
 	he := heardOf{rev, time.Now()}
-	doubted := vi.pr.reader.PerhapsLost(rev)
+	doubted := vi.pr.reader.MaybeRolledBack(rev)
 	fields := []zap.Field{zap.String("Zone", string(ev.Zone)), zap.Stringer("Rev", rev), zap.Duration("Age", vi.pr.reader.Age())}
 	switch {
 	case ev.Ended && doubted:
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -136,9 +136,9 @@
 	// Failing tells whether the own calls fail, Silent whether they fail or nothing has
 	// come for longer than it takes as a rule.
 	Failing() bool
-	Silent() bool
-	// Followed is how long ago an own call was answered.
-	Followed() time.Duration
+	Unresponsive() bool
+	// OwnAge is how long ago an own call was answered.
+	OwnAge() time.Duration
 }
 
 // Group is the routers that this one knows. Set the exported fields before use.
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -35,10 +35,10 @@
 		fe.confirmed.Store(at)
 	}
 }
-func (fe *feed) Failing() bool { return fe.failing.Load() }
-func (fe *feed) Silent() bool  { return fe.failing.Load() }
+func (fe *feed) Failing() bool      { return fe.failing.Load() }
+func (fe *feed) Unresponsive() bool { return fe.failing.Load() }
 
-func (fe *feed) Followed() time.Duration { return time.Hour }
+func (fe *feed) OwnAge() time.Duration { return time.Hour }
 
 // router is a peer on loopback, with its datagrams and its news on one port.
 type router struct {
--- a/io/gossip/items.go
+++ b/io/gossip/items.go
@@ -142,7 +142,7 @@
 // come then.
 func (gr *Group) catchUp(ctx context.Context) {
 	own := gr.Mirror.AsOf()
-	if own == 0 && !gr.Feed.Silent() {
+	if own == 0 && !gr.Feed.Unresponsive() {
 		// The own listing is on its way. Where hundreds start at once, the first that
 		// knows anything would be asked for all of it by all others.
 		return
--- a/io/gossip/lead.go
+++ b/io/gossip/lead.go
@@ -37,13 +37,13 @@
 
 // followers are the routers that ask the store, as far as is known here. The lock is held.
 func (gr *Group) followers(now time.Time) []elect.Watcher {
-	gr.leaders.Apply(now, []elect.Watcher{{Hash: gr.hash(), At: now.Add(-gr.Feed.Followed())}})
+	gr.leaders.Apply(now, []elect.Watcher{{Hash: gr.hash(), At: now.Add(-gr.Feed.OwnAge())}})
 	return gr.leaders.Elected(now)
 }
 
 // Leads tells whether this router is to ask the store on behalf of all.
 func (gr *Group) Leads() bool {
-	followed := gr.Feed.Followed()
+	followed := gr.Feed.OwnAge()
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	now := time.Now()
--- a/io/feeds/store_test.go
+++ b/io/watch/fakestore_test.go
@@ -1,4 +1,4 @@
-package feeds_test
+package watch_test
 
 import (
 	"context"
@@ -13,38 +13,38 @@
 	"almondrill/core"
 	"almondrill/core/mirror"
 	"almondrill/io/clock"
-	"almondrill/io/feeds"
+	"almondrill/io/watch"
 )
 
 // store is a store on virtual time.
 type store struct {
-	mu        sync.Mutex // guards all below
-	items     map[string]core.Item
-	changes   []core.Item
-	rev       core.Version
-	compacted core.Version
+	mu           sync.Mutex // guards all below
+	items        map[string]core.Item
+	changes      []core.Item
+	rev          core.Version
+	compactedRev core.Version
 	// down makes calls fail, silent makes them hang.
-	down, silent bool
-	lists, waits int
-	// asked counts all calls, those without an answer too.
-	asked int
+	down, hanging         bool
+	listCalls, watchCalls int
+	// calls counts all calls, those without an answer too.
+	calls int
 	woken chan struct{}
-	// parts are those of a listing; each takes the link to the store for a tenth of a
+	// pages are those of a listing; each takes the link to the store for a tenth of a
 	// second.
-	parts int
+	pages int
 	link  link
 }
 
 // link carries one thing at a time. A channel, as virtual time stands still at a mutex.
-type link struct{ turn chan struct{} }
+type link struct{ busy chan struct{} }
 
-func (li *link) use(ctx context.Context, lasting time.Duration) error {
+func (li *link) transfer(ctx context.Context, lasting time.Duration) error {
 	select {
-	case li.turn <- struct{}{}:
+	case li.busy <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-li.turn }()
+	defer func() { <-li.busy }()
 	select {
 	case <-time.After(lasting):
 		return nil
@@ -72,7 +72,7 @@
 	}
 }
 
-func (st *store) change(fn func()) {
+func (st *store) withLock(fn func()) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	fn()
@@ -80,11 +80,11 @@
 
 var errDown = errors.New("store is down")
 
-// trouble fails or hangs as it is told to.
-func (st *store) trouble(ctx context.Context) error {
+// injectFault fails or hangs as it is told to.
+func (st *store) injectFault(ctx context.Context) error {
 	st.mu.Lock()
-	st.asked++
-	down, silent := st.down, st.silent
+	st.calls++
+	down, silent := st.down, st.hanging
 	st.mu.Unlock()
 	if silent {
 		<-ctx.Done()
@@ -97,18 +97,18 @@
 }
 
 func (st *store) All(ctx context.Context, _ bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
-	if err := st.trouble(ctx); err != nil {
+	if err := st.injectFault(ctx); err != nil {
 		return nil, 0, err
 	}
-	for range st.parts {
-		if err := st.link.use(ctx, 100*time.Millisecond); err != nil {
+	for range st.pages {
+		if err := st.link.transfer(ctx, 100*time.Millisecond); err != nil {
 			return nil, 0, err
 		}
 		heard(nil)
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.lists++
+	st.listCalls++
 	var all []core.Item
 	for _, it := range st.items {
 		all = append(all, it)
@@ -117,11 +117,11 @@
 }
 
 func (st *store) Changes(ctx context.Context, after core.Version, wait time.Duration) ([]core.Item, core.Version, error) {
-	if err := st.trouble(ctx); err != nil {
+	if err := st.injectFault(ctx); err != nil {
 		return nil, 0, err
 	}
 	st.mu.Lock()
-	st.waits++
+	st.watchCalls++
 	woken := st.woken
 	st.mu.Unlock()
 	if news, rev, err := st.since(after); len(news) > 0 || err != nil {
@@ -139,7 +139,7 @@
 func (st *store) since(after core.Version) ([]core.Item, core.Version, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if after < st.compacted {
+	if after < st.compactedRev {
 		return nil, 0, core.ErrCompacted
 	}
 	var news []core.Item
@@ -151,19 +151,19 @@
 	return news, st.rev, nil
 }
 
-// follow runs a Reader on virtual time.
-func follow(t *testing.T, st *store, leads func() bool, test func(rd *feeds.Reader, mi *mirror.Mirror)) {
+// runReader runs a Reader on virtual time.
+func runReader(t *testing.T, st *store, leads func() bool, test func(rd *watch.Reader, mi *mirror.Mirror)) {
 	mi := &mirror.Mirror{}
-	followFeed(t, st, st, mi, leads, func(rd *feeds.Reader) { test(rd, mi) })
+	runReaderOn(t, st, st, mi, leads, func(rd *watch.Reader) { test(rd, mi) })
 }
 
-// followFeed is follow with a feed of one's own before the store.
-func followFeed(t *testing.T, feed core.Feed, st *store, mi *mirror.Mirror, leads func() bool, test func(rd *feeds.Reader)) {
+// runReaderOn is follow with a feed of one's own before the store.
+func runReaderOn(t *testing.T, feed core.Feed, st *store, mi *mirror.Mirror, leads func() bool, test func(rd *watch.Reader)) {
 	synctest.Test(t, func(t *testing.T) {
 		st.woken = make(chan struct{}) // made here, to be of the test's virtual time
-		st.link.turn = make(chan struct{}, 1)
-		rd := &feeds.Reader{
-			Feed: feed, Mirror: mi, Rand: clock.NewRand(1), Log: zap.NewNop(), Leads: leads, DoubtFor: 2 * time.Second,
+		st.link.busy = make(chan struct{}, 1)
+		rd := &watch.Reader{
+			Feed: feed, Mirror: mi, Rand: clock.NewRand(1), Log: zap.NewNop(), IsWatcher: leads, GracePeriod: 2 * time.Second,
 		}
 		rd.Init()
 		ctx, cancel := context.WithCancel(t.Context())
--- a/io/feeds/feeds_test.go
+++ b/io/watch/reader_test.go
@@ -1,4 +1,4 @@
-package feeds_test
+package watch_test
 
 import (
 	"context"
@@ -17,12 +17,12 @@
 	"almondrill/core"
 	"almondrill/core/mirror"
 	"almondrill/io/clock"
-	"almondrill/io/feeds"
+	"almondrill/io/watch"
 )
 
-func TestChangesArriveAtOnce(t *testing.T) {
+func TestChangesArriveImmediately(t *testing.T) {
 	st := newStore()
-	follow(t, st, always, func(rd *feeds.Reader, mi *mirror.Mirror) {
+	runReader(t, st, always, func(rd *watch.Reader, mi *mirror.Mirror) {
 		st.set("a", false)
 		time.Sleep(10 * time.Millisecond)
 		if mi.AsOf() != 1 || rd.Age() > 20*time.Millisecond {
@@ -35,10 +35,10 @@
 	})
 }
 
-// paged is a store whose listing comes in two pages, the second a second after the first.
-type paged struct{ *store }
+// pagedStore is a store whose listing comes in two pages, the second a second after the first.
+type pagedStore struct{ *store }
 
-func (pa *paged) All(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
+func (pa *pagedStore) All(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
 	all, rev, err := pa.store.All(ctx, stale, heard)
 	if err != nil {
 		return nil, 0, err
@@ -56,14 +56,14 @@
 // All routers start at once before thousands of registrations, and the listing takes seconds
 // for each. The first page holds the configuration and some endpoints: callers would be
 // refused until the last one came. Nothing may be told to peers before that.
-func TestFirstPageIsInForceAtOnce(t *testing.T) {
+func TestFirstPageIsAppliedImmediately(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
 	st.set("b", false)
 	mi := &mirror.Mirror{}
 	var known sync.Map
 	mi.Changed = func(it core.Item) { known.Store(it.Key, true) }
-	followFeed(t, &paged{st}, st, mi, always, func(*feeds.Reader) {
+	runReaderOn(t, &pagedStore{st}, st, mi, always, func(*watch.Reader) {
 		_, first := known.Load("a")
 		_, second := known.Load("b")
 		if !first || second || mi.AsOf() != 0 {
@@ -81,10 +81,10 @@
 // which are paid for, and news would come no sooner, as peers are told ten times a second.
 func TestBurstOfChangesNeedsFewCalls(t *testing.T) {
 	st := newStore()
-	follow(t, st, always, func(_ *feeds.Reader, mi *mirror.Mirror) {
+	runReader(t, st, always, func(_ *watch.Reader, mi *mirror.Mirror) {
 		time.Sleep(time.Second)
 		before := 0
-		st.change(func() { before = st.waits })
+		st.withLock(func() { before = st.watchCalls })
 		const burst = 200
 		for ix := range burst {
 			st.set(strconv.Itoa(ix), false)
@@ -92,7 +92,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		after := 0
-		st.change(func() { after = st.waits })
+		st.withLock(func() { after = st.watchCalls })
 		if calls := after - before; calls > 14 {
 			t.Errorf("%d calls were made for changes within a second, want one each 100 ms", calls)
 		}
@@ -103,15 +103,15 @@
 }
 
 // The store drops its history while a change was made that the watch did not hear.
-func TestHistoryIsLost(t *testing.T) {
+func TestRelistsAfterCompaction(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
 	st.set("b", false)
-	follow(t, st, always, func(_ *feeds.Reader, mi *mirror.Mirror) {
-		st.change(func() { st.down = true })
+	runReader(t, st, always, func(_ *watch.Reader, mi *mirror.Mirror) {
+		st.withLock(func() { st.down = true })
 		time.Sleep(time.Second)
 		st.set("a", true)
-		st.change(func() { st.compacted, st.down = st.rev, false })
+		st.withLock(func() { st.compactedRev, st.down = st.rev, false })
 		time.Sleep(time.Second)
 		// The mirror has listed anew, so it tells all that it has: b, without a.
 		news, asOf, whole := mi.Since(2)
@@ -123,24 +123,24 @@
 
 // A connection to the store goes silent without a reset. What is believed would grow
 // old without anybody noticing.
-func TestSilentStoreIsNoticed(t *testing.T) {
+func TestHangingStoreIsDetected(t *testing.T) {
 	st := newStore()
-	follow(t, st, always, func(rd *feeds.Reader, _ *mirror.Mirror) {
-		st.change(func() { st.silent = true })
+	runReader(t, st, always, func(rd *watch.Reader, _ *mirror.Mirror) {
+		st.withLock(func() { st.hanging = true })
 		time.Sleep(2500 * time.Millisecond)
-		if !rd.Failing() || !rd.Doubtful() {
+		if !rd.Failing() || !rd.Uncertain() {
 			t.Error("a store that is silent for 2.5 s counts as well")
 		}
-		st.change(func() { st.silent = false })
+		st.withLock(func() { st.hanging = false })
 		time.Sleep(2 * time.Second)
 		if rd.Failing() || rd.Age() > time.Second {
 			t.Errorf("failing %v, age %s, 2 s after its return", rd.Failing(), rd.Age())
 		}
-		if !rd.Doubtful() {
+		if !rd.Uncertain() {
 			t.Error("registrations that lapsed may still be missing")
 		}
 		time.Sleep(3 * time.Second)
-		if rd.Doubtful() {
+		if rd.Uncertain() {
 			t.Error("still in doubt 5 s after the store's return")
 		}
 	})
@@ -148,15 +148,15 @@
 
 // A router that does not lead costs the store nothing while peers confirm what it
 // knows, and asks for itself soon after they stop.
-func TestOthersAskOnlyWithoutConfirmation(t *testing.T) {
+func TestStandbyReadsOnlyWithoutConfirmation(t *testing.T) {
 	st := newStore()
-	follow(t, st, func() bool { return false }, func(rd *feeds.Reader, mi *mirror.Mirror) {
+	runReader(t, st, func() bool { return false }, func(rd *watch.Reader, mi *mirror.Mirror) {
 		for range 50 {
 			rd.Confirm(100 * time.Millisecond)
 			time.Sleep(200 * time.Millisecond)
 		}
 		st.mu.Lock()
-		waits := st.waits
+		waits := st.watchCalls
 		st.mu.Unlock()
 		if waits > 2 {
 			t.Errorf("%d calls in 10 s though peers confirm", waits)
@@ -171,10 +171,10 @@
 
 // The store turns one router away and serves the others, whose confirmations it hears.
 // Registrations do not lapse then: one that is deleted is gone.
-func TestNoDoubtWhilePeersConfirm(t *testing.T) {
+func TestNotUncertainWhilePeersConfirm(t *testing.T) {
 	st := newStore()
-	follow(t, st, always, func(rd *feeds.Reader, _ *mirror.Mirror) {
-		st.change(func() { st.down = true })
+	runReader(t, st, always, func(rd *watch.Reader, _ *mirror.Mirror) {
+		st.withLock(func() { st.down = true })
 		for range 20 {
 			rd.Confirm(300 * time.Millisecond)
 			time.Sleep(200 * time.Millisecond)
@@ -182,7 +182,7 @@
 		if !rd.Failing() {
 			t.Error("its own calls do not count as failing")
 		}
-		if rd.Doubtful() {
+		if rd.Uncertain() {
 			t.Error("in doubt, though peers reach the store")
 		}
 	})
@@ -190,23 +190,23 @@
 
 // A router that does not lead hears nothing of an outage but that its peers'
 // confirmations stop. What is missing after it may have lapsed.
-func TestDoubtWithoutOwnCalls(t *testing.T) {
+func TestUncertainWithoutOwnCalls(t *testing.T) {
 	st := newStore()
-	follow(t, st, func() bool { return false }, func(rd *feeds.Reader, _ *mirror.Mirror) {
+	runReader(t, st, func() bool { return false }, func(rd *watch.Reader, _ *mirror.Mirror) {
 		rd.Confirm(0)
 		time.Sleep(1250 * time.Millisecond)
-		if !rd.Doubtful() {
+		if !rd.Uncertain() {
 			t.Error("no doubt after 1.25 s without a word")
 		}
 		rd.Confirm(0)
-		if !rd.Doubtful() {
+		if !rd.Uncertain() {
 			t.Error("no doubt right after the store's return")
 		}
 		for range 15 {
 			rd.Confirm(0)
 			time.Sleep(200 * time.Millisecond)
 		}
-		if rd.Doubtful() {
+		if rd.Uncertain() {
 			t.Error("still in doubt 3 s after the store's return")
 		}
 	})
@@ -215,13 +215,13 @@
 // A router starts while the store is silent, for another 350 ms. What it sent into the
 // silence is never answered; waited for until its timeout, it kept the router refusing all
 // callers for 1.65 s after the store was back.
-func TestListingDoesNotWaitForASilenceThatIsOver(t *testing.T) {
+func TestListingIsHedgedWhenStoreHangs(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
-	st.silent = true
-	follow(t, st, always, func(_ *feeds.Reader, mi *mirror.Mirror) {
+	st.hanging = true
+	runReader(t, st, always, func(_ *watch.Reader, mi *mirror.Mirror) {
 		time.Sleep(300 * time.Millisecond)
-		st.change(func() { st.silent = false })
+		st.withLock(func() { st.hanging = false })
 		time.Sleep(500 * time.Millisecond)
 		if mi.AsOf() == 0 {
 			t.Error("nothing is known 0.5 s after the store's return")
@@ -231,15 +231,15 @@
 
 // The same at any moment of the silence's end, and for a store that refuses or is slow
 // rather than silent.
-func TestListingSoonAfterTheStoresReturn(t *testing.T) {
+func TestListsSoonAfterStoreRecovers(t *testing.T) {
 	for away := 100 * time.Millisecond; away <= 6*time.Second; away += 170 * time.Millisecond {
 		for _, silent := range []bool{true, false} {
 			st := newStore()
 			st.set("a", false)
-			st.silent, st.down = silent, !silent
-			follow(t, st, always, func(_ *feeds.Reader, mi *mirror.Mirror) {
+			st.hanging, st.down = silent, !silent
+			runReader(t, st, always, func(_ *watch.Reader, mi *mirror.Mirror) {
 				time.Sleep(away)
-				st.change(func() { st.silent, st.down = false, false })
+				st.withLock(func() { st.hanging, st.down = false, false })
 				time.Sleep(1100 * time.Millisecond)
 				if mi.AsOf() == 0 {
 					t.Errorf("away for %s, silent %v: nothing is known 1.1 s after its return", away, silent)
@@ -251,44 +251,44 @@
 
 // A peer tells what there is while the store is silent. The router follows from there, and
 // does not list the store once it is back.
-func TestNothingIsListedThatAPeerTold(t *testing.T) {
+func TestNoListingAfterUpdateFromPeer(t *testing.T) {
 	st := newStore()
 	for range 3 {
 		st.set("a", false)
 	}
-	st.silent = true
-	follow(t, st, always, func(rd *feeds.Reader, mi *mirror.Mirror) {
+	st.hanging = true
+	runReader(t, st, always, func(rd *watch.Reader, mi *mirror.Mirror) {
 		mi.Replace([]core.Item{{Key: "a", Rev: 3}}, 3)
 		rd.Confirm(0)
 		time.Sleep(3 * time.Second)
-		st.change(func() { st.silent = false })
+		st.withLock(func() { st.hanging = false })
 		st.set("b", false)
 		time.Sleep(1500 * time.Millisecond)
 		st.mu.Lock()
 		defer st.mu.Unlock()
-		if mi.AsOf() != 4 || st.lists > 0 {
-			t.Errorf("as of %d after %d listings; want 4 after none", mi.AsOf(), st.lists)
+		if mi.AsOf() != 4 || st.listCalls > 0 {
+			t.Errorf("as of %d after %d listings; want 4 after none", mi.AsOf(), st.listCalls)
 		}
 	})
 }
 
 // Hundreds of routers start at once beside a store that is silent for five seconds. Their
 // attempts must leave it the rate that it has, and none may wait for long after.
-func TestHerdOfListingsStaysWithinTheStoresRate(t *testing.T) {
+func TestThunderingHerdOfListingsIsBounded(t *testing.T) {
 	const routers, rate = 420, 2000
 	synctest.Test(t, func(t *testing.T) {
 		st := newStore()
 		st.woken = make(chan struct{})
 		st.set("a", false)
-		st.silent = true
+		st.hanging = true
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		var mirrors []*mirror.Mirror
 		for ix := range routers {
 			mi := &mirror.Mirror{}
 			mirrors = append(mirrors, mi)
-			rd := &feeds.Reader{
-				Feed: st, Mirror: mi, Rand: clock.NewRand(uint64(ix) + 1), Log: zap.NewNop(), Leads: func() bool { return false },
+			rd := &watch.Reader{
+				Feed: st, Mirror: mi, Rand: clock.NewRand(uint64(ix) + 1), Log: zap.NewNop(), IsWatcher: func() bool { return false },
 			}
 			rd.Init()
 			group.Go(func() { _ = rd.Run(ctx) })
@@ -297,7 +297,7 @@
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			st.mu.Lock()
-			most, before = max(most, st.asked-before), st.asked
+			most, before = max(most, st.calls-before), st.calls
 			st.mu.Unlock()
 		}
 		// All begin within a tenth of a second here; on a fleet they are spread by 0.3 s.
@@ -307,7 +307,7 @@
 		if perSecond := before / 5; perSecond > rate/2 {
 			t.Errorf("%d calls a second", perSecond)
 		}
-		st.change(func() { st.silent = false })
+		st.withLock(func() { st.hanging = false })
 		time.Sleep(1100 * time.Millisecond)
 		for ix, mi := range mirrors {
 			if mi.AsOf() == 0 {
@@ -322,47 +322,47 @@
 // A router starts behind a thin link, and what the store lists takes 1.5 or 4 s on it.
 // Further attempts beside the first would share the link, and one that is given up after a
 // fixed time begins anew: none ends, and the router refuses its callers for good.
-func TestListingThatArrivesIsLeftAlone(t *testing.T) {
+func TestListingInProgressIsNotHedged(t *testing.T) {
 	for _, parts := range []int{15, 40} {
 		st := newStore()
 		st.set("a", false)
-		st.parts = parts
-		follow(t, st, always, func(_ *feeds.Reader, mi *mirror.Mirror) {
+		st.pages = parts
+		runReader(t, st, always, func(_ *watch.Reader, mi *mirror.Mirror) {
 			time.Sleep(time.Duration(parts)*100*time.Millisecond + 100*time.Millisecond)
 			st.mu.Lock()
 			defer st.mu.Unlock()
-			if mi.AsOf() == 0 || st.lists != 1 || st.asked > 2 {
-				t.Errorf("%d parts: as of %d after %d listings, %d calls", parts, mi.AsOf(), st.lists, st.asked)
+			if mi.AsOf() == 0 || st.listCalls != 1 || st.calls > 2 {
+				t.Errorf("%d parts: as of %d after %d listings, %d calls", parts, mi.AsOf(), st.listCalls, st.calls)
 			}
 		})
 	}
 }
 
 // Guards against a store that is listed without a pause while it goes on losing its history.
-func TestLostHistoryIsListedAtAPace(t *testing.T) {
+func TestRelistingIsRateLimited(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
-	st.compacted = math.MaxUint64
-	follow(t, st, always, func(*feeds.Reader, *mirror.Mirror) {
+	st.compactedRev = math.MaxUint64
+	runReader(t, st, always, func(*watch.Reader, *mirror.Mirror) {
 		time.Sleep(5 * time.Second)
-		st.change(func() {
-			if st.lists > 12 {
-				t.Errorf("%d listings in 5 s", st.lists)
+		st.withLock(func() {
+			if st.listCalls > 12 {
+				t.Errorf("%d listings in 5 s", st.listCalls)
 			}
 		})
 	})
 }
 
-// staleAtFirst is a store whose stale listings lack the last change.
-type staleAtFirst struct {
+// staleStore is a store whose stale listings lack the last change.
+type staleStore struct {
 	*store
-	exact atomic.Int64
+	exactListings atomic.Int64
 }
 
-func (sf *staleAtFirst) All(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
+func (sf *staleStore) All(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
 	all, rev, err := sf.store.All(ctx, stale, heard)
 	if err != nil || !stale {
-		sf.exact.Add(1)
+		sf.exactListings.Add(1)
 		return all, rev, err
 	}
 	return slices.DeleteFunc(all, func(it core.Item) bool { return it.Rev == rev }), rev - 1, nil
@@ -375,11 +375,11 @@
 	st := newStore()
 	st.set("a", false)
 	st.set("b", false)
-	st.parts = 5
-	sf := &staleAtFirst{store: st}
+	st.pages = 5
+	sf := &staleStore{store: st}
 	mi := &mirror.Mirror{}
 	var leads atomic.Bool
-	followFeed(t, sf, st, mi, leads.Load, func(rd *feeds.Reader) {
+	runReaderOn(t, sf, st, mi, leads.Load, func(rd *watch.Reader) {
 		time.Sleep(600 * time.Millisecond)
 		if mi.AsOf() != 1 || rd.Age() < 600*time.Millisecond {
 			t.Errorf("as of %s, confirmed %s ago; want 1, and nothing confirmed", mi.AsOf(), rd.Age())
@@ -389,23 +389,23 @@
 		if mi.AsOf() != 2 || rd.Age() > 200*time.Millisecond {
 			t.Errorf("as of %s, confirmed %s ago; want 2, confirmed by the changes", mi.AsOf(), rd.Age())
 		}
-		st.change(func() { st.compacted = 3 })
+		st.withLock(func() { st.compactedRev = 3 })
 		st.set("c", false)
 		st.set("d", false)
-		st.change(func() { st.compacted = st.rev })
+		st.withLock(func() { st.compactedRev = st.rev })
 		time.Sleep(2 * time.Second)
-		if mi.AsOf() != 4 || sf.exact.Load() == 0 {
-			t.Errorf("as of %s after %d listings that were not stale; want 4", mi.AsOf(), sf.exact.Load())
+		if mi.AsOf() != 4 || sf.exactListings.Load() == 0 {
+			t.Errorf("as of %s after %d listings that were not stale; want 4", mi.AsOf(), sf.exactListings.Load())
 		}
 	})
 }
 
 // Guards against a router that tells its peers that the silent store has just confirmed what one of
 // them told it: each start during an outage would end the doubt about registrations that lapse in it.
-func TestWhatAPeerToldIsNoConfirmation(t *testing.T) {
+func TestUpdateFromPeerConfirmsNothing(t *testing.T) {
 	st := newStore()
-	st.silent = true
-	follow(t, st, always, func(rd *feeds.Reader, mi *mirror.Mirror) {
+	st.hanging = true
+	runReader(t, st, always, func(rd *watch.Reader, mi *mirror.Mirror) {
 		mi.Replace([]core.Item{{Key: "a", Rev: 3}}, 3)
 		time.Sleep(2 * time.Second)
 		if rd.Age() < 2*time.Second {
