--- a/io/delta/delta.go
+++ b/io/delta/delta.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// baseID marks what was packed against a base, in zstd's frame; 0 would mean none.
-	baseID = 1
-	// leastWindow is the smallest window that zstd takes, mostWindow what a receiver is
+	// dictID marks what was packed against a base, in zstd's frame; 0 would mean none.
+	dictID = 1
+	// minWindow is the smallest window that zstd takes, mostWindow what a receiver is
 	// ready to keep: eight megabytes, as zstd's own format asks of all decoders.
-	leastWindow = zstd.MinWindowSize
-	mostWindow  = 8 << 20
+	minWindow = zstd.MinWindowSize
+	maxWindow = 8 << 20
 )
 
 // Pack compresses data against the base, which may be empty.
 func Pack(data, base []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithEncoderLevel(zstd.SpeedFastest),
-		zstd.WithWindowSize(window(len(data) + len(base))), zstd.WithSingleSegment(false),
+		zstd.WithWindowSize(windowSize(len(data) + len(base))), zstd.WithSingleSegment(false),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(baseID, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictID, base))
 	}
 	enc, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -45,10 +45,10 @@
 	return enc.EncodeAll(data, nil), nil
 }
 
-// window is the least power of two that spans so many bytes: matches reach back as far.
-func window(size int) int {
-	win := leastWindow
-	for win < size && win < mostWindow {
+// windowSize is the least power of two that spans so many bytes: matches reach back as far.
+func windowSize(size int) int {
+	win := minWindow
+	for win < size && win < maxWindow {
 		win *= 2
 	}
 	return win
@@ -56,12 +56,12 @@
 
 // Unpack is the reverse of Pack, with the same base. It fails where more than most bytes
 // would come out.
-func Unpack(packed, base []byte, most int) ([]byte, error) {
+func Unpack(packed, base []byte, limit int) ([]byte, error) {
 	options := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(most)), zstd.WithDecoderMaxWindow(mostWindow),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(limit)), zstd.WithDecoderMaxWindow(maxWindow),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictID, base))
 	}
 	dec, err := zstd.NewReader(nil, options...)
 	if err != nil {
--- a/io/delta/delta_test.go
+++ b/io/delta/delta_test.go
@@ -11,8 +11,8 @@
 	"almondrill/io/delta"
 )
 
-// document has many lines alike, each with a key that cannot be guessed.
-func document(lines int, change int) []byte {
+// testDocument has many lines alike, each with a key that cannot be guessed.
+func testDocument(lines int, change int) []byte {
 	var out bytes.Buffer
 	for ix := range lines {
 		seed := uint64(ix)
@@ -25,7 +25,7 @@
 	return out.Bytes()
 }
 
-func TestWhatIsPackedComesOut(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 5000).Draw(t, "base")
 		data := rapid.SliceOfN(rapid.Byte(), 0, 5000).Draw(t, "data")
@@ -45,8 +45,8 @@
 
 // An operator changes one line of a configuration of 1,600 customers. Sent whole to 420
 // routers, several thousand times a day, it would use up what they may spend on control.
-func TestChangeOfOneLineIsSmall(t *testing.T) {
-	base, data := document(1600, -1), document(1600, 800)
+func TestOneLineChangePacksSmall(t *testing.T) {
+	base, data := testDocument(1600, -1), testDocument(1600, 800)
 	packed, err := delta.Pack(data, base)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 // A peer packs against another version than this router has, or sends nonsense: an error,
 // not a wrong configuration.
 func TestWrongBaseIsAnError(t *testing.T) {
-	base, data := document(200, -1), document(200, 100)
+	base, data := testDocument(200, -1), testDocument(200, 100)
 	packed, err := delta.Pack(data, base)
 	if err != nil {
 		t.Fatal(err)
@@ -88,8 +88,8 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	base := document(20, -1)
-	packed, _ := delta.Pack(document(20, 3), base)
+	base := testDocument(20, -1)
+	packed, _ := delta.Pack(testDocument(20, 3), base)
 	f.Add(packed)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if out, err := delta.Unpack(data, base, 1<<16); err == nil && len(out) > 1<<16 {
@@ -99,7 +99,7 @@
 }
 
 func BenchmarkPack(b *testing.B) {
-	base, data := document(1600, -1), document(1600, 800)
+	base, data := testDocument(1600, -1), testDocument(1600, 800)
 	b.ReportAllocs()
 	for b.Loop() {
 		packed, err := delta.Pack(data, base)
