--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -178,7 +178,7 @@
 	pr.budget = &retry.Window{Ratio: se.RetryRatio, Slack: se.RetrySlack, Span: se.RetrySpan, Routers: pr.peers.Routers}
 	pr.reader = &watch.Reader{Feed: pr.Platform, Mirror: pr.mirror, Rand: pr.rand, Log: pr.Logs.Part("feeds")}
 	pr.reader.Init()
-	pr.reader.IsWatcher, pr.reader.TakeoverDelay, pr.reader.GracePeriod = pr.peers.Leads, pr.peers.Patience, se.ReturnDelay+returnMargin
+	pr.reader.IsWatcher, pr.reader.TakeoverDelay, pr.reader.GracePeriod = pr.peers.IsWatcher, pr.peers.TakeoverDelay, se.ReturnDelay+returnMargin
 	pr.peers.Feed = pr.reader
 	pr.guard = &guard.Controller{
 		Ledger: &guard.Ledger{Peers: pr.peers, Store: pr.Platform, Stats: pr.Stats, Log: pr.Logs.Part("guard")},
@@ -224,7 +224,7 @@
 func (pr *Process) publish() {
 	pr.latency.Publish(pr.Stats)
 	pr.Stats.Read(stats.ConfigRevision, func() int64 { return int64(pr.inForce()) })
-	pr.Stats.Read(stats.StoreLed, func() int64 { return boolCount(pr.peers.Leads()) })
+	pr.Stats.Read(stats.StoreLed, func() int64 { return boolCount(pr.peers.IsWatcher()) })
 	pr.Stats.Read(stats.BytesHeld, pr.relay.Memory.Held)
 	pr.Stats.Read(stats.ViewAgeMs, func() int64 { return pr.reader.Age().Milliseconds() })
 	pr.Stats.Read(stats.StoreEra, func() int64 { return int64(pr.mirror.AsOf().Era()) })
@@ -270,7 +270,7 @@
 func (pr *Process) announce(ctx context.Context) error {
 	tick := time.NewTicker(announceTick)
 	defer tick.Stop()
-	for waiting := true; waiting; waiting = !pr.peers.Announces() {
+	for waiting := true; waiting; waiting = !pr.peers.ShouldAnnounce() {
 		select {
 		case <-ctx.Done():
 			return nil
--- a/io/gossip/announce_test.go
+++ b/io/gossip/announce_test.go
@@ -5,20 +5,20 @@
 // Each of hundreds of routers would write its address, renew it, and have all others told:
 // calls to the store that grow with the fleet. A few are enough to be found by; where they
 // are lost, others take their place, or a newcomer finds nobody.
-func TestFewAnnounceThemselves(t *testing.T) {
-	const count, few = 12, 8
+func TestFewRoutersAnnounce(t *testing.T) {
+	const count, want = 12, 8
 	all := meet(t, count)
 	announcing := func() (some []*router) {
 		for _, ro := range all {
-			if ro.Announces() {
+			if ro.ShouldAnnounce() {
 				some = append(some, ro)
 			}
 		}
 		return some
 	}
 	first := announcing()
-	if len(first) != few {
-		t.Fatalf("%d of %d routers announce themselves, want %d", len(first), count, few)
+	if len(first) != want {
+		t.Fatalf("%d of %d routers announce themselves, want %d", len(first), count, want)
 	}
 	for _, ro := range first[:3] {
 		ro.stop()
@@ -30,13 +30,13 @@
 				alive++
 			}
 		}
-		return alive == few
+		return alive == want
 	})
 }
 
 // A router that hears nobody has to be found by others: it announces itself.
-func TestLonelyRouterAnnouncesItself(t *testing.T) {
-	if !start(t, 0).Announces() {
+func TestIsolatedRouterAnnounces(t *testing.T) {
+	if !start(t, 0).ShouldAnnounce() {
 		t.Error("a router that hears nobody does not announce itself")
 	}
 }
--- a/io/gossip/blame_test.go
+++ b/io/gossip/blame_test.go
@@ -12,19 +12,19 @@
 	"almondrill/io/gossip"
 )
 
-// notes collects what a router is told.
-type notes struct {
+// crashNotes collects what a router is told.
+type crashNotes struct {
 	mu  sync.Mutex
 	all []core.BlameNote
 }
 
-func (no *notes) take(_ time.Time, _ string, note core.BlameNote) {
+func (no *crashNotes) add(_ time.Time, _ string, note core.BlameNote) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	no.all = append(no.all, note)
 }
 
-func (no *notes) count(fp core.Fingerprint) int {
+func (no *crashNotes) count(fp core.Fingerprint) int {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	count := 0
@@ -36,22 +36,22 @@
 	return count
 }
 
-// collect starts routers that keep what they are told.
-func collect(t *testing.T, count int) ([]*router, []*notes) {
+// meetCollecting starts routers that keep what they are told.
+func meetCollecting(t *testing.T, count int) ([]*router, []*crashNotes) {
 	t.Helper()
-	var told []*notes
+	var received []*crashNotes
 	all := meetWith(t, count, func(gr *gossip.Group) {
-		no := &notes{}
-		told = append(told, no)
-		gr.Blamed = no.take
+		no := &crashNotes{}
+		received = append(received, no)
+		gr.Blamed = no.add
 	})
-	return all, told
+	return all, received
 }
 
 // Routers that see a request crash endpoints tell it to the same two of them, so that these
 // count all crashes whoever saw them; what they conclude is told to all.
-func TestCrashesAreToldToTheSameKeepers(t *testing.T) {
-	all, told := collect(t, 5)
+func TestCrashNotesReachTheSameOwners(t *testing.T) {
+	all, received := meetCollecting(t, 5)
 	now := time.Now()
 	for request := range byte(10) {
 		fp := core.Fingerprint{request, 1}
@@ -60,25 +60,25 @@
 		}
 		// Each of the two is told by all others, and tells itself nothing.
 		eventually(t, "both keepers are told by the four others", func() bool {
-			keepers := 0
-			for _, no := range told {
+			owners := 0
+			for _, no := range received {
 				if no.count(fp) == len(all)-1 {
-					keepers++
+					owners++
 				}
 			}
-			return keepers == 2
+			return owners == 2
 		})
 	}
 	fp := core.Fingerprint{99}
 	all[0].TellAll(now, core.BlameNote{Kind: core.BlameQuarantined, Request: fp})
 	eventually(t, "all others are told", func() bool {
 		count := 0
-		for _, no := range told {
+		for _, no := range received {
 			count += no.count(fp)
 		}
 		return count == len(all)-1
 	})
-	for _, no := range told {
+	for _, no := range received {
 		for _, note := range no.all {
 			if note.Kind == core.BlameSuspected && (len(note.Crashes) != 1 || note.Crashes[0].Endpoint != 7 || time.Since(note.Crashes[0].At) < 50*time.Millisecond) {
 				t.Errorf("told as %+v", note)
@@ -89,8 +89,8 @@
 
 // A router of another version, or something else that sends to the port, tells nonsense. It is
 // passed over, and what comes after it is heard.
-func TestNotesThatMakeNoSense(t *testing.T) {
-	all, told := collect(t, 2)
+func TestInvalidCrashNotesAreDropped(t *testing.T) {
+	all, received := meetCollecting(t, 2)
 	co, err := net.Dial("udp", all[0].Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -113,8 +113,8 @@
 	}
 	fp := core.Fingerprint{5}
 	all[1].TellAll(time.Now(), core.BlameNote{Kind: core.BlameCleared, Request: fp})
-	eventually(t, "the next note is heard", func() bool { return told[0].count(fp) == 1 })
-	if got := len(told[0].all); got != 1 {
+	eventually(t, "the next note is heard", func() bool { return received[0].count(fp) == 1 })
+	if got := len(received[0].all); got != 1 {
 		t.Errorf("%d notes are taken, want one", got)
 	}
 }
--- a/io/gossip/counts.go
+++ b/io/gossip/counts.go
@@ -31,9 +31,9 @@
 	// askTimeout bounds the wait for a keeper: a few ways between zones, and a busy peer's
 	// turn at its processor.
 	askTimeout = 5 * time.Millisecond
-	// muteFor is how long a keeper that did not answer in time is not asked again: one
+	// ownerBackoff is how long a keeper that did not answer in time is not asked again: one
 	// request a second then waits in vain for a router that is lost.
-	muteFor = time.Second
+	ownerBackoff = time.Second
 	// unknownCalls stands for a count that the keeper does not know.
 	unknownCalls = 1<<32 - 1
 )
@@ -42,20 +42,20 @@
 type countKind uint8
 
 const (
-	countAsked countKind = iota + 1
-	countAnswered
-	countSaid
-	// countDown tells the keeper that its sender cannot reach the endpoint, countLost all that
+	countQuery countKind = iota + 1
+	countReply
+	countReport
+	// countUnreachable tells the keeper that its sender cannot reach the endpoint, countLost all that
 	// two could not.
-	countDown
+	countUnreachable
 	countLost
-	// countWanted asks the keeper for one of Calls requests a second; it answers with
+	// countGrantRequest asks the keeper for one of Calls requests a second; it answers with
 	// countAnswered, whose Calls is 0 if it is granted, or else in how many ms to ask again.
-	countWanted
-	// countLeaves tells that the endpoint has announced that it leaves.
-	countLeaves
-	// countBack tells all that the keeper can connect to the endpoint again.
-	countBack
+	countGrantRequest
+	// countDraining tells that the endpoint has announced that it leaves.
+	countDraining
+	// countReachable tells all that the keeper can connect to the endpoint again.
+	countReachable
 )
 
 // countMessage asks for an endpoint's calls, answers, or passes on what the endpoint said.
@@ -69,67 +69,67 @@
 	Ask   uint32
 }
 
-// keeper is a router that may keep counts.
-type keeper struct {
+// candidate is a router that may keep counts.
+type candidate struct {
 	addr string
 	hash uint64
-	// to is where it listens; nil for this router itself.
-	to    *net.UDPAddr
-	mutes *mutes
+	// udpAddr is where it listens; nil for this router itself.
+	udpAddr *net.UDPAddr
+	backoff *backoff
 }
 
-// mutes tells until when a keeper is not asked, in ns of the Unix epoch.
-type mutes struct{ until atomic.Int64 }
+// backoff tells until when a keeper is not asked, in ns of the Unix epoch.
+type backoff struct{ until atomic.Int64 }
 
 // counts is the part of a Group that asks for counts and keeps them.
 type counts struct {
-	table   gauge.Table
-	keepers atomic.Pointer[[]keeper]
-	socket  atomic.Pointer[net.UDPConn]
-	// sent are the bytes sent since the last tick.
-	sent atomic.Int64
+	table      gauge.Table
+	candidates atomic.Pointer[[]candidate]
+	socket     atomic.Pointer[net.UDPConn]
+	// sentBytes are the bytes sent since the last tick.
+	sentBytes atomic.Int64
 
-	mu      sync.Mutex // guards all below
-	asks    uint32
-	waiting map[uint32]chan uint32
-	// watched are the endpoints that are looked after as they cannot be reached.
-	watched map[uint64]bool
+	mu        sync.Mutex // guards all below
+	lastQuery uint32
+	pending   map[uint32]chan uint32
+	// reconnecting are the endpoints that are looked after as they cannot be reached.
+	reconnecting map[uint64]bool
 }
 
-// listKeepers works out who may keep counts: the routers that are alive, and this one. The lock is
+// updateCandidates works out who may keep counts: the routers that are alive, and this one. The lock is
 // held.
-func (gr *Group) listKeepers() {
-	all := make([]keeper, 0, len(gr.members)+1)
-	all = append(all, keeper{addr: gr.Addr, hash: xxhash.Sum64String(gr.Addr)})
+func (gr *Group) updateCandidates() {
+	candidates := make([]candidate, 0, len(gr.members)+1)
+	candidates = append(candidates, candidate{addr: gr.Addr, hash: xxhash.Sum64String(gr.Addr)})
 	for addr, me := range gr.members {
-		if me.leaving || !gr.alive.Alive(addr) {
+		if me.leaving || !gr.membership.Alive(addr) {
 			continue
 		}
-		if me.to == nil {
+		if me.udpAddr == nil {
 			to, err := net.ResolveUDPAddr("udp", addr)
 			if err != nil {
 				gr.Log.Warn("A peer's address makes no sense.", zap.String("Addr", addr), zap.Error(err))
 				continue
 			}
-			me.to = to
+			me.udpAddr = to
 		}
-		all = append(all, keeper{addr, me.hash, me.to, &me.mutes})
+		candidates = append(candidates, candidate{addr, me.hash, me.udpAddr, &me.backoff})
 	}
-	gr.counts.keepers.Store(&all)
+	gr.counts.candidates.Store(&candidates)
 }
 
-// keeperOf is the router that keeps the endpoint's count; nil before the first tick.
-func (gr *Group) keeperOf(endpoint uint64) *keeper {
-	all := gr.counts.keepers.Load()
+// ownerOf is the router that keeps the endpoint's count; nil before the first tick.
+func (gr *Group) ownerOf(endpoint uint64) *candidate {
+	all := gr.counts.candidates.Load()
 	if all == nil {
 		return nil
 	}
-	var best *keeper
-	var most uint64
+	var best *candidate
+	var maxScore uint64
 	for ix := range *all {
-		ke := &(*all)[ix]
-		if score := ring.Mix(ke.hash, endpoint); best == nil || score > most {
-			best, most = ke, score
+		ca := &(*all)[ix]
+		if score := ring.Mix(ca.hash, endpoint); best == nil || score > maxScore {
+			best, maxScore = ca, score
 		}
 	}
 	return best
@@ -137,27 +137,27 @@
 
 // Ask implements core.Counts.
 func (gr *Group) Ask(ctx context.Context, endpoint uint64) (int, bool) {
-	ke := gr.keeperOf(endpoint)
-	if ke == nil {
+	owner := gr.ownerOf(endpoint)
+	if owner == nil {
 		return 0, false
 	}
-	if ke.to == nil {
+	if owner.udpAddr == nil {
 		return gr.counts.table.AddCall(time.Now(), endpoint)
 	}
-	calls, told := gr.question(ctx, ke, &countMessage{Kind: countAsked, Endpoint: endpoint})
-	return int(calls), told && calls != unknownCalls
+	calls, answered := gr.query(ctx, owner, &countMessage{Kind: countQuery, Endpoint: endpoint})
+	return int(calls), answered && calls != unknownCalls
 }
 
-// question asks a keeper and waits for its answer; false if none comes in time, or none came of
+// query asks a keeper and waits for its answer; false if none comes in time, or none came of
 // late.
-func (gr *Group) question(ctx context.Context, ke *keeper, cm *countMessage) (uint32, bool) {
-	if time.Now().UnixNano() < ke.mutes.until.Load() {
+func (gr *Group) query(ctx context.Context, owner *candidate, cm *countMessage) (uint32, bool) {
+	if time.Now().UnixNano() < owner.backoff.until.Load() {
 		return 0, false
 	}
-	number, answer := gr.counts.expect()
-	defer gr.counts.forget(number)
+	number, answer := gr.counts.addPending()
+	defer gr.counts.removePending(number)
 	cm.Ask = number
-	gr.sendCount(ke.to, cm)
+	gr.sendCount(owner.udpAddr, cm)
 	wait := cmp.Or(gr.AskTimeout, askTimeout)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -165,8 +165,8 @@
 	case value := <-answer:
 		return value, true
 	case <-timer.C:
-		ke.mutes.until.Store(time.Now().Add(muteFor).UnixNano())
-		gr.Log.Info("A peer did not answer about an endpoint in time.", zap.String("Addr", ke.addr), zap.Duration("Waited", wait))
+		owner.backoff.until.Store(time.Now().Add(ownerBackoff).UnixNano())
+		gr.Log.Info("A peer did not answer about an endpoint in time.", zap.String("Addr", owner.addr), zap.Duration("Waited", wait))
 	case <-ctx.Done():
 	}
 	return 0, false
@@ -174,54 +174,54 @@
 
 // Said implements core.Counts.
 func (gr *Group) Said(endpoint uint64, calls int) {
-	ke := gr.keeperOf(endpoint)
+	owner := gr.ownerOf(endpoint)
 	switch {
-	case ke == nil:
-	case ke.to == nil:
+	case owner == nil:
+	case owner.udpAddr == nil:
 		gr.counts.table.Report(time.Now(), endpoint, calls)
 	default:
-		gr.sendCount(ke.to, &countMessage{Kind: countSaid, Endpoint: endpoint, Calls: uint32(calls)})
+		gr.sendCount(owner.udpAddr, &countMessage{Kind: countReport, Endpoint: endpoint, Calls: uint32(calls)})
 	}
 }
 
 // Down implements core.Counts.
 func (gr *Group) Down(endpoint uint64) {
-	ke := gr.keeperOf(endpoint)
+	owner := gr.ownerOf(endpoint)
 	switch {
-	case ke == nil:
-	case ke.to == nil:
-		gr.hearDown(time.Now(), endpoint, gr.Addr)
+	case owner == nil:
+	case owner.udpAddr == nil:
+		gr.handleUnreachable(time.Now(), endpoint, gr.Addr)
 	default:
-		gr.sendCount(ke.to, &countMessage{Kind: countDown, Endpoint: endpoint})
+		gr.sendCount(owner.udpAddr, &countMessage{Kind: countUnreachable, Endpoint: endpoint})
 	}
 }
 
-// hearDown takes that a router cannot reach an endpoint. Once two cannot, all are told; the keeper
+// handleUnreachable takes that a router cannot reach an endpoint. Once two cannot, all are told; the keeper
 // finds out by itself whether it is one.
-func (gr *Group) hearDown(now time.Time, endpoint uint64, from string) {
+func (gr *Group) handleUnreachable(now time.Time, endpoint uint64, from string) {
 	if gr.counts.table.ReportUnreachable(now, endpoint, from) {
-		gr.tellDown(now, endpoint, from, place.LostFor)
+		gr.broadcastLost(now, endpoint, from, place.LostFor)
 	}
-	if gr.Reach != nil && gr.counts.startWatch(endpoint) {
-		go gr.watchDown(endpoint)
+	if gr.Reach != nil && gr.counts.startReconnect(endpoint) {
+		go gr.reconnectLoop(endpoint)
 	}
 }
 
-// tellDown has all routers believe for some time that the endpoint cannot be reached.
-func (gr *Group) tellDown(now time.Time, endpoint uint64, from string, lasting time.Duration) {
-	gr.believeDown(now, endpoint, from, lasting)
-	gr.notifyPeers(&countMessage{Kind: countLost, Endpoint: endpoint, Calls: uint32(lasting.Milliseconds())})
+// broadcastLost has all routers believe for some time that the endpoint cannot be reached.
+func (gr *Group) broadcastLost(now time.Time, endpoint uint64, from string, ttl time.Duration) {
+	gr.applyLost(now, endpoint, from, ttl)
+	gr.sendToAll(&countMessage{Kind: countLost, Endpoint: endpoint, Calls: uint32(ttl.Milliseconds())})
 }
 
-// notifyPeers sends a message to all routers that are alive.
-func (gr *Group) notifyPeers(cm *countMessage) {
-	all := gr.counts.keepers.Load()
+// sendToAll sends a message to all routers that are alive.
+func (gr *Group) sendToAll(cm *countMessage) {
+	all := gr.counts.candidates.Load()
 	if all == nil {
 		return // no peer is known before the first tick
 	}
-	for _, ke := range *all {
-		if ke.to != nil {
-			gr.sendCount(ke.to, cm)
+	for _, ca := range *all {
+		if ca.udpAddr != nil {
+			gr.sendCount(ca.udpAddr, cm)
 		}
 	}
 }
@@ -230,75 +230,75 @@
 // each endpoint; a peer that the message does not reach learns of it by its own next answer. The
 // request whose answer told it does not wait for that.
 func (gr *Group) Leaves(endpoint uint64) {
-	go gr.notifyPeers(&countMessage{Kind: countLeaves, Endpoint: endpoint})
+	go gr.sendToAll(&countMessage{Kind: countDraining, Endpoint: endpoint})
 }
 
-// hearLeaves takes a peer's word that an endpoint leaves.
-func (gr *Group) hearLeaves(endpoint uint64, from string) {
-	if id, news := gr.Placer.HearLeaves(endpoint); news {
+// handleDraining takes a peer's word that an endpoint leaves.
+func (gr *Group) handleDraining(endpoint uint64, from string) {
+	if id, changed := gr.Placer.HearLeaves(endpoint); changed {
 		gr.Log.Info("A peer knows that an endpoint leaves.", zap.String("Endpoint", string(id)), zap.String("From", from))
 	}
 }
 
-// believeDown takes that two routers cannot reach an endpoint.
-func (gr *Group) believeDown(now time.Time, endpoint uint64, from string, lasting time.Duration) {
-	id, believed := gr.Placer.HearDown(now, endpoint, lasting)
+// applyLost takes that two routers cannot reach an endpoint.
+func (gr *Group) applyLost(now time.Time, endpoint uint64, from string, ttl time.Duration) {
+	id, accepted := gr.Placer.HearDown(now, endpoint, ttl)
 	gr.Log.Info("Two routers cannot reach an endpoint.", zap.String("Endpoint", string(id)), zap.String("From", from),
-		zap.Duration("For", lasting), zap.Bool("Believed", believed))
+		zap.Duration("For", ttl), zap.Bool("Believed", accepted))
 }
 
-// expect prepares for the answer to an ask.
-func (co *counts) expect() (uint32, chan uint32) {
+// addPending prepares for the answer to an ask.
+func (co *counts) addPending() (uint32, chan uint32) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	if co.waiting == nil {
-		co.waiting = map[uint32]chan uint32{}
+	if co.pending == nil {
+		co.pending = map[uint32]chan uint32{}
 	}
-	co.asks++
+	co.lastQuery++
 	answer := make(chan uint32, 1)
-	co.waiting[co.asks] = answer
-	return co.asks, answer
+	co.pending[co.lastQuery] = answer
+	return co.lastQuery, answer
 }
 
-func (co *counts) forget(number uint32) {
+func (co *counts) removePending(number uint32) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	delete(co.waiting, number)
+	delete(co.pending, number)
 }
 
-// answered hands an answer to who waits for it; one that comes late is dropped.
-func (co *counts) answered(cm *countMessage) {
+// deliver hands an answer to who waits for it; one that comes late is dropped.
+func (co *counts) deliver(cm *countMessage) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	if answer := co.waiting[cm.Ask]; answer != nil {
+	if answer := co.pending[cm.Ask]; answer != nil {
 		answer <- cm.Calls
-		delete(co.waiting, cm.Ask)
+		delete(co.pending, cm.Ask)
 	}
 }
 
-// hearCount takes a peer's countMessage.
-func (gr *Group) hearCount(now time.Time, from net.Addr, cm *countMessage) {
+// handleCount takes a peer's countMessage.
+func (gr *Group) handleCount(now time.Time, from net.Addr, cm *countMessage) {
 	switch cm.Kind {
-	case countSaid:
+	case countReport:
 		gr.counts.table.Report(now, cm.Endpoint, int(cm.Calls))
-	case countAnswered:
-		gr.counts.answered(cm)
-	case countDown:
-		gr.hearDown(now, cm.Endpoint, from.String())
+	case countReply:
+		gr.counts.deliver(cm)
+	case countUnreachable:
+		gr.handleUnreachable(now, cm.Endpoint, from.String())
 	case countLost:
-		gr.believeDown(now, cm.Endpoint, from.String(), min(mostLost, time.Duration(cm.Calls)*time.Millisecond))
-	case countBack:
+		gr.applyLost(now, cm.Endpoint, from.String(), min(maxLostTTL, time.Duration(cm.Calls)*time.Millisecond))
+	case countReachable:
 		gr.Placer.HearBack(cm.Endpoint)
-	case countLeaves:
-		gr.hearLeaves(cm.Endpoint, from.String())
-	case countWanted:
-		out := &countMessage{Kind: countAnswered, Endpoint: cm.Endpoint, Calls: unknownCalls, Ask: cm.Ask}
-		if ke := gr.keeperOf(cm.Endpoint); ke != nil && ke.to == nil && gr.settled.Load() {
+	case countDraining:
+		gr.handleDraining(cm.Endpoint, from.String())
+	case countGrantRequest:
+		out := &countMessage{Kind: countReply, Endpoint: cm.Endpoint, Calls: unknownCalls, Ask: cm.Ask}
+		if owner := gr.ownerOf(cm.Endpoint); owner != nil && owner.udpAddr == nil && gr.settled.Load() {
 			out.Calls = gr.grant(now, cm.Endpoint, int(cm.Calls))
 		}
 		gr.sendCount(from, out)
-	case countAsked:
-		out := &countMessage{Kind: countAnswered, Endpoint: cm.Endpoint, Calls: unknownCalls, Ask: cm.Ask}
+	case countQuery:
+		out := &countMessage{Kind: countReply, Endpoint: cm.Endpoint, Calls: unknownCalls, Ask: cm.Ask}
 		if calls, known := gr.counts.table.AddCall(now, cm.Endpoint); known {
 			out.Calls = uint32(calls)
 		}
@@ -321,7 +321,7 @@
 		gr.Log.Error("Encoding a message failed.", zap.Error(err))
 		return
 	}
-	gr.counts.sent.Add(int64(len(data)))
+	gr.counts.sentBytes.Add(int64(len(data)))
 	if _, err = socket.WriteTo(data, to); err != nil {
 		gr.Log.Debug("Telling a peer failed.", zap.String("Addr", to.String()), zap.Error(err))
 	}
--- a/io/gossip/counts_test.go
+++ b/io/gossip/counts_test.go
@@ -15,8 +15,8 @@
 	"almondrill/io/gossip"
 )
 
-// tick is how often a router looks which others are alive.
-const tick = 100 * time.Millisecond
+// tickInterval is how often a router looks which others are alive.
+const tickInterval = 100 * time.Millisecond
 
 func (ro *router) address(t *testing.T) net.Addr {
 	t.Helper()
@@ -47,14 +47,14 @@
 	for _, ro := range all {
 		eventually(t, "all routers hear each other", func() bool { return ro.Live() == count-1 })
 	}
-	time.Sleep(2 * tick) // they count as keepers from the next tick
+	time.Sleep(2 * tickInterval) // they count as keepers from the next tick
 	return all
 }
 
 // Routers that place calls on one engine each pass on what it says and ask how many it has.
 // They all have to mean the same router by its keeper, and the second that asks has to hear of
 // the first one's call, or both fill the same gap.
-func TestRoutersAskTheSameKeeper(t *testing.T) {
+func TestRoutersAgreeOnOwner(t *testing.T) {
 	all := meet(t, 4)
 	ctx := context.Background()
 	for endpoint := range uint64(20) {
@@ -73,7 +73,7 @@
 
 // An endpoint's keeper loses power. Requests for it must not wait long for an answer that
 // does not come, nor each of them: after the first, the router goes by what it believes.
-func TestLostKeeperHoldsNobodyUp(t *testing.T) {
+func TestLostOwnerDelaysFewRequests(t *testing.T) {
 	const timeout = 5 * time.Millisecond
 	alone := start(t, 0)
 	lost, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -86,7 +86,7 @@
 		_, _ = lost.WriteTo(hello, alone.address(t))
 		return alone.Live() == 1
 	})
-	time.Sleep(2 * tick) // it counts as a keeper from the next tick
+	time.Sleep(2 * tickInterval) // it counts as a keeper from the next tick
 	ctx := context.Background()
 	waited := 0
 	for endpoint := range uint64(100) {
@@ -108,7 +108,7 @@
 
 // A router that has just started knows no counts, and says so rather than that there are none:
 // taken for idle, a full engine would get all calls.
-func TestNewKeeperKnowsNothing(t *testing.T) {
+func TestNewOwnerReportsUnknown(t *testing.T) {
 	all := meet(t, 2)
 	for endpoint := range uint64(10) {
 		if calls, known := all[0].Ask(context.Background(), endpoint); known {
@@ -119,7 +119,7 @@
 
 // Two routers find an engine down. The others are told, or each of them finds out by a
 // request of its own.
-func TestLostEngineIsToldToAll(t *testing.T) {
+func TestLostEngineIsBroadcast(t *testing.T) {
 	all := meet(t, 4)
 	for _, ro := range all {
 		ro.Placer.Register(time.Now(), place.Endpoint{ID: "e2", Addr: "127.0.0.1:2", Pool: "pool", Slots: 8})
@@ -149,7 +149,7 @@
 // A chat moves to another engine, and one of a hundred peers gets its next turn. What a router
 // sends is bounded, so that a peer has its turn every few seconds: told only of the latest
 // moves, most peers never hear of this one, and have the chat read anew elsewhere.
-func TestEachPeerHearsOfAMove(t *testing.T) {
+func TestMoveReachesEveryPeer(t *testing.T) {
 	const peers = 150
 	ro := start(t, 0)
 	var all []net.PacketConn
@@ -162,14 +162,14 @@
 		all = append(all, pc)
 		ro.Add(pc.LocalAddr().String())
 	}
-	moveAChat(t, ro)
-	heard := make(chan bool, peers)
+	moveChat(t, ro)
+	received := make(chan bool, peers)
 	for _, pc := range all {
-		go func() { heard <- hearsMove(pc, time.Now().Add(8*time.Second)) }()
+		go func() { received <- receivesMove(pc, time.Now().Add(8*time.Second)) }()
 	}
 	count := 0
 	for range all {
-		if <-heard {
+		if <-received {
 			count++
 		}
 	}
@@ -178,8 +178,8 @@
 	}
 }
 
-// moveAChat places a chat away from its home.
-func moveAChat(t *testing.T, ro *router) {
+// moveChat places a chat away from its home.
+func moveChat(t *testing.T, ro *router) {
 	t.Helper()
 	parts := []place.Part{{Hash: 1, Tokens: 500}, {Hash: 2, Tokens: 500}, {Hash: 3, Tokens: 100}}
 	now := time.Now()
@@ -197,8 +197,8 @@
 	}
 }
 
-// hearsMove tells whether a message with a move comes in time.
-func hearsMove(pc net.PacketConn, until time.Time) bool {
+// receivesMove tells whether a message with a move comes in time.
+func receivesMove(pc net.PacketConn, until time.Time) bool {
 	_ = pc.SetReadDeadline(until)
 	buffer := make([]byte, 1500)
 	for {
@@ -219,8 +219,8 @@
 // endpoint's keeper tell it, within the first tenth of a second, that they cannot reach it. The
 // new router does not know its peers yet; it must go on, or it ends at each start for as long
 // as endpoints crash: "invalid memory address", and its callers' connections are refused.
-func TestRouterThatStartsHearsOfALostEndpoint(t *testing.T) {
+func TestLostEndpointDuringStart(t *testing.T) {
 	gr := &gossip.Group{Addr: "127.0.0.1:1", Placer: &place.Placer{Rand: clock.NewRand(1), Routers: func() int { return 1 }}, Log: zap.NewNop()}
-	gr.HearDown(7, "127.0.0.2")
-	gr.HearDown(7, "127.0.0.3")
+	gr.HandleUnreachable(7, "127.0.0.2")
+	gr.HandleUnreachable(7, "127.0.0.3")
 }
--- a/io/gossip/down_test.go
+++ b/io/gossip/down_test.go
@@ -13,14 +13,14 @@
 
 // Guards against a large pool's lost endpoints that each router has to find, and again each second:
 // where an endpoint gets few requests, no two routers find it within the time that two have for that.
-func TestOneRequestFindsALostEndpointForAll(t *testing.T) {
+func TestOneRequestDetectsLostEndpoint(t *testing.T) {
 	t.Parallel()
 	var lost atomic.Bool
-	var looks atomic.Int64
+	var attempts atomic.Int64
 	lost.Store(true)
 	all := meetWith(t, 4, func(gr *gossip.Group) {
 		gr.Reach = func(context.Context, uint64) (bool, bool) {
-			looks.Add(1)
+			attempts.Add(1)
 			return !lost.Load(), true
 		}
 	})
@@ -54,7 +54,7 @@
 			t.Fatalf("chosen %d times again after %s, though it is still lost", got, time.Since(began))
 		}
 	}
-	if got := looks.Load(); got > 5 {
+	if got := attempts.Load(); got > 5 {
 		t.Errorf("the keeper looked %d times in 4 s, want fewer and fewer", got)
 	}
 	lost.Store(false)
@@ -65,7 +65,7 @@
 }
 
 // Guards against a router that is cut off from an endpoint by itself and has all others avoid it.
-func TestRouterThatAloneCannotReachAnEndpoint(t *testing.T) {
+func TestEndpointUnreachableFromOneRouter(t *testing.T) {
 	t.Parallel()
 	all := meetWith(t, 3, func(gr *gossip.Group) {
 		gr.Reach = func(context.Context, uint64) (bool, bool) { return true, true }
--- a/io/gossip/items_test.go
+++ b/io/gossip/fetch_test.go
@@ -24,8 +24,8 @@
 	return out.Bytes()
 }
 
-// answered is the size of a router's answer to that query.
-func answered(t *testing.T, ro *router, query string) int {
+// responseSize is the size of a router's answer to that query.
+func responseSize(t *testing.T, ro *router, query string) int {
 	t.Helper()
 	rs, err := http.Get("http://" + ro.Addr + gossip.ItemsPath + "?" + query)
 	if err != nil {
@@ -57,16 +57,16 @@
 	put(3, configuration(-1))
 	put(5, configuration(7))
 	put(6, configuration(8))
-	if size := answered(t, one, "After=5&Key=doc&Rev=5"); size > 500 {
+	if size := responseSize(t, one, "After=5&Key=doc&Rev=5"); size > 500 {
 		t.Errorf("%d bytes for one change to a peer that has the version before", size)
 	}
-	if size := answered(t, one, "After=3&Key=doc&Rev=3"); size > 500 {
+	if size := responseSize(t, one, "After=3&Key=doc&Rev=3"); size > 500 {
 		t.Errorf("%d bytes for two changes to a peer that missed one", size)
 	}
-	if size := answered(t, one, "After=2"); size < 10000 {
+	if size := responseSize(t, one, "After=2"); size < 10000 {
 		t.Errorf("%d bytes to a peer that has nothing: it cannot unpack them", size)
 	}
-	if size := answered(t, one, "After=2&Key=doc&Rev=2"); size < 10000 {
+	if size := responseSize(t, one, "After=2&Key=doc&Rev=2"); size < 10000 {
 		t.Errorf("%d bytes, packed against a version that was never there", size)
 	}
 }
--- a/io/gossip/fuzz_test.go
+++ b/io/gossip/fuzz_test.go
@@ -34,13 +34,13 @@
 	}
 	f.Add([]byte{0xa1, 0x0a, 0xf6})
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		fe := &feed{}
+		fe := &fakeFeed{}
 		fe.Confirm(0)
 		gr := &gossip.Group{
 			Addr: "127.0.0.1:1", Mirror: &mirror.Mirror{}, Feed: fe, Rand: clock.NewRand(1), Log: zap.NewNop(),
 			Placer: &place.Placer{Rand: clock.NewRand(1), Routers: func() int { return 1 }},
 		}
-		gr.HearBytes(data)
-		gr.HearBytes(data)
+		gr.HandleDatagram(data)
+		gr.HandleDatagram(data)
 	})
 }
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -43,53 +43,53 @@
 )
 
 const (
-	// tick is how often peers are told. Each hears at most once in leastGap: calls
+	// tickInterval is how often peers are told. Each hears at most once in leastGap: calls
 	// last a second or more, and a message takes a millisecond.
-	tick     = 100 * time.Millisecond
-	leastGap = 200 * time.Millisecond
-	// callsBytes bounds what a router sends of its calls in a second, bodies of
+	tickInterval    = 100 * time.Millisecond
+	minSendInterval = 200 * time.Millisecond
+	// maxCallsBytesPerSecond bounds what a router sends of its calls in a second, bodies of
 	// datagrams; the budget of a node is 5 KB/s for all of control. What is sent to ask for
 	// counts goes before what is told. With 26 routers each hears each every 0.4 s.
-	callsBytes = 3300
-	// newsTo is how many peers are told at once that there is news of the store.
+	maxCallsBytesPerSecond = 3300
+	// updateFanout is how many peers are told at once that there is news of the store.
 	// Those tell others in turn: 420 routers hear of it in three rounds of a tick.
-	newsTo = 64
+	updateFanout = 64
 	// startGrace is how long a router leaves asking the store to those that newcomers know of,
 	// unless it is one of these or has begun to ask: it knows few peers yet, and so do all others
 	// where all start.
 	startGrace = 1200 * time.Millisecond
-	// announcers is how many routers are to be found through the store: enough for a newcomer
+	// maxAnnouncers is how many routers are to be found through the store: enough for a newcomer
 	// to reach one, also after the loss of a zone or two, whatever the number of routers.
-	announcers = 8
-	// introTicks is how often, in ticks, a router introduces itself to introTo
+	maxAnnouncers = 8
+	// exchangeTicks is how often, in ticks, a router introduces itself to introTo
 	// peers, with what it has heard from engines and whom it knows: some 600 bytes.
-	introTicks = 12
-	introTo    = 2
-	// soonTicks is how often, in ticks, a router introduces itself that may not know all peers yet.
-	soonTicks = 3
-	// mostGreeted is how many newcomers are greeted in a tick; a greeting is a datagram.
-	mostGreeted = 20
+	exchangeTicks  = 12
+	exchangeFanout = 2
+	// unsettledExchangeTicks is how often, in ticks, a router introduces itself that may not know all peers yet.
+	unsettledExchangeTicks = 3
+	// maxJoinReplies is how many newcomers are greeted in a tick; a greeting is a datagram.
+	maxJoinReplies = 20
 	// probeTicks is swim.Period in ticks.
-	probeTicks = int(swim.Period / tick)
-	// countedFor is how long a peer that is taken for dead counts among the routers that share
+	probeTicks = int(swim.Period / tickInterval)
+	// deadPeerWindow is how long a peer that is taken for dead counts among the routers that share
 	// the endpoints: it may be cut off, and serve callers still.
-	countedFor = 30 * time.Second
-	// silentFor is how long no peer may be heard before this router asks the store without
+	deadPeerWindow = 30 * time.Second
+	// isolatedAfter is how long no peer may be heard before this router asks the store without
 	// waiting for others.
-	silentFor = time.Second
-	// mostDatagram keeps a message within one frame.
-	mostDatagram = 1400
-	// mostNamed is how many other peers an introduction names, mostGreeting a greeting, each some
+	isolatedAfter = time.Second
+	// maxDatagram keeps a message within one frame.
+	maxDatagram = 1400
+	// maxExchangePeers is how many other peers an introduction names, mostGreeting a greeting, each some
 	// 7 bytes.
-	mostNamed    = 20
-	mostGreeting = 120
-	// mostRumors is how many rumors go with a message, some 12 bytes each.
-	mostRumors = 16
-	// mostAgeMs bounds the age that is told, an hour; beyond seconds it makes no
+	maxExchangePeers  = 20
+	maxJoinReplyPeers = 120
+	// maxRumors is how many rumors go with a message, some 12 bytes each.
+	maxRumors = 16
+	// maxAgeMs bounds the age that is told, an hour; beyond seconds it makes no
 	// difference.
-	mostAgeMs = 3_600_000
-	// way is the least time that a message takes between zones.
-	way = time.Millisecond
+	maxAgeMs = 3_600_000
+	// minTransitDelay is the least time that a message takes between zones.
+	minTransitDelay = time.Millisecond
 )
 
 // message is what a router tells. Its sender is known by its address; most
@@ -111,21 +111,21 @@
 	From     core.VMID       `cbor:"4,keyasint,omitempty"`
 	Peers    []packedAddr    `cbor:"14,keyasint,omitempty"`
 	Readings []place.Reading `cbor:"6,keyasint,omitempty"`
-	// Hears is how many peers the sender heard of late, Config the version of the configuration that
+	// PeersHeard is how many peers the sender heard of late, Config the version of the configuration that
 	// is in force there, both in introductions.
-	Hears  uint16        `cbor:"12,keyasint,omitempty"`
-	Config route.Version `cbor:"13,keyasint,omitempty"`
+	PeersHeard uint16        `cbor:"12,keyasint,omitempty"`
+	Config     route.Version `cbor:"13,keyasint,omitempty"`
 	// Count is set in messages about one endpoint's calls, which hold nothing else.
 	Count *countMessage `cbor:"10,keyasint,omitempty"`
-	// Blame is set in messages about a request that crashes endpoints, which hold nothing else.
-	Blame *blameMessage `cbor:"11,keyasint,omitempty"`
+	// Crash is set in messages about a request that crashes endpoints, which hold nothing else.
+	Crash *crashMessage `cbor:"11,keyasint,omitempty"`
 	// Probe is set in messages that probe a peer, which hold nothing else but Rumors. Incarnation
 	// is the sender's.
 	Probe       *probeMessage    `cbor:"15,keyasint,omitempty"`
 	Rumors      []rumor          `cbor:"16,keyasint,omitempty"`
 	Incarnation swim.Incarnation `cbor:"17,keyasint,omitempty"`
-	// Followers are the routers that ask the store, see packFollowers.
-	Followers []byte `cbor:"18,keyasint,omitempty"`
+	// Watchers are the routers that ask the store, see packFollowers.
+	Watchers []byte `cbor:"18,keyasint,omitempty"`
 }
 
 // Feed is what a router knows of the store, and how old it is.
@@ -162,44 +162,44 @@
 	// AskTimeout bounds the wait for an endpoint's count, askTimeout if it is 0.
 	AskTimeout time.Duration
 
-	parcels parcels
-	counts  counts
-	settled atomic.Bool
-	mu      sync.Mutex // guards all below
-	members map[string]*member
-	alive   swim.Table
-	leaders elect.Table
-	// began is when Run did, grown when a member was last added, announced when the own address
+	responses  responseCache
+	counts     counts
+	settled    atomic.Bool
+	mu         sync.Mutex // guards all below
+	members    map[string]*member
+	membership swim.Table
+	watchers   elect.Table
+	// started is when Run did, grown when a member was last added, announced when the own address
 	// was first found in the store.
-	began, grown, announced time.Time
-	fetched                 bool // a fetch is under way
-	// wholeFetch is when all that a peer knows was last asked for.
-	wholeFetch time.Time
-	ticks      int
-	// news is the latest revision that was told at once.
-	news core.Version
-	// greet are peers that were not heard before, to be introduced to.
-	greet []string
+	started, lastAdded, announced time.Time
+	fetching                      bool // a fetch is under way
+	// lastFullFetch is when all that a peer knows was last asked for.
+	lastFullFetch time.Time
+	ticks         int
+	// broadcastRev is the latest revision that was told at once.
+	broadcastRev core.Version
+	// joining are peers that were not heard before, to be introduced to.
+	joining []string
 }
 
 // member is a peer, by its address.
 type member struct {
 	id core.VMID
 	// hash is that of its address, by which routers are ordered.
-	hash uint64
-	told time.Time
-	asOf core.Version
+	hash     uint64
+	lastSent time.Time
+	asOf     core.Version
 	// confirmed is when the store confirmed asOf, as the peer told.
 	confirmed time.Time
 	failing   bool
 	leaving   bool
-	// hears is how many peers it heard of late, as it told.
-	hears uint16
+	// peersHeard is how many peers it heard of late, as it told.
+	peersHeard uint16
 	// config is the version of the configuration in force there, as it told.
 	config route.Version
-	// to is addr resolved, nil until it is needed; mutes is set while it does not answer.
-	to    *net.UDPAddr
-	mutes mutes
+	// udpAddr is addr resolved, nil until it is needed; mutes is set while it does not answer.
+	udpAddr *net.UDPAddr
+	backoff backoff
 }
 
 // Add makes an address known. The own one tells that others can find this router.
@@ -209,13 +209,13 @@
 	if addr == gr.Addr && gr.announced.IsZero() {
 		gr.announced = time.Now()
 	}
-	gr.member(addr)
+	gr.memberAt(addr)
 }
 
-func (gr *Group) member(addr string) *member {
+func (gr *Group) memberAt(addr string) *member {
 	if gr.members == nil {
 		gr.members = map[string]*member{}
-		gr.alive.Self, gr.alive.Rand = gr.Addr, gr.Rand
+		gr.membership.Self, gr.membership.Rand = gr.Addr, gr.Rand
 	}
 	if addr == gr.Addr || addr == "" {
 		return nil
@@ -224,8 +224,8 @@
 	if me == nil {
 		me = &member{hash: xxhash.Sum64String(addr)}
 		gr.members[addr] = me
-		gr.grown = time.Now()
-		gr.alive.Add(gr.grown, addr)
+		gr.lastAdded = time.Now()
+		gr.membership.Add(gr.lastAdded, addr)
 	}
 	return me
 }
@@ -234,7 +234,7 @@
 func (gr *Group) Live() int {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	return gr.alive.Live()
+	return gr.membership.Live()
 }
 
 // Routers is how many routers there may be, this one included: all that are alive, were until
@@ -242,17 +242,17 @@
 func (gr *Group) Routers() int {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	return 1 + gr.alive.CountNotLongDead(time.Now(), countedFor)
+	return 1 + gr.membership.CountNotLongDead(time.Now(), deadPeerWindow)
 }
 
-// Announces tells whether this router is one of those that are to be found through the store.
+// ShouldAnnounce tells whether this router is one of those that are to be found through the store.
 //
 // Each announcement is two calls to the store, a renewal now and then, and a change that all
 // are told of. Peers name each other, so that whoever finds one finds all.
-func (gr *Group) Announces() bool {
+func (gr *Group) ShouldAnnounce() bool {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	return gr.rank(anyMember) < announcers
+	return gr.rank(anyMember) < maxAnnouncers
 }
 
 func anyMember(*member) bool { return true }
@@ -262,7 +262,7 @@
 func (gr *Group) rank(counts func(me *member) bool) int {
 	own, before := xxhash.Sum64String(gr.Addr), 0
 	for addr, me := range gr.members {
-		if me.hash < own && !me.leaving && counts(me) && gr.alive.Alive(addr) {
+		if me.hash < own && !me.leaving && counts(me) && gr.membership.Alive(addr) {
 			before++
 		}
 	}
@@ -283,27 +283,27 @@
 	gr.counts.socket.Store(pc)
 	defer gr.counts.socket.Store(nil)
 	go gr.receive(pc)
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			gr.tellCalls(pc, time.Now(), true)
+			gr.broadcast(pc, time.Now(), true)
 			return nil
 		case now := <-ticker.C:
 			gr.probePeers(pc, now)
-			gr.tidy()
-			gr.settle(now)
-			gr.tellCalls(pc, now, false)
-			gr.introduce(pc, now)
-			gr.catchUp(ctx)
+			gr.dropForgotten()
+			gr.updateSettled(now)
+			gr.broadcast(pc, now, false)
+			gr.exchangePeers(pc, now)
+			gr.fetchUpdates(ctx)
 		}
 	}
 }
 
 // receive takes messages until the socket is closed.
 func (gr *Group) receive(pc net.PacketConn) {
-	buffer := make([]byte, mostDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		count, from, err := pc.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -313,12 +313,12 @@
 			gr.Log.Warn("Reading a message of a peer failed.", zap.Error(err))
 			continue
 		}
-		gr.take(time.Now(), from, buffer[:count])
+		gr.handleDatagram(time.Now(), from, buffer[:count])
 	}
 }
 
-// take takes a message as it came.
-func (gr *Group) take(now time.Time, from net.Addr, data []byte) {
+// handleDatagram takes a message as it came.
+func (gr *Group) handleDatagram(now time.Time, from net.Addr, data []byte) {
 	var ms message
 	if err := cbor.Unmarshal(data, &ms); err != nil {
 		gr.Log.Warn("A message of a peer makes no sense.", zap.String("Addr", from.String()), zap.Error(err))
@@ -326,21 +326,21 @@
 	}
 	switch {
 	case ms.Probe != nil:
-		gr.hearProbe(now, from, &ms)
+		gr.handleProbe(now, from, &ms)
 	case ms.Count != nil:
-		gr.hearCount(now, from, ms.Count)
-	case ms.Blame != nil:
-		gr.hearBlame(now, from.String(), ms.Blame)
+		gr.handleCount(now, from, ms.Count)
+	case ms.Crash != nil:
+		gr.handleCrashNote(now, from.String(), ms.Crash)
 	default:
-		gr.hear(now, from.String(), &ms)
+		gr.handleUpdate(now, from.String(), &ms)
 	}
 }
 
-// hear takes a message. The mirror and the placer are called without the lock: both
+// handleUpdate takes a message. The mirror and the placer are called without the lock: both
 // ask the group for things while they hold their own.
-func (gr *Group) hear(now time.Time, from string, ms *message) {
+func (gr *Group) handleUpdate(now time.Time, from string, ms *message) {
 	confirmed := now.Add(-time.Duration(ms.AgeMs) * time.Millisecond)
-	if !gr.note(now, confirmed, from, ms) {
+	if !gr.recordSender(now, confirmed, from, ms) {
 		return
 	}
 	if ms.AsOf <= gr.Mirror.AsOf() {
@@ -348,46 +348,46 @@
 	}
 	gr.Placer.Hear(now, from, ms.Calls)
 	gr.Placer.HearMoves(ms.Moves)
-	gr.Placer.HearReadings(now, way, ms.Readings)
+	gr.Placer.HearReadings(now, minTransitDelay, ms.Readings)
 }
 
-// note keeps what a message tells of its sender and of others; false if it is this router.
-func (gr *Group) note(now, confirmed time.Time, from string, ms *message) bool {
+// recordSender keeps what a message tells of its sender and of others; false if it is this router.
+func (gr *Group) recordSender(now, confirmed time.Time, from string, ms *message) bool {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	me := gr.member(from)
+	me := gr.memberAt(from)
 	if me == nil {
 		return false
 	}
-	gr.hearRumors(now, from, ms)
+	gr.applyRumors(now, from, ms)
 	if ms.Leaving && !me.leaving {
 		gr.Log.Info("A peer leaves.", zap.String("Peer", string(me.id)), zap.String("Addr", from))
 	}
 	if ms.From != "" {
-		me.id, me.hears, me.config = ms.From, ms.Hears, ms.Config
-		if gr.alive.KnowsMore(int(ms.Hears)) {
-			gr.greet = append(gr.greet, from)
+		me.id, me.peersHeard, me.config = ms.From, ms.PeersHeard, ms.Config
+		if gr.membership.KnowsMore(int(ms.PeersHeard)) {
+			gr.joining = append(gr.joining, from)
 		}
 	}
 	me.asOf, me.leaving, me.failing, me.confirmed = ms.AsOf, ms.Leaving, ms.Failing, confirmed
-	gr.leaders.Apply(now, unpackFollowers(now, ms.Followers))
+	gr.watchers.Apply(now, unpackWatchers(now, ms.Watchers))
 	for _, pa := range ms.Peers {
-		if addr, ok := pa.unpack(); ok && gr.member(addr) != nil {
-			gr.alive.Join(now, addr)
+		if addr, ok := pa.unpack(); ok && gr.memberAt(addr) != nil {
+			gr.membership.Join(now, addr)
 		}
 	}
 	return true
 }
 
-// tidy drops peers that have long been dead, and lists those that may keep counts.
-func (gr *Group) tidy() {
+// dropForgotten drops peers that have long been dead, and lists those that may keep counts.
+func (gr *Group) dropForgotten() {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	for addr, me := range gr.members {
-		if !gr.alive.Known(addr) {
+		if !gr.membership.Known(addr) {
 			delete(gr.members, addr)
 			gr.Log.Info("Forgets a peer.", zap.String("Peer", string(me.id)), zap.String("Addr", addr))
 		}
 	}
-	gr.listKeepers()
+	gr.updateCandidates()
 }
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -19,31 +19,31 @@
 	"almondrill/io/gossip"
 )
 
-// feed is what a test says of the store.
-type feed struct {
+// fakeFeed is what a test says of the store.
+type fakeFeed struct {
 	confirmed atomic.Int64
 	failing   atomic.Bool
 }
 
-func (fe *feed) Age() time.Duration {
+func (fe *fakeFeed) Age() time.Duration {
 	return time.Since(time.Unix(0, fe.confirmed.Load()))
 }
 
 // Confirm takes only what is newer, as the real one does.
-func (fe *feed) Confirm(age time.Duration) {
+func (fe *fakeFeed) Confirm(age time.Duration) {
 	if at := time.Now().Add(-age).UnixNano(); at > fe.confirmed.Load() {
 		fe.confirmed.Store(at)
 	}
 }
-func (fe *feed) Failing() bool      { return fe.failing.Load() }
-func (fe *feed) Unresponsive() bool { return fe.failing.Load() }
+func (fe *fakeFeed) Failing() bool      { return fe.failing.Load() }
+func (fe *fakeFeed) Unresponsive() bool { return fe.failing.Load() }
 
-func (fe *feed) OwnAge() time.Duration { return time.Hour }
+func (fe *fakeFeed) OwnAge() time.Duration { return time.Hour }
 
 // router is a peer on loopback, with its datagrams and its news on one port.
 type router struct {
 	*gossip.Group
-	feed *feed
+	feed *fakeFeed
 	// cancel ends its exchange of messages.
 	cancel  context.CancelFunc
 	done    chan struct{}
@@ -65,7 +65,7 @@
 // startWith lets the caller set fields before the router runs.
 func startWith(t *testing.T, ix int, set func(gr *gossip.Group)) *router {
 	t.Helper()
-	fe := &feed{}
+	fe := &fakeFeed{}
 	fe.Confirm(0)
 	gr := &gossip.Group{
 		Self: core.VMID(fmt.Sprint("r", ix)), Mirror: &mirror.Mirror{}, Feed: fe, Rand: clock.NewRand(uint64(ix)), Log: zap.NewNop(),
@@ -131,7 +131,7 @@
 
 // The store turns one router away while keys are revoked. It learns of the change from
 // its peer, or goes on serving callers whose key was taken away.
-func TestNewsComesFromPeers(t *testing.T) {
+func TestUpdatesComeFromPeers(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	two.Add(one.Addr)
 	two.feed.failing.Store(true)
@@ -139,9 +139,9 @@
 	eventually(t, "the news arrived", func() bool { return two.Mirror.AsOf() == 4 })
 	one.Mirror.Apply([]core.Item{{Key: "a", Rev: 5, Deleted: true}}, 5)
 	eventually(t, "the deletion arrived", func() bool { return two.Mirror.AsOf() == 5 })
-	news, _, _ := two.Mirror.Since(4)
-	if len(news) != 1 || !news[0].Deleted {
-		t.Errorf("news %+v", news)
+	changes, _, _ := two.Mirror.Since(4)
+	if len(changes) != 1 || !changes[0].Deleted {
+		t.Errorf("news %+v", changes)
 	}
 	two.feed.confirmed.Store(0)
 	one.feed.Confirm(0)
@@ -151,7 +151,7 @@
 // Hundreds of routers have just started and lack news. If all ask the one peer that knows
 // most, its link is full, most of them hear nothing in time, and ask it again. One that knows
 // nothing new is never asked.
-func TestNewsIsAskedOfManyPeers(t *testing.T) {
+func TestFetchesAreSpreadOverPeers(t *testing.T) {
 	ro := start(t, 0)
 	ro.feed.failing.Store(false)
 	ahead, behind := map[string]bool{}, ""
@@ -175,7 +175,7 @@
 	asked := map[string]int{}
 	const asks = 200
 	for range asks {
-		asked[ro.Ahead(3)]++
+		asked[ro.PickAhead(3)]++
 	}
 	if asked[behind] > 0 || asked[""] > 0 {
 		t.Errorf("asked %v; %s knows nothing new", asked, behind)
@@ -188,39 +188,39 @@
 }
 
 // Of five routers two ask the store, and where their calls fail, two others do.
-func TestTwoLead(t *testing.T) {
+func TestTwoWatchers(t *testing.T) {
 	var routers []*router
 	for ix := range 5 {
 		routers = append(routers, start(t, ix))
 		routers[ix].Add(routers[0].Addr)
 	}
-	leading := func() (leaders []*router) {
+	watching := func() (watchers []*router) {
 		for _, ro := range routers {
-			if ro.Leads() {
-				leaders = append(leaders, ro)
+			if ro.IsWatcher() {
+				watchers = append(watchers, ro)
 			}
 		}
-		return leaders
+		return watchers
 	}
-	eventually(t, "two of five lead", func() bool { return len(leading()) == 2 })
-	first := leading()
+	eventually(t, "two of five lead", func() bool { return len(watching()) == 2 })
+	first := watching()
 	for _, ro := range first {
 		ro.feed.failing.Store(true)
 	}
 	eventually(t, "others lead", func() bool {
-		well := 0
-		for _, ro := range leading() {
+		healthy := 0
+		for _, ro := range watching() {
 			if !ro.feed.failing.Load() {
-				well++
+				healthy++
 			}
 		}
-		return well == 2
+		return healthy == 2
 	})
 }
 
 // The store is away. Two routers that lost it do not keep each other's beliefs fresh:
 // each would take what is missing after the store's return for gone.
-func TestNobodyConfirmsWhatNobodyHeard(t *testing.T) {
+func TestPeersDoNotRefreshStaleConfirmations(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	two.Add(one.Addr)
 	eventually(t, "both hear each other", func() bool { return one.Live() == 1 && two.Live() == 1 })
@@ -233,7 +233,7 @@
 }
 
 // Datagrams that are no messages, from whoever, do no harm.
-func TestNonsenseIsDropped(t *testing.T) {
+func TestInvalidMessagesAreDropped(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	co, err := net.Dial("udp", one.Addr)
 	if err != nil {
@@ -255,7 +255,7 @@
 // A router hears peers, places calls and takes news at the same time. All three know
 // of each other: the choice asks how many routers there are, the news names peers.
 // If they lock in different orders, the router stops answering anyone, for good.
-func TestNobodyWaitsForEachOther(t *testing.T) {
+func TestNoDeadlock(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	two.Add(one.Addr)
 	one.Placer.Routers = one.Routers
--- a/io/gossip/grants.go
+++ b/io/gossip/grants.go
@@ -11,29 +11,29 @@
 // granted.
 
 const (
-	// settleTime is how long no peer may have become known before a Group takes those that it
+	// settleWindow is how long no peer may have become known before a Group takes those that it
 	// knows for all: several times what a router that starts takes to be heard by its peers.
-	settleTime = 2 * time.Second
-	// deniedFor is how long to wait where nobody could tell, leastDenied where an endpoint's
+	settleWindow = 2 * time.Second
+	// unknownRetryDelay is how long to wait where nobody could tell, leastDenied where an endpoint's
 	// limit is used up.
-	deniedFor   = 200 * time.Millisecond
-	leastDenied = 10 * time.Millisecond
+	unknownRetryDelay = 200 * time.Millisecond
+	minRetryDelay     = 10 * time.Millisecond
 )
 
 // Grant implements core.Grants.
 func (gr *Group) Grant(ctx context.Context, endpoint uint64, perSecond int) (bool, time.Duration) {
-	ke := gr.keeperOf(endpoint)
-	if ke == nil || !gr.settled.Load() {
-		return false, deniedFor
+	owner := gr.ownerOf(endpoint)
+	if owner == nil || !gr.settled.Load() {
+		return false, unknownRetryDelay
 	}
 	var after uint32
-	if ke.to == nil {
+	if owner.udpAddr == nil {
 		after = gr.grant(time.Now(), endpoint, perSecond)
 	} else {
 		var answered bool
-		after, answered = gr.question(ctx, ke, &countMessage{Kind: countWanted, Endpoint: endpoint, Calls: uint32(perSecond)})
+		after, answered = gr.query(ctx, owner, &countMessage{Kind: countGrantRequest, Endpoint: endpoint, Calls: uint32(perSecond)})
 		if !answered || after == unknownCalls {
-			return false, deniedFor
+			return false, unknownRetryDelay
 		}
 	}
 	return after == 0, time.Duration(after) * time.Millisecond
@@ -45,22 +45,22 @@
 	if granted {
 		return 0
 	}
-	return uint32(max(leastDenied, after).Milliseconds())
+	return uint32(max(minRetryDelay, after).Milliseconds())
 }
 
-// settle works out whether the peers that are known are likely to be all.
-func (gr *Group) settle(now time.Time) {
+// updateSettled works out whether the peers that are known are likely to be all.
+func (gr *Group) updateSettled(now time.Time) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	if gr.began.IsZero() {
-		gr.began = now
+	if gr.started.IsZero() {
+		gr.started = now
 	}
-	settled := now.Sub(gr.began) >= settleTime && now.Sub(gr.grown) >= settleTime
+	settled := now.Sub(gr.started) >= settleWindow && now.Sub(gr.lastAdded) >= settleWindow
 	// One without peers is alone only if others could find it.
-	heard := len(gr.members) == 0 && !gr.announced.IsZero() && now.Sub(gr.announced) >= settleTime
+	heard := len(gr.members) == 0 && !gr.announced.IsZero() && now.Sub(gr.announced) >= settleWindow
 	for addr, me := range gr.members {
-		heard = heard || !gr.alive.LastHeard(addr).IsZero()
-		if gr.alive.Alive(addr) && int(me.hears) > len(gr.members) {
+		heard = heard || !gr.membership.LastHeard(addr).IsZero()
+		if gr.membership.Alive(addr) && int(me.peersHeard) > len(gr.members) {
 			settled = false // it hears peers that are not known here
 		}
 	}
--- a/io/gossip/grants_test.go
+++ b/io/gossip/grants_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// settle waits until the routers take each other for all there are.
-func settle(t *testing.T, all []*router) {
+// waitSettled waits until the routers take each other for all there are.
+func waitSettled(t *testing.T, all []*router) {
 	t.Helper()
 	eventually(t, "all routers are granted requests", func() bool {
 		for ix, ro := range all {
@@ -25,7 +25,7 @@
 func TestRoutersShareALimit(t *testing.T) {
 	const limit = 7
 	all := meet(t, 4)
-	settle(t, all)
+	waitSettled(t, all)
 	for endpoint := range uint64(8) {
 		granted := 0
 		for ask := range 4 * limit {
@@ -44,7 +44,7 @@
 
 // Guards against a router that has just started and grants, or is granted, what others grant
 // too: it knows few of its peers.
-func TestRouterThatHasJustStartedIsGrantedNothing(t *testing.T) {
+func TestStartingRouterGetsNoGrant(t *testing.T) {
 	alone := start(t, 0)
 	if granted, after := alone.Grant(context.Background(), 1, 100); granted || after <= 0 {
 		t.Errorf("granted %v, to be asked again after %s", granted, after)
@@ -58,7 +58,7 @@
 
 // Guards against routers that start while the store takes no announcement and each take
 // themselves for the only one: three of them sent a cold endpoint three times its limit.
-func TestRouterThatNobodyCanFindIsGrantedNothing(t *testing.T) {
+func TestUnannouncedRouterGetsNoGrant(t *testing.T) {
 	alone := start(t, 0)
 	time.Sleep(2500 * time.Millisecond)
 	if granted, _ := alone.Grant(context.Background(), 1, 100); granted {
@@ -67,7 +67,7 @@
 }
 
 // Guards against a router that was cut off since its start and takes itself for the only one.
-func TestRouterThatHearsNobodyIsGrantedNothing(t *testing.T) {
+func TestIsolatedRouterGetsNoGrant(t *testing.T) {
 	alone := start(t, 0)
 	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
--- a/io/gossip/probe.go
+++ b/io/gossip/probe.go
@@ -44,13 +44,13 @@
 type probeKind uint8
 
 const (
-	// probeAsked is to be answered, with For as it is.
-	probeAsked probeKind = iota + 1
-	// probeAnswered tells that its sender is alive, or Target if there is one. Whoever gets one
+	// probeRequest is to be answered, with For as it is.
+	probeRequest probeKind = iota + 1
+	// probeReply tells that its sender is alive, or Target if there is one. Whoever gets one
 	// with For passes it on to that peer.
-	probeAnswered
-	// probeWanted asks a peer to probe Target.
-	probeWanted
+	probeReply
+	// probeRelay asks a peer to probe Target.
+	probeRelay
 )
 
 // probeMessage finds out whether a peer is alive, some 40 bytes.
@@ -66,12 +66,12 @@
 		return
 	}
 	gr.mu.Lock()
-	probes := gr.alive.Tick(now)
+	probes := gr.membership.Tick(now)
 	gr.mu.Unlock()
 	for _, pr := range probes {
-		pm := &probeMessage{Kind: probeAsked}
+		pm := &probeMessage{Kind: probeRequest}
 		if pr.Target != "" {
-			pm.Kind, pm.Target = probeWanted, packAddr(pr.Target)
+			pm.Kind, pm.Target = probeRelay, packAddr(pr.Target)
 		}
 		gr.sendProbe(pc, pr.To, pm, pr.About)
 	}
@@ -89,7 +89,7 @@
 		gr.Log.Error("Encoding a probe failed.", zap.Error(err))
 		return
 	}
-	gr.counts.sent.Add(int64(len(data)))
+	gr.counts.sentBytes.Add(int64(len(data)))
 	gr.send(pc, to, data)
 }
 
@@ -97,18 +97,18 @@
 func (gr *Group) addRumors(ms *message) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	ms.Incarnation = gr.alive.Incarnation()
-	for _, ru := range gr.alive.Rumors(mostRumors) {
+	ms.Incarnation = gr.membership.Incarnation()
+	for _, ru := range gr.membership.Rumors(maxRumors) {
 		if addr := packAddr(ru.Addr); addr != nil {
 			ms.Rumors = append(ms.Rumors, rumor{Addr: addr, State: ru.State, Incarnation: ru.Incarnation})
 		}
 	}
 }
 
-// hearRumors takes that a peer was heard, and what it tells of others. The lock is held.
-func (gr *Group) hearRumors(now time.Time, from string, ms *message) {
-	if gr.alive.MessageReceived(now, from, ms.Incarnation) {
-		gr.listKeepers()
+// applyRumors takes that a peer was heard, and what it tells of others. The lock is held.
+func (gr *Group) applyRumors(now time.Time, from string, ms *message) {
+	if gr.membership.MessageReceived(now, from, ms.Incarnation) {
+		gr.updateCandidates()
 		gr.Log.Info("Hears a peer.", zap.String("Peer", string(ms.From)), zap.String("Addr", from))
 	}
 	rumors := make([]swim.Rumor, 0, len(ms.Rumors))
@@ -118,19 +118,19 @@
 			continue
 		}
 		if ru.State == swim.Alive {
-			gr.member(addr)
+			gr.memberAt(addr)
 		}
 		rumors = append(rumors, swim.Rumor{Addr: addr, State: ru.State, Incarnation: ru.Incarnation})
 	}
-	gr.alive.ApplyRumors(now, rumors)
+	gr.membership.ApplyRumors(now, rumors)
 }
 
-// hearProbe takes a probeMessage.
-func (gr *Group) hearProbe(now time.Time, from net.Addr, ms *message) {
+// handleProbe takes a probeMessage.
+func (gr *Group) handleProbe(now time.Time, from net.Addr, ms *message) {
 	gr.mu.Lock()
-	known := gr.member(from.String()) != nil
+	known := gr.memberAt(from.String()) != nil
 	if known {
-		gr.hearRumors(now, from.String(), ms)
+		gr.applyRumors(now, from.String(), ms)
 	}
 	gr.mu.Unlock()
 	socket := gr.counts.socket.Load()
@@ -138,19 +138,19 @@
 		return
 	}
 	pm := ms.Probe
-	target, named := pm.Target.unpack()
-	asker, passed := pm.For.unpack()
+	target, hasTarget := pm.Target.unpack()
+	asker, relayed := pm.For.unpack()
 	switch {
-	case pm.Kind == probeAsked:
-		gr.sendProbe(socket, from.String(), &probeMessage{Kind: probeAnswered, For: pm.For}, swim.Rumor{})
-	case pm.Kind == probeWanted && named:
-		gr.sendProbe(socket, target, &probeMessage{Kind: probeAsked, For: packAddr(from.String())}, swim.Rumor{})
-	case pm.Kind == probeAnswered && passed:
-		gr.sendProbe(socket, asker, &probeMessage{Kind: probeAnswered, Target: packAddr(from.String())}, swim.Rumor{})
-	case pm.Kind == probeAnswered && named:
+	case pm.Kind == probeRequest:
+		gr.sendProbe(socket, from.String(), &probeMessage{Kind: probeReply, For: pm.For}, swim.Rumor{})
+	case pm.Kind == probeRelay && hasTarget:
+		gr.sendProbe(socket, target, &probeMessage{Kind: probeRequest, For: packAddr(from.String())}, swim.Rumor{})
+	case pm.Kind == probeReply && relayed:
+		gr.sendProbe(socket, asker, &probeMessage{Kind: probeReply, Target: packAddr(from.String())}, swim.Rumor{})
+	case pm.Kind == probeReply && hasTarget:
 		gr.mu.Lock()
-		if gr.member(target) != nil {
-			gr.alive.MessageReceived(now, target, 0)
+		if gr.memberAt(target) != nil {
+			gr.membership.MessageReceived(now, target, 0)
 		}
 		gr.mu.Unlock()
 	}
