--- a/io/gossip/blame.go
+++ b/io/gossip/blame.go
@@ -15,8 +15,8 @@
 // still knows.
 const crashOwners = 2
 
-// crashMessage is a core.BlameNote on its way, some 60 bytes.
-type crashMessage struct {
+// crashNotice is a core.BlameNote on its way, some 60 bytes.
+type crashNotice struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    core.BlameKind
 	Request []byte
@@ -51,7 +51,7 @@
 	}
 	for _, ca := range best {
 		if ca.to != nil { // nil: this router, which counts what it tells
-			gr.sendCrashNote(now, ca.to, no)
+			gr.sendCrashNotice(now, ca.to, no)
 		}
 	}
 }
@@ -65,12 +65,12 @@
 			gr.Log.Warn("A peer's address makes no sense.", zap.String("Addr", addr), zap.Error(err))
 			continue
 		}
-		gr.sendCrashNote(now, to, no)
+		gr.sendCrashNotice(now, to, no)
 	}
 }
 
-func (gr *Group) sendCrashNote(now time.Time, to net.Addr, no core.BlameNote) {
-	cm := &crashMessage{Kind: no.Kind, Request: no.Request[:]}
+func (gr *Group) sendCrashNotice(now time.Time, to net.Addr, no core.BlameNote) {
+	cm := &crashNotice{Kind: no.Kind, Request: no.Request[:]}
 	for _, cr := range no.Crashes {
 		age := min(maxAgeMs, max(0, now.Sub(cr.At).Milliseconds()))
 		cm.Crashes = append(cm.Crashes, crashEntry{Endpoint: cr.Endpoint, AgeMs: uint32(age)})
@@ -78,8 +78,8 @@
 	gr.sendOne(to, &message{Crash: cm})
 }
 
-// handleCrashNote takes a peer's note.
-func (gr *Group) handleCrashNote(now time.Time, from string, cm *crashMessage) {
+// handleCrashNotice takes a peer's note.
+func (gr *Group) handleCrashNotice(now time.Time, from string, cm *crashNotice) {
 	no := core.BlameNote{Kind: cm.Kind}
 	if len(cm.Request) != len(no.Request) || cm.Kind < core.BlameSuspected || cm.Kind > core.BlameCleared {
 		gr.Log.Warn("A peer's note of a request makes no sense.", zap.String("Addr", from), zap.Uint8("Kind", uint8(cm.Kind)))
--- a/io/gossip/blame_test.go
+++ b/io/gossip/blame_test.go
@@ -12,19 +12,19 @@
 	"almondrill/io/gossip"
 )
 
-// crashNotes collects what a router is told.
-type crashNotes struct {
+// crashNotices collects what a router is told.
+type crashNotices struct {
 	mu  sync.Mutex
 	all []core.BlameNote
 }
 
-func (no *crashNotes) add(_ time.Time, _ string, note core.BlameNote) {
+func (no *crashNotices) add(_ time.Time, _ string, note core.BlameNote) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	no.all = append(no.all, note)
 }
 
-func (no *crashNotes) count(fp core.Fingerprint) int {
+func (no *crashNotices) count(fp core.Fingerprint) int {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	count := 0
@@ -37,11 +37,11 @@
 }
 
 // meetCollecting starts routers that keep what they are told.
-func meetCollecting(t *testing.T, count int) ([]*router, []*crashNotes) {
+func meetCollecting(t *testing.T, count int) ([]*router, []*crashNotices) {
 	t.Helper()
-	var received []*crashNotes
+	var received []*crashNotices
 	all := meetWith(t, count, func(gr *gossip.Group) {
-		no := &crashNotes{}
+		no := &crashNotices{}
 		received = append(received, no)
 		gr.Blamed = no.add
 	})
--- a/io/gossip/counts.go
+++ b/io/gossip/counts.go
@@ -154,15 +154,15 @@
 	if time.Now().UnixNano() < owner.backoff.until.Load() {
 		return 0, false
 	}
-	number, answer := gr.counts.addPending()
-	defer gr.counts.removePending(number)
-	cm.Ask = number
+	id, reply := gr.counts.addPending()
+	defer gr.counts.removePending(id)
+	cm.Ask = id
 	gr.sendCount(owner.udpAddr, cm)
 	wait := cmp.Or(gr.AskTimeout, askTimeout)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case value := <-answer:
+	case value := <-reply:
 		return value, true
 	case <-timer.C:
 		owner.backoff.until.Store(time.Now().Add(ownerBackoff).UnixNano())
@@ -255,23 +255,23 @@
 		co.pending = map[uint32]chan uint32{}
 	}
 	co.lastQuery++
-	answer := make(chan uint32, 1)
-	co.pending[co.lastQuery] = answer
-	return co.lastQuery, answer
+	reply := make(chan uint32, 1)
+	co.pending[co.lastQuery] = reply
+	return co.lastQuery, reply
 }
 
-func (co *counts) removePending(number uint32) {
+func (co *counts) removePending(id uint32) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	delete(co.pending, number)
+	delete(co.pending, id)
 }
 
 // deliver hands an answer to who waits for it; one that comes late is dropped.
 func (co *counts) deliver(cm *countMessage) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	if answer := co.pending[cm.Ask]; answer != nil {
-		answer <- cm.Calls
+	if reply := co.pending[cm.Ask]; reply != nil {
+		reply <- cm.Calls
 		delete(co.pending, cm.Ask)
 	}
 }
--- a/io/gossip/fetch.go
+++ b/io/gossip/fetch.go
@@ -56,9 +56,9 @@
 	Rev   core.Version
 }
 
-func (as *fetchRequest) query() string {
+func (fr *fetchRequest) query() string {
 	return url.Values{
-		"After": {strconv.FormatUint(uint64(as.After), 10)}, "Key": {as.Key}, "Rev": {strconv.FormatUint(uint64(as.Rev), 10)},
+		"After": {strconv.FormatUint(uint64(fr.After), 10)}, "Key": {fr.Key}, "Rev": {strconv.FormatUint(uint64(fr.Rev), 10)},
 	}.Encode()
 }
 
@@ -85,14 +85,14 @@
 // maxResponses bounds the answers kept; peers are rarely behind by different amounts.
 const maxResponses = 16
 
-func (pa *responseCache) get(fr fetchRequest, mi *mirror.Mirror) ([]byte, error) {
-	pa.mu.Lock()
-	defer pa.mu.Unlock()
+func (rc *responseCache) get(fr fetchRequest, mi *mirror.Mirror) ([]byte, error) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	changes, asOf, whole := mi.Since(fr.After)
-	if asOf != pa.asOf || len(pa.packed) >= maxResponses {
-		pa.asOf, pa.packed = asOf, map[fetchRequest][]byte{}
+	if asOf != rc.asOf || len(rc.packed) >= maxResponses {
+		rc.asOf, rc.packed = asOf, map[fetchRequest][]byte{}
 	}
-	if data := pa.packed[fr]; data != nil {
+	if data := rc.packed[fr]; data != nil {
 		return data, nil
 	}
 	plain, err := cbor.Marshal(&items{AsOf: asOf, Items: changes, Whole: whole})
@@ -109,7 +109,7 @@
 	}
 	data, err := cbor.Marshal(&out)
 	if err == nil {
-		pa.packed[fr] = data
+		rc.packed[fr] = data
 	}
 	return data, err
 }
@@ -117,14 +117,14 @@
 // Handler tells what this router knows of the store.
 func (gr *Group) Handler() http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, hr *http.Request) {
-		as, err := parseFetchRequest(hr.URL.Query())
+		fr, err := parseFetchRequest(hr.URL.Query())
 		if err != nil {
 			http.Error(wr, err.Error(), http.StatusBadRequest)
 			return
 		}
-		data, err := gr.responses.get(as, gr.Mirror)
+		data, err := gr.responses.get(fr, gr.Mirror)
 		if err != nil {
-			gr.Log.Error("Packing news for a peer failed.", zap.Stringer("After", as.After), zap.Error(err))
+			gr.Log.Error("Packing news for a peer failed.", zap.Stringer("After", fr.After), zap.Error(err))
 			http.Error(wr, err.Error(), http.StatusInternalServerError)
 			return
 		}
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -118,7 +118,7 @@
 	// Count is set in messages about one endpoint's calls, which hold nothing else.
 	Count *countMessage `cbor:"10,keyasint,omitempty"`
 	// Crash is set in messages about a request that crashes endpoints, which hold nothing else.
-	Crash *crashMessage `cbor:"11,keyasint,omitempty"`
+	Crash *crashNotice `cbor:"11,keyasint,omitempty"`
 	// Probe is set in messages that probe a peer, which hold nothing else but Rumors. Incarnation
 	// is the sender's.
 	Probe       *probeMessage    `cbor:"15,keyasint,omitempty"`
@@ -209,10 +209,10 @@
 	if addr == gr.Addr && gr.announced.IsZero() {
 		gr.announced = time.Now()
 	}
-	gr.memberAt(addr)
+	gr.getOrAddMember(addr)
 }
 
-func (gr *Group) memberAt(addr string) *member {
+func (gr *Group) getOrAddMember(addr string) *member {
 	if gr.members == nil {
 		gr.members = map[string]*member{}
 		gr.membership.Self, gr.membership.Rand = gr.Addr, gr.Rand
@@ -330,7 +330,7 @@
 	case ms.Count != nil:
 		gr.handleCount(now, from, ms.Count)
 	case ms.Crash != nil:
-		gr.handleCrashNote(now, from.String(), ms.Crash)
+		gr.handleCrashNotice(now, from.String(), ms.Crash)
 	default:
 		gr.handleUpdate(now, from.String(), &ms)
 	}
@@ -355,7 +355,7 @@
 func (gr *Group) recordSender(now, confirmed time.Time, from string, ms *message) bool {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	me := gr.memberAt(from)
+	me := gr.getOrAddMember(from)
 	if me == nil {
 		return false
 	}
@@ -372,7 +372,7 @@
 	me.asOf, me.leaving, me.failing, me.confirmed = ms.AsOf, ms.Leaving, ms.Failing, confirmed
 	gr.watchers.Apply(now, unpackWatchers(now, ms.Watchers))
 	for _, pa := range ms.Peers {
-		if addr, ok := pa.unpack(); ok && gr.memberAt(addr) != nil {
+		if addr, ok := pa.unpack(); ok && gr.getOrAddMember(addr) != nil {
 			gr.membership.Join(now, addr)
 		}
 	}
--- a/io/gossip/grants.go
+++ b/io/gossip/grants.go
@@ -26,17 +26,17 @@
 	if owner == nil || !gr.settled.Load() {
 		return false, unknownRetryDelay
 	}
-	var after uint32
+	var retryMs uint32
 	if owner.udpAddr == nil {
-		after = gr.grant(time.Now(), endpoint, perSecond)
+		retryMs = gr.grant(time.Now(), endpoint, perSecond)
 	} else {
 		var answered bool
-		after, answered = gr.query(ctx, owner, &countMessage{Kind: countGrantRequest, Endpoint: endpoint, Calls: uint32(perSecond)})
-		if !answered || after == unknownCalls {
+		retryMs, answered = gr.query(ctx, owner, &countMessage{Kind: countGrantRequest, Endpoint: endpoint, Calls: uint32(perSecond)})
+		if !answered || retryMs == unknownCalls {
 			return false, unknownRetryDelay
 		}
 	}
-	return after == 0, time.Duration(after) * time.Millisecond
+	return retryMs == 0, time.Duration(retryMs) * time.Millisecond
 }
 
 // grant returns 0 if the request is granted, or else in how many ms to ask again.
--- a/io/gossip/lead.go
+++ b/io/gossip/lead.go
@@ -43,15 +43,15 @@
 
 // IsWatcher tells whether this router is to ask the store on behalf of all.
 func (gr *Group) IsWatcher() bool {
-	followed := gr.Feed.OwnAge()
+	ownAge := gr.Feed.OwnAge()
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	now := time.Now()
 	starting := gr.started.IsZero() || now.Sub(gr.started) < startGrace
-	if starting && len(gr.members) > 0 && gr.announced.IsZero() && followed > startGrace {
+	if starting && len(gr.members) > 0 && gr.announced.IsZero() && ownAge > startGrace {
 		return false
 	}
-	return gr.watchers.IsElected(now, gr.watcherHash(), gr.healthyBefore(), followed)
+	return gr.watchers.IsElected(now, gr.watcherHash(), gr.healthyBefore(), ownAge)
 }
 
 // healthyBefore is how many live peers whose calls to the store do not fail come before this router.
--- a/io/gossip/probe.go
+++ b/io/gossip/probe.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		if ru.State == swim.Alive {
-			gr.memberAt(addr)
+			gr.getOrAddMember(addr)
 		}
 		rumors = append(rumors, swim.Rumor{Addr: addr, State: ru.State, Incarnation: ru.Incarnation})
 	}
@@ -128,7 +128,7 @@
 // handleProbe takes a probeMessage.
 func (gr *Group) handleProbe(now time.Time, from net.Addr, ms *message) {
 	gr.mu.Lock()
-	known := gr.memberAt(from.String()) != nil
+	known := gr.getOrAddMember(from.String()) != nil
 	if known {
 		gr.applyRumors(now, from.String(), ms)
 	}
@@ -149,7 +149,7 @@
 		gr.sendProbe(socket, asker, &probeMessage{Kind: probeReply, Target: packAddr(from.String())}, swim.Rumor{})
 	case pm.Kind == probeReply && hasTarget:
 		gr.mu.Lock()
-		if gr.memberAt(target) != nil {
+		if gr.getOrAddMember(target) != nil {
 			gr.membership.MessageReceived(now, target, 0)
 		}
 		gr.mu.Unlock()
