--- a/core/place/backoff.go
+++ b/core/place/backoff.go
@@ -10,9 +10,9 @@
 // calls of its own such an endpoint looks the least loaded, draws the next requests and turns them
 // away too, while the others have room. Therefore it is left out for as long as it asked.
 
-// Backoff tells that the endpoint wants no requests from this router for that long. It returns false
+// RecordBackoff tells that the endpoint wants no requests from this router for that long. It returns false
 // if that was known.
-func (tk *Ticket) Backoff(now time.Time, lasts time.Duration) bool {
+func (tk *Ticket) RecordBackoff(now time.Time, lasts time.Duration) bool {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
 	st := tk.st
@@ -21,17 +21,17 @@
 	}
 	known := now.Before(st.backoffUntil)
 	if until := now.Add(lasts); until.After(st.backoffUntil) {
-		st.stir()
+		st.markChanged()
 		st.backoffUntil = until
-		tk.pl.keepBackoff(now, st.ID, until)
+		tk.pl.rememberBackoff(now, st.ID, until)
 	}
 	return !known
 }
 
-// keepBackoff remembers until when an endpoint wants no requests, so that it holds also when the
+// rememberBackoff remembers until when an endpoint wants no requests, so that it holds also when the
 // endpoint is removed and registers again. It holds for a later start too: the registration may
 // come late, so that it was that start which asked.
-func (pl *Placer) keepBackoff(now time.Time, endpoint core.EndpointID, until time.Time) {
+func (pl *Placer) rememberBackoff(now time.Time, endpoint core.EndpointID, until time.Time) {
 	for other, ends := range pl.backoffs {
 		if !now.Before(ends) {
 			delete(pl.backoffs, other)
@@ -44,10 +44,10 @@
 
 // backsOff tells whether the endpoint wants no requests now, and counts it.
 func (ch *choice) backsOff(st *state) bool {
-	if st.quiet || !ch.now.Before(st.backoffUntil) {
+	if st.fastPath || !ch.now.Before(st.backoffUntil) {
 		return false
 	}
-	ch.backingOff++
+	ch.backingOffCount++
 	if ch.backoffEnds.IsZero() || st.backoffUntil.Before(ch.backoffEnds) {
 		ch.backoffEnds = st.backoffUntil
 	}
--- a/core/place/backoff_test.go
+++ b/core/place/backoff_test.go
@@ -19,10 +19,10 @@
 		held[tk.Endpoint.ID] = tk
 	}
 	tk := held["e00"]
-	if !tk.Backoff(begin, 3*time.Second) || tk.Backoff(begin, time.Second) {
+	if !tk.RecordBackoff(begin, 3*time.Second) || tk.RecordBackoff(begin, time.Second) {
 		t.Error("the pause is not told as new once")
 	}
-	tk.Done(begin, place.Full)
+	tk.Done(begin, place.Rejected)
 	refresh := func(at core.Incarnation) {
 		pl.Remove("e00")
 		pl.Register(begin, started(0, at))
@@ -48,9 +48,9 @@
 		tk := pick(t, pl, begin, ask(chat(1, id)))
 		held[tk.Endpoint.ID] = tk
 	}
-	held["e00"].Backoff(begin, 5*time.Second)
-	held["e01"].Backoff(begin, 3*time.Second)
-	pl.Doubt("e01")
+	held["e00"].RecordBackoff(begin, 5*time.Second)
+	held["e01"].RecordBackoff(begin, 3*time.Second)
+	pl.MarkMissing("e01")
 	_, rf := pl.Pick(begin.Add(time.Second), ask(chat(1, 1)))
 	if rf == nil || rf.Outcome != core.NotRun || rf.Reason != core.ReasonBackoff || rf.RetryAfter != 2*time.Second {
 		t.Errorf("%+v", rf)
--- a/core/place/cold.go
+++ b/core/place/cold.go
@@ -20,25 +20,25 @@
 	Overrun, Slack float64
 }
 
-// coldSafety is the part of the bound that is granted, so that two keepers of a fleet that is cut
+// grantedFraction is the part of the bound that is granted, so that two keepers of a fleet that is cut
 // in two, or whose keepers change, stay within the whole.
-const coldSafety = 0.5
+const grantedFraction = 0.5
 
-// total is how many requests a second all routers together send a cold endpoint whose pool
+// grantRate is how many requests a second all routers together send a cold endpoint whose pool
 // declares that rate: no more than the rate, which it tolerates, nor than a safe part of the
 // bound; one where the rate is below that.
-func (cl ColdLimits) total(rate float64) int {
+func (cl ColdLimits) grantRate(rate float64) int {
 	bound := rate*max(1, cl.Overrun) + cl.Slack
-	return max(1, int(min(rate, coldSafety*bound)))
+	return max(1, int(min(rate, grantedFraction*bound)))
 }
 
-// cold is what is believed of an endpoint's time after a start.
-type cold struct {
+// coldState is what is believed of an endpoint's time after a start.
+type coldState struct {
 	// since is when it may have become cold without having said so: contact was lost and is
 	// back, or the evacuation of its zone has ended.
 	since time.Time
-	// lost is set while it cannot be reached.
-	lost bool
+	// unreachable is set while it cannot be reached.
+	unreachable bool
 	// window holds this router's own requests, and deniedUntil is until when no more are
 	// granted to it.
 	window      quota.Window
@@ -50,24 +50,24 @@
 	return now.Before(st.ColdUntil) || now.Before(st.cold.since.Add(lasts))
 }
 
-// coldRoom tells whether this router may ask to send a cold endpoint one more request now.
-func (pl *Placer) coldRoom(now time.Time, st *state, rate float64) bool {
+// withinColdLimit tells whether this router may ask to send a cold endpoint one more request now.
+func (pl *Placer) withinColdLimit(now time.Time, st *state, rate float64) bool {
 	if rate <= 0 {
 		return true
 	}
-	return !now.Before(st.cold.deniedUntil) && st.cold.window.Free(now, pl.Cold.total(rate))
+	return !now.Before(st.cold.deniedUntil) && st.cold.window.Free(now, pl.ColdLimits.grantRate(rate))
 }
 
-// NeedsGrant is how many requests a second all routers together may send to the ticket's
+// GrantLimit is how many requests a second all routers together may send to the ticket's
 // endpoint, as it is cold; 0 if nothing limits them. Before the request is sent it has to be
 // granted as one of these.
-func (tk *Ticket) NeedsGrant() int {
+func (tk *Ticket) GrantLimit() int {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
 	if !tk.reserved {
 		return 0
 	}
-	return tk.pl.Cold.total(tk.ask.ColdRate)
+	return tk.pl.ColdLimits.grantRate(tk.request.ColdRate)
 }
 
 // Deny gives the ticket back, as its endpoint gets no more requests for that time.
--- a/core/place/cold_test.go
+++ b/core/place/cold_test.go
@@ -37,8 +37,8 @@
 	keeper := &gauge.Table{}
 	for ix := range routers {
 		pl := &place.Placer{
-			Zone: "a", Rand: newRand(uint64(ix)), CapFactor: 2, Routers: func() int { return routers },
-			Cold: place.ColdLimits{Overrun: overrun, Slack: coldMost},
+			Zone: "a", Rand: newRand(uint64(ix)), CapFactor: 2, RouterCount: func() int { return routers },
+			ColdLimits: place.ColdLimits{Overrun: overrun, Slack: coldMost},
 		}
 		register(pl, endpoints)
 		cf.routers = append(cf.routers, pl)
@@ -59,15 +59,15 @@
 // choose places a call, as io/relay does, and leaves it waiting for its connection.
 func (cf *coldFleet) choose(router int, parts []place.Part) {
 	as := ask(parts)
-	as.ColdFor, as.ColdRate = coldFor, cf.rate
+	as.ColdDuration, as.ColdRate = coldFor, cf.rate
 	for tries := 0; ; tries++ {
-		as.Warm = tries == 3
+		as.WarmOnly = tries == 3
 		tk, rf := cf.routers[router].Pick(cf.now, as)
 		if rf != nil {
 			cf.refused++
 			return
 		}
-		if limit := tk.NeedsGrant(); limit > 0 && !cf.grant(router, tk, limit) {
+		if limit := tk.GrantLimit(); limit > 0 && !cf.grant(router, tk, limit) {
 			continue
 		}
 		cf.waiting = append(cf.waiting, tk)
@@ -90,7 +90,7 @@
 func (cf *coldFleet) send(ix int) {
 	tk := cf.waiting[ix]
 	cf.waiting = append(cf.waiting[:ix], cf.waiting[ix+1:]...)
-	if tk.Send(cf.now) != "" {
+	if tk.BeforeSend(cf.now) != "" {
 		tk.Done(cf.now, place.Neutral)
 		return
 	}
@@ -105,7 +105,7 @@
 	if tk.Cold {
 		cf.most = max(cf.most, within)
 	}
-	tk.Heard(cf.now)
+	tk.RecordActivity(cf.now)
 	tk.Done(cf.now, place.Served)
 }
 
@@ -239,23 +239,23 @@
 // Guards against endpoints taken for warm that may have become cold unannounced: at the end of
 // an evacuation of their zone, and when one that could not be reached answers again.
 func TestEndpointMayBeColdWithoutSayingSo(t *testing.T) {
-	for name, change := range map[string]func(pl *place.Placer, now time.Time, as *place.Ask){
-		"its zone was evacuated": func(pl *place.Placer, now time.Time, _ *place.Ask) {
+	for name, change := range map[string]func(pl *place.Placer, now time.Time, as *place.Request){
+		"its zone was evacuated": func(pl *place.Placer, now time.Time, _ *place.Request) {
 			pl.Evacuate(now.Add(-time.Minute), "a", now.Add(-time.Minute))
 			pl.Restore(now, "a")
 		},
-		"it could not be reached": func(pl *place.Placer, now time.Time, as *place.Ask) {
+		"it could not be reached": func(pl *place.Placer, now time.Time, as *place.Request) {
 			tk, _ := pl.Pick(now.Add(-time.Minute), as)
-			tk.Done(now.Add(-time.Minute), place.Unreached)
+			tk.Done(now.Add(-time.Minute), place.Unreachable)
 			tk, _ = pl.Pick(now, as)
-			tk.Send(now)
-			tk.Heard(now)
+			tk.BeforeSend(now)
+			tk.RecordActivity(now)
 			tk.Done(now, place.Served)
 		},
 	} {
 		cf := newColdFleet(1, 1, 2)
 		pl, as := cf.routers[0], ask(chat(1, 1))
-		as.ColdFor, as.ColdRate = coldFor, 2
+		as.ColdDuration, as.ColdRate = coldFor, 2
 		change(pl, cf.now, as)
 		sent := 0
 		for ; sent < 10; sent++ {
@@ -298,12 +298,12 @@
 		cf.cool(ix)
 	}
 	as := ask(chat(1, 1))
-	as.ColdFor, as.ColdRate = coldFor, 1
+	as.ColdDuration, as.ColdRate = coldFor, 1
 	for range 3 {
 		tk := pick(t, pl, cf.now, as)
 		tk.Deny(cf.now, time.Second)
 	}
-	if got := pl.Entries(); got != 0 {
+	if got := pl.IndexEntries(); got != 0 {
 		t.Errorf("%d parts are recorded as sent", got)
 	}
 }
--- a/core/place/counts_test.go
+++ b/core/place/counts_test.go
@@ -77,25 +77,25 @@
 	register(alone, 1)
 	register(shared, 1)
 	for _, pl := range []*place.Placer{alone, shared} {
-		if _, uncertain := pl.Uncertain(begin, ask(nil)); uncertain {
+		if _, uncertain := pl.NeedsCount(begin, ask(nil)); uncertain {
 			t.Error("a count is asked for in a pool that is idle")
 		}
 		for range 12 {
 			pick(t, pl, begin, ask(nil))
 		}
 	}
-	if _, uncertain := alone.Uncertain(begin, ask(nil)); uncertain {
+	if _, uncertain := alone.NeedsCount(begin, ask(nil)); uncertain {
 		t.Error("a router that is alone asks for a count")
 	}
-	endpoint, uncertain := shared.Uncertain(begin, ask(nil))
-	if !uncertain || endpoint != place.HashOf("e00", 0) {
+	endpoint, uncertain := shared.NeedsCount(begin, ask(nil))
+	if !uncertain || endpoint != place.EndpointHash("e00", 0) {
 		t.Fatal("a count that was never heard is not asked for")
 	}
-	shared.HearCount(begin, endpoint, 5)
-	if _, uncertain = shared.Uncertain(begin.Add(10*time.Millisecond), ask(nil)); uncertain {
+	shared.ApplyCount(begin, endpoint, 5)
+	if _, uncertain = shared.NeedsCount(begin.Add(10*time.Millisecond), ask(nil)); uncertain {
 		t.Error("a count of this moment is asked for")
 	}
-	if _, uncertain = shared.Uncertain(begin.Add(200*time.Millisecond), ask(nil)); !uncertain {
+	if _, uncertain = shared.NeedsCount(begin.Add(200*time.Millisecond), ask(nil)); !uncertain {
 		t.Error("a count of 200 ms ago is not asked for")
 	}
 }
@@ -109,12 +109,12 @@
 	for range 3 {
 		pick(t, peer, begin, ask(nil))
 	}
-	pl.Hear(begin, "peer", peer.Tell())
-	pl.HearCount(begin.Add(time.Millisecond), place.HashOf(endpoint(0).ID, 0), 1)
-	if tk := pick(t, pl, begin.Add(2*time.Millisecond), ask(nil)); tk.Others != 1 {
-		t.Errorf("%d calls of others are believed, want the 1 that the endpoint counted", tk.Others)
+	pl.ApplyLoadReport(begin, "peer", peer.LoadReport())
+	pl.ApplyCount(begin.Add(time.Millisecond), place.EndpointHash(endpoint(0).ID, 0), 1)
+	if tk := pick(t, pl, begin.Add(2*time.Millisecond), ask(nil)); tk.PeerCalls != 1 {
+		t.Errorf("%d calls of others are believed, want the 1 that the endpoint counted", tk.PeerCalls)
 	}
-	if tk := pick(t, pl, begin.Add(time.Second), ask(nil)); tk.Others != 3 {
-		t.Errorf("%d calls of others are believed a second later, want the 3 that were told", tk.Others)
+	if tk := pick(t, pl, begin.Add(time.Second), ask(nil)); tk.PeerCalls != 3 {
+		t.Errorf("%d calls of others are believed a second later, want the 3 that were told", tk.PeerCalls)
 	}
 }
--- a/core/place/export_test.go
+++ b/core/place/export_test.go
@@ -7,8 +7,8 @@
 	"almondrill/core"
 )
 
-// Weighed is what a choice would go by, and what the cheapest endpoint costs in ms.
-type Weighed struct {
+// ChoiceStats is what a choice would go by, and what the cheapest endpoint costs in ms.
+type ChoiceStats struct {
 	Mean          float64
 	Usable, Full  int
 	Calls, Places int
@@ -18,32 +18,32 @@
 
 // WeighAll looks at all endpoints in full, whatever earlier choices found, and weighs each
 // that may be picked.
-func (pl *Placer) WeighAll(now time.Time, as *Ask) Weighed {
+func (pl *Placer) WeighAll(now time.Time, rq *Request) ChoiceStats {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	for _, st := range pl.byID {
-		st.quiet = false
+		st.fastPath = false
 	}
-	ch := pl.look(now, as, max(1, pl.Routers()))
-	we := Weighed{
-		Mean: ch.mean, Usable: ch.usable, Full: ch.full, Calls: ch.calls, Places: ch.places, Failing: ch.failing,
+	ch := pl.newChoice(now, rq, max(1, pl.RouterCount()))
+	we := ChoiceStats{
+		Mean: ch.meanCalls, Usable: ch.usableCount, Full: ch.fullCount, Calls: ch.poolCalls, Places: ch.poolSlots, Failing: ch.meanFailureRate,
 		CostMs: math.Inf(1),
 	}
 	for _, st := range ch.members {
-		if ch.usable > 0 && st.scratch.usable {
-			we.CostMs = min(we.CostMs, pl.base(st, ch)+ch.readMs(ch.reads(st)))
+		if ch.usableCount > 0 && st.scratch.usable {
+			we.CostMs = min(we.CostMs, pl.baseMs(st, ch)+ch.prefillMs(ch.prefillAndFetch(st)))
 		}
 	}
 	return we
 }
 
-// Look is what a choice goes by, without a call being placed.
-func (pl *Placer) Look(now time.Time, as *Ask) Weighed {
+// InspectChoice is what a choice goes by, without a call being placed.
+func (pl *Placer) InspectChoice(now time.Time, rq *Request) ChoiceStats {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	ch := pl.look(now, as, max(1, pl.Routers()))
-	we := Weighed{Mean: ch.mean, Usable: ch.usable, Full: ch.full, Calls: ch.calls, Places: ch.places, Failing: ch.failing}
-	if ch.usable > 0 {
+	ch := pl.newChoice(now, rq, max(1, pl.RouterCount()))
+	we := ChoiceStats{Mean: ch.meanCalls, Usable: ch.usableCount, Full: ch.fullCount, Calls: ch.poolCalls, Places: ch.poolSlots, Failing: ch.meanFailureRate}
+	if ch.usableCount > 0 {
 		_, we.CostMs = pl.cheapest(ch)
 	} else {
 		we.CostMs = math.Inf(1)
@@ -51,27 +51,27 @@
 	return we
 }
 
-// Told is how many calls of other routers an endpoint has, as they told; false if it is not
+// PeerCalls is how many calls of other routers an endpoint has, as they told; false if it is not
 // known.
-func (pl *Placer) Told(now time.Time, id core.EndpointID) (int, bool) {
+func (pl *Placer) PeerCalls(now time.Time, id core.EndpointID) (int, bool) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.start()
-	pl.words.lapse(now)
+	pl.initMaps()
+	pl.reports.expire(now)
 	st := pl.byID[id]
 	if st == nil {
 		return 0, false
 	}
-	return st.told, true
+	return st.peerCalls, true
 }
 
-// Entries is how many parts are remembered to have been sent, of all endpoints.
-func (pl *Placer) Entries() int {
+// IndexEntries is how many parts are remembered to have been sent, of all endpoints.
+func (pl *Placer) IndexEntries() int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	count := 0
 	for _, st := range pl.byID {
-		count += st.seen.order.Len()
+		count += st.cache.order.Len()
 	}
 	return count
 }
--- a/core/place/failing_test.go
+++ b/core/place/failing_test.go
@@ -9,7 +9,7 @@
 )
 
 // plainAsk is a request to a plain service.
-func plainAsk() *place.Ask { return &place.Ask{Pool: pool, MaxConns: 200} }
+func plainAsk() *place.Request { return &place.Request{Pool: pool, MaxConns: 200} }
 
 // Guards against requests that are failed by an endpoint that fails all it gets, while the other
 // is busy: of two endpoints of a plain service, before 26 routers, one breaks connections off, and
@@ -32,7 +32,7 @@
 			switch {
 			case rf != nil:
 			case tk.Endpoint.ID == "e00":
-				tk.Heard(re.now())
+				tk.RecordActivity(re.now())
 				tk.Done(re.now(), place.Failed)
 				failed++
 			default:
@@ -74,7 +74,7 @@
 			t.Fatal(rf)
 		}
 		seen[tk.Endpoint.ID] = true
-		tk.Heard(now)
+		tk.RecordActivity(now)
 		tk.Done(now, place.Served)
 	}
 	if !seen["e00"] {
--- a/core/place/heavy_test.go
+++ b/core/place/heavy_test.go
@@ -28,7 +28,7 @@
 			en := endpoint(ix)
 			en.Slots = slots
 			pl.Register(begin, en)
-			pl.HearCount(begin, place.HashOf(en.ID, 0), otherCalls/engines)
+			pl.ApplyCount(begin, place.EndpointHash(en.ID, 0), otherCalls/engines)
 		}
 		for range own {
 			if _, rf := pl.Pick(begin, askOf(customer(ra.IntN(customers)))); rf != nil {
@@ -37,7 +37,7 @@
 		}
 		// The pool has 1,680 calls by now, 1.05 of its places: heavy customers get 0.99.
 		for ix := range engines {
-			pl.HearCount(begin.Add(1), place.HashOf(endpoint(ix).ID, 0), 16+ix%5/4)
+			pl.ApplyCount(begin.Add(1), place.EndpointHash(endpoint(ix).ID, 0), 16+ix%5/4)
 		}
 		tk, rf := pl.Pick(begin.Add(2), askOf(customer(ra.IntN(customers))))
 		asked++
@@ -56,6 +56,6 @@
 
 func customer(ix int) core.CustomerID { return core.CustomerID(fmt.Sprint("customer", ix)) }
 
-func askOf(id core.CustomerID) *place.Ask {
-	return &place.Ask{Pool: pool, Engine: true, Customer: id}
+func askOf(id core.CustomerID) *place.Request {
+	return &place.Request{Pool: pool, Engine: true, Customer: id}
 }
--- a/core/place/homes.go
+++ b/core/place/homes.go
@@ -10,20 +10,20 @@
 // is the request's own. What several chats begin with is read once on each endpoint: kept
 // together on a few endpoints, such chats would bring these to the load cap.
 type homes struct {
-	list  [mostHomes]*state
+	list  [maxHomes]*state
 	count int
 }
 
-// add puts the endpoint in, if it scores higher than one of them or there is room.
-func (ho *homes) add(st *state) {
+// insert puts the endpoint in, if it scores higher than one of them or there is room.
+func (ho *homes) insert(st *state) {
 	at := ho.count
-	for at > 0 && ho.list[at-1].scratch.score < st.scratch.score {
+	for at > 0 && ho.list[at-1].scratch.homeScore < st.scratch.homeScore {
 		at--
 	}
-	if at == mostHomes {
+	if at == maxHomes {
 		return
 	}
-	ho.count = min(ho.count+1, mostHomes)
+	ho.count = min(ho.count+1, maxHomes)
 	copy(ho.list[at+1:ho.count], ho.list[at:])
 	ho.list[at] = st
 }
@@ -38,11 +38,11 @@
 	return 0, false
 }
 
-// homeKey is by what the homes of a prompt are found.
-func homeKey(chain []uint64) uint64 { return chain[max(0, len(chain)-2)] }
+// chatKey is by what the homes of a prompt are found.
+func chatKey(prefixes []uint64) uint64 { return prefixes[max(0, len(prefixes)-2)] }
 
-// claim is the endpoint's claim on a key, by rendezvous hashing.
-func (st *state) claim(key uint64) uint64 { return ring.Mix(st.name, key) }
+// homeScore is the endpoint's claim on a key, by rendezvous hashing.
+func (st *state) homeScore(key uint64) uint64 { return ring.Mix(st.idHash, key) }
 
 func promptTokens(parts []Part) core.Tokens {
 	var sum core.Tokens
@@ -52,14 +52,14 @@
 	return sum
 }
 
-// chainOf hashes each part with all before it: a part is of use to an engine
+// prefixHashes hashes each part with all before it: a part is of use to an engine
 // only behind the same beginning.
-func chainOf(parts []Part) []uint64 {
-	chain := make([]uint64, len(parts))
+func prefixHashes(parts []Part) []uint64 {
+	prefixes := make([]uint64, len(parts))
 	var key uint64
 	for ix, pa := range parts {
 		key = ring.Mix(key, pa.Hash)
-		chain[ix] = key
+		prefixes[ix] = key
 	}
-	return chain
+	return prefixes
 }
--- a/core/place/leaves_test.go
+++ b/core/place/leaves_test.go
@@ -31,14 +31,14 @@
 		pl.Register(begin, started(0, 100))
 		tk := pick(t, pl, begin, ask(chat(1, 1)))
 		if lost {
-			tk.Done(begin, place.Unreached)
+			tk.Done(begin, place.Unreachable)
 		} else {
 			tk.Done(begin, place.Served)
 		}
 		again := begin.Add(time.Second)
 		tk = pick(t, pl, again, ask(chat(1, 1)))
-		tk.Heard(again)
-		tk.Leaves(again)
+		tk.RecordActivity(again)
+		tk.RecordShutdown(again)
 		tk.Done(again, place.Served)
 		pl.Register(again, started(0, 200))
 		if _, rf := pl.Pick(again.Add(4*time.Second), ask(chat(1, 1))); (rf != nil) != lost {
@@ -61,10 +61,10 @@
 		late := pick(t, pl, begin, ask(chat(1, 2)))
 		pl.Remove(leaving.ID)
 		pl.Register(begin, leaving)
-		if !tk.Leaves(begin) || tk.Leaves(begin) {
+		if !tk.RecordShutdown(begin) || tk.RecordShutdown(begin) {
 			t.Error("the announcement is not told as new once")
 		}
-		if late.Send(begin) != core.ReasonDraining {
+		if late.BeforeSend(begin) != core.ReasonDraining {
 			t.Error("a call chosen before may be sent")
 		}
 		if _, rf := pl.Pick(begin, ask(chat(1, 3))); rf == nil {
@@ -76,7 +76,7 @@
 			t.Errorf("start %d: a call was placed once the registration was back", at)
 		}
 		pl.Register(begin, started(0, 200))
-		if tk := pick(t, pl, begin, ask(chat(1, 3))); tk.Endpoint.Start != 200 {
+		if tk := pick(t, pl, begin, ask(chat(1, 3))); tk.Endpoint.Incarnation != 200 {
 			t.Errorf("start %d: a later start is not used", at)
 		}
 		tk.Done(begin, place.Served)
--- a/core/place/load_test.go
+++ b/core/place/load_test.go
@@ -36,7 +36,7 @@
 		count: endpoints, calls: map[core.EndpointID]int{}, ending: map[int][]*place.Ticket{}, has: map[string]bool{},
 	}
 	for ix := range routers {
-		pl := &place.Placer{Zone: "a", Rand: newRand(uint64(ix)), CapFactor: 2, Routers: func() int { return routers }}
+		pl := &place.Placer{Zone: "a", Rand: newRand(uint64(ix)), CapFactor: 2, RouterCount: func() int { return routers }}
 		register(pl, endpoints)
 		re.routers = append(re.routers, pl)
 	}
@@ -55,7 +55,7 @@
 	}
 	id := tk.Endpoint.ID
 	re.placed++
-	if !tk.Home {
+	if !tk.AtHome {
 		re.away++
 	}
 	if float64(re.calls[id]+1) > 2*float64(total)/float64(re.count)+3 {
@@ -84,7 +84,7 @@
 func (re *replay) tick() {
 	re.step++
 	for _, tk := range re.ending[re.step] {
-		tk.Heard(re.now())
+		tk.RecordActivity(re.now())
 		tk.Done(re.now(), place.Served)
 		re.calls[tk.Endpoint.ID]--
 	}
@@ -95,8 +95,8 @@
 		}
 		for to, other := range re.routers {
 			if to != from {
-				other.Hear(re.now(), fmt.Sprint("router", from), pl.Tell())
-				other.HearMoves(pl.Moves(re.now(), re.now().Add(-tellSteps*stepTime)))
+				other.ApplyLoadReport(re.now(), fmt.Sprint("router", from), pl.LoadReport())
+				other.ApplyMoves(pl.Moves(re.now(), re.now().Add(-tellSteps*stepTime)))
 			}
 		}
 	}
@@ -219,7 +219,7 @@
 	calls := map[core.EndpointID]int{}
 	for placed := range 60 {
 		as := ask(chat(1, 7))
-		as.FetchPerMs = 0
+		as.FetchTokensPerMs = 0
 		tk := pick(t, pl, begin, as)
 		calls[tk.Endpoint.ID]++
 		if limit := 2*float64(placed)/10 + 3; float64(calls[tk.Endpoint.ID]) > limit {
@@ -248,7 +248,7 @@
 			count = 7
 		}
 		for range count {
-			pick(t, pl, begin, &place.Ask{Pool: pool, Engine: true, Tried: tried})
+			pick(t, pl, begin, &place.Request{Pool: pool, Engine: true, Tried: tried})
 		}
 	}
 	if tk := pick(t, pl, begin, ask(small)); tk.Endpoint.ID == home {
@@ -286,7 +286,7 @@
 				as.Tried = append(as.Tried, endpoint(other).ID)
 			}
 		}
-		pick(t, pl, begin, as).Done(begin, place.Unreached)
+		pick(t, pl, begin, as).Done(begin, place.Unreachable)
 	}
 	lost := 0
 	busiest := map[core.EndpointID]int{}
@@ -299,7 +299,7 @@
 		}
 		lost++
 		if re == nil {
-			tk.Done(begin, place.Unreached)
+			tk.Done(begin, place.Unreachable)
 		}
 	}
 	if lost > 0 {
--- a/core/place/lost.go
+++ b/core/place/lost.go
@@ -13,39 +13,39 @@
 // is told to all.
 
 const (
-	// LostFor is how long an endpoint is taken to be down after two peers told so.
-	LostFor = time.Second
-	// heardWithin is how lately something has to have come from an endpoint itself to go
+	// UnreachableTTL is how long an endpoint is taken to be down after two peers told so.
+	UnreachableTTL = time.Second
+	// contactWindow is how lately something has to have come from an endpoint itself to go
 	// before what peers tell.
-	heardWithin = 200 * time.Millisecond
+	contactWindow = 200 * time.Millisecond
 )
 
-// HearDown takes for some time that peers could not reach an endpoint. It hands nothing on then, and gets
+// MarkUnreachable takes for some time that peers could not reach an endpoint. It hands nothing on then, and gets
 // calls only where the others cost more: peers may be wrong, as where a link between is cut.
 // It returns which endpoint that is, and false where peers are not believed.
-func (pl *Placer) HearDown(now time.Time, endpoint uint64, lasting time.Duration) (core.EndpointID, bool) {
+func (pl *Placer) MarkUnreachable(now time.Time, endpoint uint64, lasting time.Duration) (core.EndpointID, bool) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	st := pl.byHash[endpoint]
 	if st == nil {
 		return "", false
 	}
-	if now.Sub(st.health.heard) < heardWithin {
+	if now.Sub(st.health.lastActivity) < contactWindow {
 		return st.ID, false
 	}
-	st.stir()
-	st.lostUntil = now.Add(lasting)
-	st.cold.lost = true
+	st.markChanged()
+	st.unreachableUntil = now.Add(lasting)
+	st.cold.unreachable = true
 	return st.ID, true
 }
 
-// HearBack takes that an endpoint can be reached again.
-func (pl *Placer) HearBack(endpoint uint64) {
+// MarkReachable takes that an endpoint can be reached again.
+func (pl *Placer) MarkReachable(endpoint uint64) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	if st := pl.byHash[endpoint]; st != nil {
-		st.stir()
-		st.lostUntil = time.Time{}
+		st.markChanged()
+		st.unreachableUntil = time.Time{}
 	}
 }
 
@@ -60,7 +60,7 @@
 	return st.Addr, true
 }
 
-// handsOn tells whether others may take prompts over from the endpoint.
-func (st *state) handsOn(now time.Time) bool {
-	return st.quiet || !st.missing && !now.Before(st.lostUntil) && !st.health.avoid(now, st.calls)
+// canTransfer tells whether others may take prompts over from the endpoint.
+func (st *state) canTransfer(now time.Time) bool {
+	return st.fastPath || !st.missing && !now.Before(st.unreachableUntil) && !st.health.looksDead(now, st.ownCalls)
 }
--- a/core/place/lost_test.go
+++ b/core/place/lost_test.go
@@ -20,7 +20,7 @@
 	}
 	lost := endpoint(0)
 	later := begin.Add(time.Second)
-	pl.HearDown(later, place.HashOf(lost.ID, 0), place.LostFor)
+	pl.MarkUnreachable(later, place.EndpointHash(lost.ID, 0), place.UnreachableTTL)
 	named, sent := 0, 0
 	for id := range uint64(60) {
 		as := ask(chat(1, id))
@@ -48,11 +48,11 @@
 	pl := newPlacer(100)
 	register(pl, 3)
 	for ix := range 3 {
-		pl.HearDown(begin, place.HashOf(endpoint(ix).ID, 0), place.LostFor)
+		pl.MarkUnreachable(begin, place.EndpointHash(endpoint(ix).ID, 0), place.UnreachableTTL)
 	}
 	home := serve(t, pl, begin, ask(chat(1, 1)))
 	for ix := range 3 {
-		pl.HearDown(begin.Add(time.Millisecond), place.HashOf(endpoint(ix).ID, 0), place.LostFor)
+		pl.MarkUnreachable(begin.Add(time.Millisecond), place.EndpointHash(endpoint(ix).ID, 0), place.UnreachableTTL)
 	}
 	if tk := pick(t, pl, begin.Add(2*time.Millisecond), ask(chat(1, 1))); tk.Endpoint.ID != home.Endpoint.ID {
 		t.Error("an engine that has just answered is left, as peers say that it is down")
--- a/core/place/moves.go
+++ b/core/place/moves.go
@@ -11,13 +11,13 @@
 	// moveSize is the size of a move in a message: four bytes of the chat's hash, two
 	// of the endpoint's.
 	moveSize = 6
-	// tellMoveFor is how long a move is told, to peers that were not told of it before: most
+	// moveTTL is how long a move is told, to peers that were not told of it before: most
 	// chats return within it, and a peer of hundreds is told every few seconds.
-	tellMoveFor = 10 * time.Second
-	// mostMoves bounds the moves in a message; a busy router makes some 5 a second.
-	mostMoves = 40
-	// mostHolders bounds the moves of peers that are remembered, 16 bytes each.
-	mostHolders = 16384
+	moveTTL = 10 * time.Second
+	// maxMoves bounds the moves in a message; a busy router makes some 5 a second.
+	maxMoves = 40
+	// maxMovedChats bounds the moves of peers that are remembered, 16 bytes each.
+	maxMovedChats = 16384
 )
 
 // move is an own placement of a chat away from its home.
@@ -27,14 +27,14 @@
 	endpoint uint16
 }
 
-func shortChat(chat uint64) uint32 { return uint32(chat >> 32) }
+func shortChatHash(chat uint64) uint32 { return uint32(chat >> 32) }
 
-// noteMove keeps a move to be told.
-func (pl *Placer) noteMove(now time.Time, chat, endpoint uint64) {
-	if len(pl.moves) >= mostMoves {
+// recordMove keeps a move to be told.
+func (pl *Placer) recordMove(now time.Time, chat, endpoint uint64) {
+	if len(pl.moves) >= maxMoves {
 		pl.moves = pl.moves[1:]
 	}
-	pl.moves = append(pl.moves, move{now, shortChat(chat), short(endpoint)})
+	pl.moves = append(pl.moves, move{now, shortChatHash(chat), shortHash(endpoint)})
 }
 
 // Moves packs the own placements of chats away from their homes since then. Others that
@@ -44,7 +44,7 @@
 	defer pl.mu.Unlock()
 	var packed []byte
 	for _, mo := range pl.moves {
-		if !mo.at.After(since) || now.Sub(mo.at) > tellMoveFor {
+		if !mo.at.After(since) || now.Sub(mo.at) > moveTTL {
 			continue
 		}
 		packed = binary.BigEndian.AppendUint32(packed, mo.chat)
@@ -53,31 +53,31 @@
 	return packed
 }
 
-// HearMoves takes a peer's packed moves.
-func (pl *Placer) HearMoves(packed []byte) {
+// ApplyMoves takes a peer's packed moves.
+func (pl *Placer) ApplyMoves(packed []byte) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	for ; len(packed) >= moveSize; packed = packed[moveSize:] {
-		if pl.holders == nil || len(pl.holders) >= mostHolders {
+		if pl.movedChats == nil || len(pl.movedChats) >= maxMovedChats {
 			// All are forgotten at once: they serve for seconds.
-			pl.holders = map[uint32]uint16{}
+			pl.movedChats = map[uint32]uint16{}
 		}
-		pl.holders[binary.BigEndian.Uint32(packed)] = binary.BigEndian.Uint16(packed[4:])
+		pl.movedChats[binary.BigEndian.Uint32(packed)] = binary.BigEndian.Uint16(packed[4:])
 	}
 }
 
-// toldHolder is the endpoint where a peer has placed the chat.
-func (pl *Placer) toldHolder(ch *choice) (*state, core.Tokens) {
-	parts := ch.as.Parts
+// reportedHolder is the endpoint where a peer has placed the chat.
+func (pl *Placer) reportedHolder(ch *choice) (*state, core.Tokens) {
+	parts := ch.rq.Parts
 	if len(parts) < 2 {
 		return nil, 0
 	}
-	endpoint, known := pl.holders[shortChat(homeKey(ch.chain))]
+	endpoint, known := pl.movedChats[shortChatHash(chatKey(ch.prefixes))]
 	if !known {
 		return nil, 0
 	}
-	for _, st := range pl.byShort[endpoint] {
-		if ch.allows(pl, st) && st.handsOn(ch.now) {
+	for _, st := range pl.byShortHash[endpoint] {
+		if ch.eligible(pl, st) && st.canTransfer(ch.now) {
 			return st, promptTokens(parts[:len(parts)-1])
 		}
 	}
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -43,12 +43,12 @@
 // Endpoint is an endpoint as it registered itself.
 type Endpoint struct {
 	ID core.EndpointID
-	// Start tells one run of its process from the next, which may have the same ID; a
+	// Incarnation tells one run of its process from the next, which may have the same ID; a
 	// later one is higher, 0 is unknown.
-	Start core.Incarnation
-	Addr  string
-	Pool  core.PoolID
-	Zone  core.Zone
+	Incarnation core.Incarnation
+	Addr        string
+	Pool        core.PoolID
+	Zone        core.Zone
 	// Slots is how many requests it runs at a time.
 	Slots    int
 	Draining bool
@@ -62,33 +62,33 @@
 	Tokens core.Tokens
 }
 
-// Ask is a request to place.
-type Ask struct {
+// Request is a request to place.
+type Request struct {
 	Pool     core.PoolID
 	Customer core.CustomerID
 	Parts    []Part
 	// Tried are endpoints that are not to be picked again.
 	Tried []core.EndpointID
-	// Homes are the regions whose endpoints may be picked, where Bound is set.
-	Homes []core.Region
-	Bound bool
-	// Healthy leaves out endpoints that may be gone or look dead, also where there are no
+	// HomeRegions are the regions whose endpoints may be picked, where Bound is set.
+	HomeRegions []core.Region
+	RegionBound bool
+	// HealthyOnly leaves out endpoints that may be gone or look dead, also where there are no
 	// others.
-	Healthy bool
+	HealthyOnly bool
 	// MaxConns is how many connections an endpoint takes from all routers.
 	MaxConns int
 	// Engine is set for requests to model engines, Memory to an engine's.
-	Engine bool
-	Memory core.Tokens
-	// FetchPerMs is how many kept tokens one engine of the pool takes over from
+	Engine       bool
+	EngineMemory core.Tokens
+	// FetchTokensPerMs is how many kept tokens one engine of the pool takes over from
 	// another in a millisecond; 0 if they cannot.
-	FetchPerMs float64
-	// ColdFor is how long an endpoint of the pool is cold after its start, and ColdRate how
+	FetchTokensPerMs float64
+	// ColdDuration is how long an endpoint of the pool is cold after its start, and ColdRate how
 	// many requests a second it tolerates then; 0 if none is declared.
-	ColdFor  time.Duration
-	ColdRate float64
-	// Warm leaves out endpoints whose requests are limited as they are cold.
-	Warm bool
+	ColdDuration time.Duration
+	ColdRate     float64
+	// WarmOnly leaves out endpoints whose requests are limited as they are cold.
+	WarmOnly bool
 }
 
 // Result is how a placed call ended, as far as it tells of the endpoint.
@@ -101,11 +101,11 @@
 	// Failed: it broke off, answered nonsense or said that it failed.
 	Failed
 	// Full: it refused the request without running it.
-	Full
+	Rejected
 	// Unreached: no connection could be made.
-	Unreached
+	Unreachable
 	// Silent: it was given up because nothing came.
-	Silent
+	TimedOut
 	// Neutral: the call ended for reasons of the caller.
 	Neutral
 	// Replaced: another endpoint has the address now.
@@ -120,37 +120,37 @@
 	Rand    core.Rand
 	// CapFactor bounds an endpoint's calls as a multiple of its pool's mean.
 	CapFactor float64
-	// Routers tells how many routers share the endpoints.
-	Routers func() int
-	// Cold bounds what cold endpoints get.
-	Cold ColdLimits
+	// RouterCount tells how many routers share the endpoints.
+	RouterCount func() int
+	// ColdLimits bounds what cold endpoints get.
+	ColdLimits ColdLimits
 
-	mu    sync.Mutex // guards all below
-	began time.Time  // when the first endpoint became known
+	mu              sync.Mutex // guards all below
+	firstRegistered time.Time  // when the first endpoint became known
 	// pools are in the order of the endpoints' ids, so that a run repeats from its seed.
 	pools map[core.PoolID][]*state
 	byID  map[core.EndpointID]*state
 	// byHash finds endpoints by the hash of their id and start.
 	byHash map[uint64]*state
-	// byShort finds endpoints by the short hash by which peers tell of them.
-	byShort map[uint16][]*state
-	// evacuated are the zones under evacuation, whether or not they have endpoints.
-	evacuated map[core.Zone]*evacuation
-	// sent are the endpoints that were sent the parts of prompts.
-	sent *sentTo
-	// starts are the latest known of all endpoints, also of those that are gone.
-	starts starts
+	// byShortHash finds endpoints by the short hash by which peers tell of them.
+	byShortHash map[uint16][]*state
+	// evacuations are the zones under evacuation, whether or not they have endpoints.
+	evacuations map[core.Zone]*evacuation
+	// partIndex are the endpoints that were sent the parts of prompts.
+	partIndex *partIndex
+	// incarnations are the latest known of all endpoints, also of those that are gone.
+	incarnations incarnations
 	// backoffs are until when endpoints want no requests.
 	backoffs map[core.EndpointID]time.Time
-	words    words
+	reports  loadReports
 	// moves are own placements away from a chat's home, holders those of peers.
-	moves   []move
-	holders map[uint32]uint16
+	moves      []move
+	movedChats map[uint32]uint16
 	// surges are the latest of each pool, uses what customers have in progress there.
-	surges map[core.PoolID]*surge
-	uses   map[core.PoolID]*use
-	// answerTimes are how long calls of each pool take.
-	answerTimes map[core.PoolID]*answerTime
+	surges       map[core.PoolID]*surge
+	customerUses map[core.PoolID]*customerUse
+	// callDurations are how long calls of each pool take.
+	callDurations map[core.PoolID]*callDuration
 }
 
 // Register takes an endpoint's registration, or a change of it. A start that was seen
@@ -159,19 +159,19 @@
 func (pl *Placer) Register(now time.Time, ep Endpoint) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.start()
-	if pl.began.IsZero() {
-		pl.began = now
+	pl.initMaps()
+	if pl.firstRegistered.IsZero() {
+		pl.firstRegistered = now
 	}
-	drained, current := pl.starts.note(&ep)
+	drained, current := pl.incarnations.record(&ep)
 	if !current {
 		return false
 	}
 	if ep.Draining {
-		pl.starts.drain(&ep)
+		pl.incarnations.markDraining(&ep)
 	}
 	st := pl.byID[ep.ID]
-	if st != nil && st.Start != ep.Start {
+	if st != nil && st.Incarnation != ep.Incarnation {
 		pl.remove(st)
 		st = nil
 	}
@@ -179,43 +179,43 @@
 		st = pl.newState(now, &ep)
 		pl.byID[ep.ID] = st
 		pl.byHash[st.hash] = st
-		pl.byShort[short(st.hash)] = append(pl.byShort[short(st.hash)], st)
+		pl.byShortHash[shortHash(st.hash)] = append(pl.byShortHash[shortHash(st.hash)], st)
 	}
-	pl.leavePool(st)
-	st.stir()
-	st.near, st.evacuated = ep.Zone == pl.Zone, pl.evacuated[ep.Zone]
+	pl.removeFromPool(st)
+	st.markChanged()
+	st.sameZone, st.evacuated = ep.Zone == pl.Zone, pl.evacuations[ep.Zone]
 	ep.Draining = ep.Draining || st.Draining || drained
 	st.Endpoint = ep
 	st.missing = false
-	pl.joinPool(st)
+	pl.addToPool(st)
 	return true
 }
 
-func byID(st *state, id core.EndpointID) int { return cmp.Compare(st.ID, id) }
+func compareID(st *state, id core.EndpointID) int { return cmp.Compare(st.ID, id) }
 
-func (pl *Placer) joinPool(st *state) {
+func (pl *Placer) addToPool(st *state) {
 	list := pl.pools[st.Pool]
-	at, _ := slices.BinarySearchFunc(list, st.ID, byID)
+	at, _ := slices.BinarySearchFunc(list, st.ID, compareID)
 	pl.pools[st.Pool] = slices.Insert(list, at, st)
 }
 
-// leavePool takes an endpoint out of its pool, if it is in one.
-func (pl *Placer) leavePool(st *state) {
+// removeFromPool takes an endpoint out of its pool, if it is in one.
+func (pl *Placer) removeFromPool(st *state) {
 	list := pl.pools[st.Pool]
-	if at, found := slices.BinarySearchFunc(list, st.ID, byID); found {
+	if at, found := slices.BinarySearchFunc(list, st.ID, compareID); found {
 		pl.pools[st.Pool] = slices.Delete(list, at, at+1)
 	}
 }
 
-// Doubt tells that an endpoint's registration is missing, though it may only have
+// MarkMissing tells that an endpoint's registration is missing, though it may only have
 // lapsed. The endpoint gets calls only where no other of its pool can take them, so
 // that one that has left gets none, and a pool whose registrations all lapsed
 // stays in use. Register lifts the doubt.
-func (pl *Placer) Doubt(id core.EndpointID) {
+func (pl *Placer) MarkMissing(id core.EndpointID) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	if st := pl.byID[id]; st != nil {
-		st.stir()
+		st.markChanged()
 		st.missing = true
 	}
 }
@@ -230,48 +230,48 @@
 }
 
 func (pl *Placer) remove(st *state) {
-	pl.leavePool(st)
+	pl.removeFromPool(st)
 	delete(pl.byID, st.ID)
 	delete(pl.byHash, st.hash)
-	pl.byShort[short(st.hash)] = slices.DeleteFunc(pl.byShort[short(st.hash)], func(other *state) bool { return other == st })
-	st.seen.clear()
+	pl.byShortHash[shortHash(st.hash)] = slices.DeleteFunc(pl.byShortHash[shortHash(st.hash)], func(other *state) bool { return other == st })
+	st.cache.clear()
 	st.removed = true
 }
 
-func (pl *Placer) start() {
+func (pl *Placer) initMaps() {
 	if pl.byID == nil {
 		pl.byID = map[core.EndpointID]*state{}
 		pl.byHash = map[uint64]*state{}
 		pl.pools = map[core.PoolID][]*state{}
-		pl.byShort = map[uint16][]*state{}
-		pl.evacuated = map[core.Zone]*evacuation{}
+		pl.byShortHash = map[uint16][]*state{}
+		pl.evacuations = map[core.Zone]*evacuation{}
 		pl.backoffs = map[core.EndpointID]time.Time{}
-		pl.sent = newSentTo()
-		pl.words = words{byPeer: map[string]*list.Element{}, order: list.New(), sums: map[uint16]int{}, added: pl.addTold}
+		pl.partIndex = newPartIndex()
+		pl.reports = loadReports{byPeer: map[string]*list.Element{}, byExpiry: list.New(), sums: map[uint16]int{}, onChange: pl.addPeerCalls}
 		pl.surges = map[core.PoolID]*surge{}
-		pl.uses = map[core.PoolID]*use{}
-		pl.answerTimes = map[core.PoolID]*answerTime{}
+		pl.customerUses = map[core.PoolID]*customerUse{}
+		pl.callDurations = map[core.PoolID]*callDuration{}
 	}
 }
 
-func (pl *Placer) answerTimeOf(pool core.PoolID) *answerTime {
-	at := pl.answerTimes[pool]
+func (pl *Placer) callDurationOf(pool core.PoolID) *callDuration {
+	at := pl.callDurations[pool]
 	if at == nil {
-		at = &answerTime{}
-		pl.answerTimes[pool] = at
+		at = &callDuration{}
+		pl.callDurations[pool] = at
 	}
 	return at
 }
 
-// addTold counts what peers told of an endpoint.
-func (pl *Placer) addTold(endpoint uint16, by int) {
-	for _, st := range pl.byShort[endpoint] {
-		st.told += by
+// addPeerCalls counts what peers told of an endpoint.
+func (pl *Placer) addPeerCalls(endpoint uint16, by int) {
+	for _, st := range pl.byShortHash[endpoint] {
+		st.peerCalls += by
 	}
 }
 
-// Known is the number of endpoints, of the pools that are in use, that may get work.
-func (pl *Placer) Known(inUse func(core.PoolID) bool) int {
+// Serving is the number of endpoints, of the pools that are in use, that may get work.
+func (pl *Placer) Serving(inUse func(core.PoolID) bool) int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	count := 0
@@ -293,25 +293,25 @@
 
 // Pick chooses an endpoint. The refusal, if any, is NotRun and says when trying
 // again makes sense.
-func (pl *Placer) Pick(now time.Time, as *Ask) (*Ticket, *core.Refusal) {
-	routers := max(1, pl.Routers()) // before the lock: whoever counts them may call the Placer
+func (pl *Placer) Pick(now time.Time, rq *Request) (*Ticket, *core.Refusal) {
+	routers := max(1, pl.RouterCount()) // before the lock: whoever counts them may call the Placer
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	ch := pl.look(now, as, routers)
-	if ch.usable == 0 {
+	ch := pl.newChoice(now, rq, routers)
+	if ch.usableCount == 0 {
 		return nil, pl.refusal(ch)
 	}
 	best, cost := pl.cheapest(ch)
-	return pl.take(best, cost, ch), nil
+	return pl.issueTicket(best, cost, ch), nil
 }
 
-// oneOf draws, with a chance of one in count. Among equals each router draws its own:
+// oneIn draws, with a chance of one in count. Among equals each router draws its own:
 // routers that all took the first would bury it.
-func (pl *Placer) oneOf(count int) bool { return pl.Rand.Uint64()%uint64(count) == 0 }
+func (pl *Placer) oneIn(count int) bool { return pl.Rand.Uint64()%uint64(count) == 0 }
 
 // SetBounds changes the cap and the limits of cold endpoints while in use.
 func (pl *Placer) SetBounds(capFactor float64, limits ColdLimits) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.CapFactor, pl.Cold = capFactor, limits
+	pl.CapFactor, pl.ColdLimits = capFactor, limits
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -19,7 +19,7 @@
 func newRand(seed uint64) testRand { return testRand{rand.New(rand.NewPCG(seed, 1))} }
 
 func newPlacer(routers int) *place.Placer {
-	return &place.Placer{Zone: "a", Rand: newRand(1), CapFactor: 2, Routers: func() int { return routers }}
+	return &place.Placer{Zone: "a", Rand: newRand(1), CapFactor: 2, RouterCount: func() int { return routers }}
 }
 
 func endpoint(ix int) place.Endpoint {
@@ -40,11 +40,11 @@
 	return []place.Part{{Hash: beginning, Tokens: 500}, {Hash: 1000 + id, Tokens: 10000}, {Hash: 1 << 40, Tokens: 1000}}
 }
 
-func ask(parts []place.Part) *place.Ask {
-	return &place.Ask{Pool: pool, Parts: parts, Engine: true, Memory: 400000, FetchPerMs: 1000, MaxConns: 300}
+func ask(parts []place.Part) *place.Request {
+	return &place.Request{Pool: pool, Parts: parts, Engine: true, EngineMemory: 400000, FetchTokensPerMs: 1000, MaxConns: 300}
 }
 
-func pick(t *testing.T, pl *place.Placer, now time.Time, as *place.Ask) *place.Ticket {
+func pick(t *testing.T, pl *place.Placer, now time.Time, as *place.Request) *place.Ticket {
 	t.Helper()
 	tk, re := pl.Pick(now, as)
 	if re != nil {
@@ -54,10 +54,10 @@
 }
 
 // serve places a call and ends it well.
-func serve(t *testing.T, pl *place.Placer, now time.Time, as *place.Ask) *place.Ticket {
+func serve(t *testing.T, pl *place.Placer, now time.Time, as *place.Request) *place.Ticket {
 	t.Helper()
 	tk := pick(t, pl, now, as)
-	tk.Heard(now)
+	tk.RecordActivity(now)
 	tk.Done(now, place.Served)
 	return tk
 }
@@ -88,14 +88,14 @@
 func TestMissingRegistrationIsAvoidedButNotThePool(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 3)
-	pl.Doubt("e00")
+	pl.MarkMissing("e00")
 	for id := range uint64(50) {
 		if tk := serve(t, pl, begin, ask(chat(1, id))); tk.Endpoint.ID == "e00" {
 			t.Fatal("an endpoint whose registration is missing was picked while others are there")
 		}
 	}
-	pl.Doubt("e01")
-	pl.Doubt("e02")
+	pl.MarkMissing("e01")
+	pl.MarkMissing("e02")
 	serve(t, pl, begin, ask(chat(1, 1)))
 	pl.Register(begin, endpoint(2))
 	for id := range uint64(50) {
@@ -117,7 +117,7 @@
 			t.Fatal("an endpoint that is silent with a call in progress was picked")
 		}
 	}
-	stuck.Heard(now)
+	stuck.RecordActivity(now)
 	back := 0
 	for id := range uint64(30) {
 		if tk := serve(t, pl, now, ask(chat(2, 100+id))); tk.Endpoint.ID == stuck.Endpoint.ID {
@@ -135,7 +135,7 @@
 	pl := newPlacer(1)
 	register(pl, 2)
 	home := pick(t, pl, begin, ask(chat(1, 7)))
-	home.Done(begin, place.Unreached)
+	home.Done(begin, place.Unreachable)
 	other := serve(t, pl, begin.Add(100*time.Millisecond), ask(chat(1, 7)))
 	if other.Endpoint.ID == home.Endpoint.ID {
 		t.Fatal("picked again at once")
@@ -170,7 +170,7 @@
 			if tk.Endpoint.ID < core.EndpointID(fmt.Sprintf("e%02d", failing)) && id%2 == 0 {
 				bad = place.Failed
 			}
-			tk.Heard(now)
+			tk.RecordActivity(now)
 			tk.Done(now, bad)
 		}
 		return float64(at) / calls
@@ -219,11 +219,11 @@
 	leaving.Draining = true
 	pl.Register(begin, leaving)
 	next := serve(t, pl, begin, ask(chat(1, 7)))
-	if next.FetchFrom != home.Endpoint.Addr || next.Fetched == 0 {
-		t.Errorf("fetches %d tokens from %q, want the context from %s", next.Fetched, next.FetchFrom, home.Endpoint.Addr)
+	if next.FetchFrom != home.Endpoint.Addr || next.FetchTokens == 0 {
+		t.Errorf("fetches %d tokens from %q, want the context from %s", next.FetchTokens, next.FetchFrom, home.Endpoint.Addr)
 	}
 	as := ask(chat(1, 7))
-	as.FetchPerMs = 0
+	as.FetchTokensPerMs = 0
 	if tk := serve(t, pl, begin, as); tk.FetchFrom != "" {
 		t.Error("a source is named though engines of the pool hand nothing on")
 	}
@@ -241,7 +241,7 @@
 	as := ask(chat(1, 7))
 	as.Tried = []core.EndpointID{home.ID}
 	moved := serve(t, one, begin, as)
-	two.HearMoves(one.Moves(begin, time.Time{}))
+	two.ApplyMoves(one.Moves(begin, time.Time{}))
 	gone := home
 	gone.Draining = true
 	two.Register(begin, gone)
@@ -259,19 +259,19 @@
 	register(one, 1)
 	register(two, 1)
 	tk := pick(t, one, begin, ask(chat(1, 1)))
-	tk.Counted(begin, 9)
-	two.HearReadings(begin.Add(100*time.Millisecond), time.Millisecond, one.Readings(begin.Add(100*time.Millisecond)))
+	tk.RecordLoad(begin, 9)
+	two.ApplyReadings(begin.Add(100*time.Millisecond), time.Millisecond, one.Readings(begin.Add(100*time.Millisecond)))
 	own := pick(t, two, begin.Add(200*time.Millisecond), ask(chat(1, 2)))
-	if own.Calls != 0 || own.Others != 9 {
-		t.Errorf("own %d, others %d; want 0 and the 9 that the engine counted", own.Calls, own.Others)
+	if own.OwnCalls != 0 || own.PeerCalls != 9 {
+		t.Errorf("own %d, others %d; want 0 and the 9 that the engine counted", own.OwnCalls, own.PeerCalls)
 	}
 	next := pick(t, two, begin.Add(200*time.Millisecond), ask(chat(1, 3)))
-	if next.Calls != 1 || next.Others != 9 {
-		t.Errorf("own %d, others %d; want 1 and 9", next.Calls, next.Others)
+	if next.OwnCalls != 1 || next.PeerCalls != 9 {
+		t.Errorf("own %d, others %d; want 1 and 9", next.OwnCalls, next.PeerCalls)
 	}
 	old := pick(t, two, begin.Add(5*time.Second), ask(chat(1, 4)))
-	if old.Others != 0 {
-		t.Errorf("a count of 5 s ago is still believed: %d", old.Others)
+	if old.PeerCalls != 0 {
+		t.Errorf("a count of 5 s ago is still believed: %d", old.PeerCalls)
 	}
 }
 
@@ -284,12 +284,12 @@
 	for id := range uint64(3) {
 		pick(t, one, begin, ask(chat(1, id)))
 	}
-	two.Hear(begin, "10.0.0.1:7000", one.Tell())
-	if tk := pick(t, two, begin, ask(chat(1, 1))); tk.Others != 3 {
-		t.Errorf("told %d, want 3", tk.Others)
+	two.ApplyLoadReport(begin, "10.0.0.1:7000", one.LoadReport())
+	if tk := pick(t, two, begin, ask(chat(1, 1))); tk.PeerCalls != 3 {
+		t.Errorf("told %d, want 3", tk.PeerCalls)
 	}
-	if tk := pick(t, two, begin.Add(3*time.Second), ask(chat(1, 1))); tk.Others != 0 {
-		t.Errorf("after 3 s still %d", tk.Others)
+	if tk := pick(t, two, begin.Add(3*time.Second), ask(chat(1, 1))); tk.PeerCalls != 0 {
+		t.Errorf("after 3 s still %d", tk.PeerCalls)
 	}
 }
 
@@ -298,7 +298,7 @@
 func TestFullEndpointIsPassedOver(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 1)
-	pick(t, pl, begin, ask(chat(1, 1))).Done(begin, place.Full)
+	pick(t, pl, begin, ask(chat(1, 1))).Done(begin, place.Rejected)
 	_, re := pl.Pick(begin, ask(chat(1, 1)))
 	if re == nil || re.Reason != core.ReasonLoadCap || re.RetryAfter <= 0 {
 		t.Fatalf("%v, want a refusal for the load with a time to return", re)
@@ -309,7 +309,7 @@
 func TestConnectionsAreShared(t *testing.T) {
 	pl := newPlacer(4)
 	register(pl, 1)
-	as := &place.Ask{Pool: pool, MaxConns: 8}
+	as := &place.Request{Pool: pool, MaxConns: 8}
 	pick(t, pl, begin, as)
 	pick(t, pl, begin, as)
 	if _, re := pl.Pick(begin, as); re == nil {
@@ -326,7 +326,7 @@
 		ep.Slots = 6
 		pl.Register(begin, ep)
 	}
-	as := &place.Ask{Pool: pool, MaxConns: 1000}
+	as := &place.Request{Pool: pool, MaxConns: 1000}
 	for range 48 {
 		pick(t, pl, begin, as)
 	}
--- a/core/place/record_test.go
+++ b/core/place/record_test.go
@@ -10,17 +10,17 @@
 	pl := newPlacer(1)
 	register(pl, 60)
 	as := ask(nil)
-	as.Memory = 0 // unknown, so that it bounds nothing
+	as.EngineMemory = 0 // unknown, so that it bounds nothing
 	for id := range uint64(2 * most) {
 		as.Parts = chat(id%3, id)
 		serve(t, pl, begin, as)
 	}
-	if entries := pl.Entries(); entries > most {
+	if entries := pl.IndexEntries(); entries > most {
 		t.Errorf("%d parts are remembered, want at most %d", entries, most)
 	}
 	last := serve(t, pl, begin, as)
-	if last.Uncached > as.Parts[2].Tokens {
-		t.Errorf("%d tokens of the latest chat are thought to be read anew, want its new turn alone", last.Uncached)
+	if last.UncachedTokens > as.Parts[2].Tokens {
+		t.Errorf("%d tokens of the latest chat are thought to be read anew, want its new turn alone", last.UncachedTokens)
 	}
 }
 
--- a/core/place/region_test.go
+++ b/core/place/region_test.go
@@ -36,17 +36,17 @@
 				}
 			}
 			as := ask(chat(1, rapid.Uint64Range(0, 5).Draw(rt, "chat")))
-			as.Bound = rapid.Bool().Draw(rt, "bound")
-			as.Homes = rapid.SliceOfDistinct(rapid.SampledFrom([]core.Region{"north", "south", "west", "none"}), rapid.ID[core.Region]).Draw(rt, "homes")
+			as.RegionBound = rapid.Bool().Draw(rt, "bound")
+			as.HomeRegions = rapid.SliceOfDistinct(rapid.SampledFrom([]core.Region{"north", "south", "west", "none"}), rapid.ID[core.Region]).Draw(rt, "homes")
 			tk, rf := pl.Pick(now, as)
 			if rf != nil {
 				continue
 			}
-			if as.Bound && !within(as.Homes, regions[tk.Endpoint.Zone]) {
-				rt.Fatalf("homes %v, placed in zone %s", as.Homes, tk.Endpoint.Zone)
+			if as.RegionBound && !within(as.HomeRegions, regions[tk.Endpoint.Zone]) {
+				rt.Fatalf("homes %v, placed in zone %s", as.HomeRegions, tk.Endpoint.Zone)
 			}
-			if as.Bound && tk.FetchFrom != "" && !within(as.Homes, addrs[tk.FetchFrom]) {
-				rt.Fatalf("homes %v, taken over from %s", as.Homes, tk.FetchFrom)
+			if as.RegionBound && tk.FetchFrom != "" && !within(as.HomeRegions, addrs[tk.FetchFrom]) {
+				rt.Fatalf("homes %v, taken over from %s", as.HomeRegions, tk.FetchFrom)
 			}
 			if rapid.Bool().Draw(rt, "end") {
 				tk.Done(now, place.Served)
@@ -72,7 +72,7 @@
 	pl.Register(begin, inZone(0, "a"))
 	pl.Register(begin, inZone(1, "b"))
 	as := ask(chat(1, 1))
-	as.Homes, as.Bound = []core.Region{"south"}, true
+	as.HomeRegions, as.RegionBound = []core.Region{"south"}, true
 	if tk := pick(t, pl, begin, as); tk.Endpoint.Zone != "b" {
 		t.Errorf("placed in zone %s", tk.Endpoint.Zone)
 	}
--- a/core/place/share_test.go
+++ b/core/place/share_test.go
@@ -7,10 +7,10 @@
 )
 
 // sharing is a router of 420 before two endpoints that take 300 connections from all.
-func sharing(engine bool) (*place.Placer, *place.Ask) {
+func sharing(engine bool) (*place.Placer, *place.Request) {
 	pl := newPlacer(420)
 	register(pl, 2)
-	return pl, &place.Ask{Pool: pool, Engine: engine, MaxConns: 300}
+	return pl, &place.Request{Pool: pool, Engine: engine, MaxConns: 300}
 }
 
 // A popular customer's callers all come through one of 420 routers. The endpoints take 300
@@ -32,7 +32,7 @@
 func TestShareHoldsWhereConnectionsAreFew(t *testing.T) {
 	pl, as := sharing(false)
 	for ix := range 2 {
-		pl.HearCount(begin, place.HashOf(endpoint(ix).ID, 0), 150)
+		pl.ApplyCount(begin, place.EndpointHash(endpoint(ix).ID, 0), 150)
 	}
 	for ix := range 2 {
 		if _, rf := pl.Pick(begin, as); rf != nil {
--- a/core/place/size_test.go
+++ b/core/place/size_test.go
@@ -28,15 +28,15 @@
 
 // busy is a router of a fleet under load: its peers have told their calls, and most chats
 // have been served by it once.
-func busy(fl fleet) (*place.Placer, func(id uint64) *place.Ask) {
-	prompt := func(id uint64) *place.Ask {
+func busy(fl fleet) (*place.Placer, func(id uint64) *place.Request) {
+	prompt := func(id uint64) *place.Request {
 		id %= uint64(chatsOfFleet * fl.endpoints)
 		return ask(chat(id%beginningsOfFleet, id))
 	}
 	pl := newPlacer(fl.peers + 1)
 	register(pl, fl.endpoints)
 	for ix := range fl.peers {
-		pl.Hear(begin, fmt.Sprint("router", ix), wordOfPeer(fl, uint64(ix)))
+		pl.ApplyLoadReport(begin, fmt.Sprint("router", ix), wordOfPeer(fl, uint64(ix)))
 	}
 	for id := range uint64(chatsOfFleet * fl.endpoints) {
 		if tk, rf := pl.Pick(begin, prompt(id)); rf == nil {
@@ -58,7 +58,7 @@
 			break // the few endpoints that it knows are at their cap
 		}
 	}
-	return peer.Tell()
+	return peer.LoadReport()
 }
 
 // BenchmarkChoice measures one choice of an endpoint, by the size of the fleet.
@@ -89,7 +89,7 @@
 			b.ReportAllocs()
 			turn := 0
 			for b.Loop() {
-				pl.Hear(begin, "router0", words[turn%len(words)])
+				pl.ApplyLoadReport(begin, "router0", words[turn%len(words)])
 				turn++
 			}
 		})
--- a/core/place/starts.go
+++ b/core/place/starts.go
@@ -9,61 +9,61 @@
 // latest is remembered after the endpoint is gone, so that whichever order news arrives
 // in, all routers end at the same start.
 
-// mostStarts bounds the starts that are remembered: at 170 replaced VMs a day, those of
+// maxIncarnations bounds the starts that are remembered: at 170 replaced VMs a day, those of
 // weeks. The earliest noted is forgotten first.
-const mostStarts = 8192
+const maxIncarnations = 8192
 
-// start is the latest known start of an endpoint, and whether that one was draining.
-type start struct {
-	at       core.Incarnation
-	draining bool
+// latestIncarnation is the latest known start of an endpoint, and whether that one was draining.
+type latestIncarnation struct {
+	incarnation core.Incarnation
+	draining    bool
 }
 
-// starts are the latest known starts. Of endpoints that do not tell theirs, those are kept that
+// incarnations are the latest known starts. Of endpoints that do not tell theirs, those are kept that
 // are closed: their ids are not used again.
-type starts struct {
-	latest map[core.EndpointID]start
+type incarnations struct {
+	latest map[core.EndpointID]latestIncarnation
 	// order is in which they were first noted.
 	order []core.EndpointID
 }
 
-// note takes a registration. current is false if a later start is known already, and
+// record takes a registration. current is false if a later start is known already, and
 // drained tells that this one was draining before.
-func (ss *starts) note(ep *Endpoint) (drained, current bool) {
+func (ss *incarnations) record(ep *Endpoint) (drained, current bool) {
 	known, seen := ss.latest[ep.ID]
-	if ep.Start < known.at {
+	if ep.Incarnation < known.incarnation {
 		return false, false
 	}
-	drained = seen && ep.Start == known.at && known.draining
-	if ep.Start == 0 {
+	drained = seen && ep.Incarnation == known.incarnation && known.draining
+	if ep.Incarnation == 0 {
 		return drained, true
 	}
 	if !seen {
 		ss.add(ep.ID)
 	}
-	ss.latest[ep.ID] = start{at: ep.Start, draining: drained || ep.Draining}
+	ss.latest[ep.ID] = latestIncarnation{incarnation: ep.Incarnation, draining: drained || ep.Draining}
 	return drained, true
 }
 
-func (ss *starts) add(id core.EndpointID) {
+func (ss *incarnations) add(id core.EndpointID) {
 	if ss.latest == nil {
-		ss.latest = map[core.EndpointID]start{}
+		ss.latest = map[core.EndpointID]latestIncarnation{}
 	}
-	if len(ss.order) >= mostStarts {
+	if len(ss.order) >= maxIncarnations {
 		delete(ss.latest, ss.order[0])
 		ss.order = ss.order[1:]
 	}
 	ss.order = append(ss.order, id)
 }
 
-// drain notes that a start gets no more work.
-func (ss *starts) drain(ep *Endpoint) {
+// markDraining notes that a start gets no more work.
+func (ss *incarnations) markDraining(ep *Endpoint) {
 	known, seen := ss.latest[ep.ID]
-	if seen && known.at != ep.Start {
+	if seen && known.incarnation != ep.Incarnation {
 		return
 	}
 	if !seen {
 		ss.add(ep.ID)
 	}
-	ss.latest[ep.ID] = start{at: ep.Start, draining: true}
+	ss.latest[ep.ID] = latestIncarnation{incarnation: ep.Incarnation, draining: true}
 }
--- a/core/place/starts_test.go
+++ b/core/place/starts_test.go
@@ -11,7 +11,7 @@
 // started is an endpoint at one of its starts.
 func started(ix int, at core.Incarnation) place.Endpoint {
 	ep := endpoint(ix)
-	ep.Start = at
+	ep.Incarnation = at
 	return ep
 }
 
@@ -101,12 +101,12 @@
 		}
 		tk := pick(t, pl, begin, elsewhere)
 		if fetches := tk.FetchFrom == started(0, 100).Addr; fetches == restarted {
-			t.Errorf("restarted %v: fetches %d tokens from %q", restarted, tk.Fetched, tk.FetchFrom)
+			t.Errorf("restarted %v: fetches %d tokens from %q", restarted, tk.FetchTokens, tk.FetchFrom)
 		}
 		tk.Done(begin, place.Neutral)
 		pl.Remove("e01")
-		if tk = pick(t, pl, begin, ask(prompt)); (tk.Uncached == 0) == restarted {
-			t.Errorf("restarted %v: %d of 10000 tokens are to be read", restarted, tk.Uncached)
+		if tk = pick(t, pl, begin, ask(prompt)); (tk.UncachedTokens == 0) == restarted {
+			t.Errorf("restarted %v: %d of 10000 tokens are to be read", restarted, tk.UncachedTokens)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	var open []*place.Ticket
 	for id := range uint64(count) {
 		tk := pick(t, pl, begin, ask(chat(1, id)))
-		tk.Counted(begin, count)
+		tk.RecordLoad(begin, count)
 		open = append(open, tk)
 	}
 	return open
@@ -133,14 +133,14 @@
 	open := inProgress(t, pl, 20)
 	pl.Register(begin, started(0, 200))
 	tk := pick(t, pl, begin, ask(chat(1, 1)))
-	if tk.Calls != 0 || tk.Others != 0 {
-		t.Errorf("%d own calls and %d of others at a start that has none", tk.Calls, tk.Others)
+	if tk.OwnCalls != 0 || tk.PeerCalls != 0 {
+		t.Errorf("%d own calls and %d of others at a start that has none", tk.OwnCalls, tk.PeerCalls)
 	}
 	for _, old := range open {
 		old.Done(begin, place.Failed)
 	}
-	if next := pick(t, pl, begin, ask(chat(1, 2))); next.Calls != 1 {
-		t.Errorf("%d own calls after those of the earlier start ended, want 1", next.Calls)
+	if next := pick(t, pl, begin, ask(chat(1, 2))); next.OwnCalls != 1 {
+		t.Errorf("%d own calls after those of the earlier start ended, want 1", next.OwnCalls)
 	}
 }
 
@@ -155,12 +155,12 @@
 	one.Register(begin, started(0, 200))
 	open := inProgress(t, two, 9)
 	hear := func() int {
-		one.Hear(begin, "two", two.Tell())
-		one.HearReadings(begin, 0, two.Readings(begin))
-		one.HearMoves(two.Moves(begin, time.Time{}))
+		one.ApplyLoadReport(begin, "two", two.LoadReport())
+		one.ApplyReadings(begin, 0, two.Readings(begin))
+		one.ApplyMoves(two.Moves(begin, time.Time{}))
 		tk := pick(t, one, begin, ask(chat(1, 1)))
 		defer tk.Done(begin, place.Neutral)
-		return tk.Others
+		return tk.PeerCalls
 	}
 	if others := hear(); others != 0 {
 		t.Errorf("%d calls of an earlier start are counted at the later one", others)
--- a/core/place/surge_test.go
+++ b/core/place/surge_test.go
@@ -72,7 +72,7 @@
 		prompt: func(id uint64) []place.Part { return chat(id%3, id) },
 	}
 	for ix := range routers {
-		pl := &place.Placer{Zone: "a", Rand: newRand(uint64(ix)), CapFactor: 2, Routers: func() int { return routers }}
+		pl := &place.Placer{Zone: "a", Rand: newRand(uint64(ix)), CapFactor: 2, RouterCount: func() int { return routers }}
 		for ep := range count {
 			en := endpoint(ep)
 			en.Slots = slots
@@ -109,13 +109,13 @@
 }
 
 // askCount is what a router does before a choice where counts are kept.
-func (su *surge) askCount(pl *place.Placer, as *place.Ask) {
-	endpoint, uncertain := pl.Uncertain(su.now(), as)
+func (su *surge) askCount(pl *place.Placer, as *place.Request) {
+	endpoint, uncertain := pl.NeedsCount(su.now(), as)
 	if !uncertain {
 		return
 	}
 	if calls, known := su.counts.AddCall(su.now(), endpoint); known {
-		pl.HearCount(su.now(), endpoint, calls)
+		pl.ApplyCount(su.now(), endpoint, calls)
 	}
 }
 
@@ -136,8 +136,8 @@
 	for from, pl := range su.routers {
 		for to, other := range su.routers {
 			if su.tells(from, to) {
-				other.Hear(su.now(), fmt.Sprint("router", from), pl.Tell())
-				other.HearReadings(su.now(), 0, pl.Readings(su.now()))
+				other.ApplyLoadReport(su.now(), fmt.Sprint("router", from), pl.LoadReport())
+				other.ApplyReadings(su.now(), 0, pl.Readings(su.now()))
 			}
 		}
 	}
@@ -154,9 +154,9 @@
 }
 
 func (su *surge) start(id core.EndpointID, ca *caller) {
-	ca.tk.Heard(su.now())
+	ca.tk.RecordActivity(su.now())
 	calls := su.running[id] + len(su.waiting[id])
-	ca.tk.Counted(su.now(), calls)
+	ca.tk.RecordLoad(su.now(), calls)
 	if su.counts != nil {
 		su.counts.Report(su.now(), ca.tk.Hash, calls)
 	}
@@ -262,15 +262,15 @@
 	for ix := range 2 {
 		for range 3 {
 			tried := []core.EndpointID{endpoint(1 - ix).ID, endpoint(2).ID}
-			tk, rf := pl.Pick(begin, &place.Ask{Pool: pool, Engine: true, Tried: tried})
+			tk, rf := pl.Pick(begin, &place.Request{Pool: pool, Engine: true, Tried: tried})
 			if rf == nil {
-				tk.Done(begin, place.Unreached)
+				tk.Done(begin, place.Unreachable)
 			}
 		}
 	}
 	taken := 0
 	for {
-		if _, rf := pl.Pick(begin, &place.Ask{Pool: pool, Engine: true}); rf != nil {
+		if _, rf := pl.Pick(begin, &place.Request{Pool: pool, Engine: true}); rf != nil {
 			if want := "53 calls, most 53 for this customer, 48 places; 3 of 3 endpoints full"; rf.Basis != want {
 				t.Errorf("decided on %q, want %q", rf.Basis, want)
 			}
--- a/core/place/told.go
+++ b/core/place/told.go
@@ -5,152 +5,152 @@
 	"time"
 )
 
-// word is a peer's last message: its calls in progress by the short hashes of the
+// loadReport is a peer's last message: its calls in progress by the short hashes of the
 // endpoints.
-type word struct {
-	from string
-	at   time.Time
-	// gap is how far words of this peer were apart of late, and until when this one counts.
-	gap   time.Duration
-	until time.Time
-	calls []callsAt
+type loadReport struct {
+	from       string
+	receivedAt time.Time
+	// interval is how far words of this peer were apart of late, and until when this one counts.
+	interval time.Duration
+	expires  time.Time
+	calls    []endpointCalls
 }
 
-// callsAt is an entry of a word.
-type callsAt struct {
+// endpointCalls is an entry of a word.
+type endpointCalls struct {
 	endpoint uint16
 	calls    int
 }
 
-// words are the peers' last messages, and their sums. The sums are kept, as a choice among
+// loadReports are the peers' last messages, and their sums. The sums are kept, as a choice among
 // thousands of endpoints cannot add up hundreds of words.
-type words struct {
+type loadReports struct {
 	byPeer map[string]*list.Element // of *word
-	// order has the word first that lapses first.
-	order *list.List
-	sums  map[uint16]int
-	// added tells of each change of a sum.
-	added func(endpoint uint16, by int)
+	// byExpiry has the word first that lapses first.
+	byExpiry *list.List
+	sums     map[uint16]int
+	// onChange tells of each change of a sum.
+	onChange func(endpoint uint16, by int)
 }
 
 const (
-	// toldFor is how long a peer's word counts at least: a few of its messages. One that
+	// minReportTTL is how long a peer's word counts at least: a few of its messages. One that
 	// says nothing for longer has stopped, and its calls with it.
-	toldFor = 2 * time.Second
-	// toldGaps is how many gaps between a peer's words the last one counts, and mostToldFor
+	minReportTTL = 2 * time.Second
+	// reportTTLIntervals is how many gaps between a peer's words the last one counts, and mostToldFor
 	// how long at most.
 	//
 	// What a router sends is bounded, so that among hundreds each peer hears it every few
 	// seconds. An older report still tells the usual load; without it full endpoints look idle.
-	toldGaps    = 3
-	mostToldFor = 20 * time.Second
-	// entrySize is the size of an entry in a message: two bytes of hash, one of
+	reportTTLIntervals = 3
+	maxReportTTL       = 20 * time.Second
+	// reportEntrySize is the size of an entry in a message: two bytes of hash, one of
 	// calls. Endpoints whose short hashes are equal, 3 pairs in 100 fleets of 60, are
 	// taken to have each other's calls too.
-	entrySize = 3
-	// mostTold is how many calls an entry can tell, mostEntries how many entries
+	reportEntrySize = 3
+	// maxEntryCalls is how many calls an entry can tell, mostEntries how many entries
 	// there are at most.
-	mostTold    = 255
-	mostEntries = 400
+	maxEntryCalls    = 255
+	maxReportEntries = 400
 )
 
-func short(hash uint64) uint16 { return uint16(hash >> 48) }
+func shortHash(hash uint64) uint16 { return uint16(hash >> 48) }
 
-// Tell packs the router's own calls in progress for its peers.
-func (pl *Placer) Tell() []byte {
+// LoadReport packs the router's own calls in progress for its peers.
+func (pl *Placer) LoadReport() []byte {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	var packed []byte
 	for _, st := range pl.byID {
-		if st.calls > 0 && len(packed) < mostEntries*entrySize {
-			hash := short(st.hash)
-			packed = append(packed, byte(hash>>8), byte(hash), byte(min(mostTold, st.calls)))
+		if st.ownCalls > 0 && len(packed) < maxReportEntries*reportEntrySize {
+			hash := shortHash(st.hash)
+			packed = append(packed, byte(hash>>8), byte(hash), byte(min(maxEntryCalls, st.ownCalls)))
 		}
 	}
 	return packed
 }
 
-// Hear takes a peer's packed calls.
-func (pl *Placer) Hear(now time.Time, from string, packed []byte) {
-	calls := make([]callsAt, 0, len(packed)/entrySize)
-	for ; len(packed) >= entrySize; packed = packed[entrySize:] {
-		calls = append(calls, callsAt{uint16(packed[0])<<8 | uint16(packed[1]), int(packed[2])})
+// ApplyLoadReport takes a peer's packed calls.
+func (pl *Placer) ApplyLoadReport(now time.Time, from string, packed []byte) {
+	calls := make([]endpointCalls, 0, len(packed)/reportEntrySize)
+	for ; len(packed) >= reportEntrySize; packed = packed[reportEntrySize:] {
+		calls = append(calls, endpointCalls{uint16(packed[0])<<8 | uint16(packed[1]), int(packed[2])})
 	}
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.start()
-	pl.words.take(now, from, calls)
+	pl.initMaps()
+	pl.reports.apply(now, from, calls)
 }
 
-// take replaces a peer's word.
-func (wo *words) take(now time.Time, from string, calls []callsAt) {
-	wd := &word{from: from, at: now, until: now.Add(toldFor), calls: calls}
+// apply replaces a peer's word.
+func (wo *loadReports) apply(now time.Time, from string, calls []endpointCalls) {
+	wd := &loadReport{from: from, receivedAt: now, expires: now.Add(minReportTTL), calls: calls}
 	if el := wo.byPeer[from]; el != nil {
-		old := wo.drop(el)
+		old := wo.remove(el)
 		// News is told at once: a short gap is followed by longer ones.
-		wd.gap = max(now.Sub(old.at), old.gap/2)
-		wd.until = now.Add(min(mostToldFor, max(toldFor, toldGaps*wd.gap)))
+		wd.interval = max(now.Sub(old.receivedAt), old.interval/2)
+		wd.expires = now.Add(min(maxReportTTL, max(minReportTTL, reportTTLIntervals*wd.interval)))
 	}
-	wo.add(wd, 1)
+	wo.addSums(wd, 1)
 	wo.insert(wd)
 }
 
 // insert puts a word where it belongs in the order, which is near the end as a rule.
-func (wo *words) insert(wd *word) {
-	at := wo.order.Back()
-	for at != nil && at.Value.(*word).until.After(wd.until) {
+func (wo *loadReports) insert(wd *loadReport) {
+	at := wo.byExpiry.Back()
+	for at != nil && at.Value.(*loadReport).expires.After(wd.expires) {
 		at = at.Prev()
 	}
 	if at == nil {
-		wo.byPeer[wd.from] = wo.order.PushFront(wd)
+		wo.byPeer[wd.from] = wo.byExpiry.PushFront(wd)
 		return
 	}
-	wo.byPeer[wd.from] = wo.order.InsertAfter(wd, at)
+	wo.byPeer[wd.from] = wo.byExpiry.InsertAfter(wd, at)
 }
 
-func (wo *words) drop(el *list.Element) *word {
-	wd := wo.order.Remove(el).(*word)
+func (wo *loadReports) remove(el *list.Element) *loadReport {
+	wd := wo.byExpiry.Remove(el).(*loadReport)
 	delete(wo.byPeer, wd.from)
-	wo.add(wd, -1)
+	wo.addSums(wd, -1)
 	return wd
 }
 
-// add counts a word in, or out with a sign of -1.
-func (wo *words) add(wd *word, sign int) {
+// addSums counts a word in, or out with a sign of -1.
+func (wo *loadReports) addSums(wd *loadReport, sign int) {
 	for _, ca := range wd.calls {
 		wo.sums[ca.endpoint] += sign * ca.calls
 		if wo.sums[ca.endpoint] == 0 {
 			delete(wo.sums, ca.endpoint)
 		}
-		wo.added(ca.endpoint, sign*ca.calls)
+		wo.onChange(ca.endpoint, sign*ca.calls)
 	}
 }
 
-// lapse stops counting the words of peers that have stopped. When they were heard is kept
+// expire stops counting the words of peers that have stopped. When they were heard is kept
 // for longer, so that the gap of a peer that is heard rarely becomes known.
-func (wo *words) lapse(now time.Time) {
-	for el := wo.order.Front(); el != nil && now.After(el.Value.(*word).until); el = wo.order.Front() {
-		wd := wo.drop(el)
-		if end := wd.at.Add(mostToldFor); now.Before(end) {
-			wd.until, wd.calls = end, nil
+func (wo *loadReports) expire(now time.Time) {
+	for el := wo.byExpiry.Front(); el != nil && now.After(el.Value.(*loadReport).expires); el = wo.byExpiry.Front() {
+		wd := wo.remove(el)
+		if end := wd.receivedAt.Add(maxReportTTL); now.Before(end) {
+			wd.expires, wd.calls = end, nil
 			wo.insert(wd)
 		}
 	}
 }
 
-// callsOfOthers is how many calls of other routers the endpoint has: what it counted itself
+// estimatePeerCalls is how many calls of other routers the endpoint has: what it counted itself
 // a moment ago, or else what peers told of theirs, or more if it counted more.
-func (st *state) callsOfOthers(now time.Time) int {
-	others := st.told
-	if st.quiet {
+func (st *state) estimatePeerCalls(now time.Time) int {
+	others := st.peerCalls
+	if st.fastPath {
 		return others
 	}
-	all, known := st.reading.Estimate(now)
+	all, known := st.load.Estimate(now)
 	if !known {
 		return others
 	}
-	if st.reading.Fresh(now, freshFor) {
-		return max(0, all-st.calls)
+	if st.load.Fresh(now, freshWindow) {
+		return max(0, all-st.ownCalls)
 	}
-	return max(others, all-st.calls)
+	return max(others, all-st.ownCalls)
 }
--- a/core/place/use.go
+++ b/core/place/use.go
@@ -20,40 +20,40 @@
 	// above the mean by chance.
 	heavyFactor     = 1.5
 	heavyDeviations = 2
-	// heavyPart is the part of a pool's room that heavy customers get. The rest
+	// heavyFraction is the part of a pool's room that heavy customers get. The rest
 	// takes the others' calls while the heavy one presses against its own limit.
-	heavyPart = 0.9
+	heavyFraction = 0.9
 )
 
-// use is what the customers have in progress in a pool through this router.
-type use struct {
-	total int
-	by    map[core.CustomerID]int
+// customerUse is what the customers have in progress in a pool through this router.
+type customerUse struct {
+	total      int
+	byCustomer map[core.CustomerID]int
 }
 
-func (pl *Placer) useOf(id core.PoolID) *use {
-	us := pl.uses[id]
+func (pl *Placer) customerUseOf(id core.PoolID) *customerUse {
+	us := pl.customerUses[id]
 	if us == nil {
-		us = &use{by: map[core.CustomerID]int{}}
-		pl.uses[id] = us
+		us = &customerUse{byCustomer: map[core.CustomerID]int{}}
+		pl.customerUses[id] = us
 	}
 	return us
 }
 
 // add counts calls that begin or end.
-func (us *use) add(id core.CustomerID, by int) {
+func (us *customerUse) add(id core.CustomerID, by int) {
 	us.total += by
-	us.by[id] += by
-	if us.by[id] == 0 {
-		delete(us.by, id)
+	us.byCustomer[id] += by
+	if us.byCustomer[id] == 0 {
+		delete(us.byCustomer, id)
 	}
 }
 
 // heavy tells whether the customer has far more in progress than the others.
-func (us *use) heavy(id core.CustomerID) bool {
-	if us == nil || len(us.by) < 2 {
+func (us *customerUse) heavy(id core.CustomerID) bool {
+	if us == nil || len(us.byCustomer) < 2 {
 		return false
 	}
-	mean := float64(us.total) / float64(len(us.by))
-	return float64(us.by[id]) > heavyFactor*mean+heavyDeviations*math.Sqrt(mean)
+	mean := float64(us.total) / float64(len(us.byCustomer))
+	return float64(us.byCustomer[id]) > heavyFactor*mean+heavyDeviations*math.Sqrt(mean)
 }
--- a/core/place/walk_test.go
+++ b/core/place/walk_test.go
@@ -42,10 +42,10 @@
 	case 1:
 		wo.pl.Remove(endpoint(ix).ID)
 	case 2:
-		wo.pl.Doubt(endpoint(ix).ID)
+		wo.pl.MarkMissing(endpoint(ix).ID)
 	case 3:
 		en := endpoint(ix)
-		en.Start = core.Incarnation(rapid.IntRange(0, 3).Draw(rt, "start"))
+		en.Incarnation = core.Incarnation(rapid.IntRange(0, 3).Draw(rt, "start"))
 		en.Draining = rapid.IntRange(0, 5).Draw(rt, "draining") == 0
 		en.Zone = core.Zone(rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"))
 		en.ColdUntil = wo.now.Add(time.Duration(rapid.IntRange(-100, 500).Draw(rt, "cold")) * time.Millisecond)
@@ -54,12 +54,12 @@
 		at := rapid.IntRange(0, len(wo.peers)-1).Draw(rt, "peer")
 		peer := wo.peers[at]
 		if tk, rf := peer.Pick(wo.now, ask(chat(uint64(ix%3), uint64(ix)))); rf == nil && rapid.Bool().Draw(rt, "short") {
-			tk.Counted(wo.now, rapid.IntRange(0, 60).Draw(rt, "count"))
+			tk.RecordLoad(wo.now, rapid.IntRange(0, 60).Draw(rt, "count"))
 			tk.Done(wo.now, place.Served)
 		}
-		wo.pl.Hear(wo.now, fmt.Sprint("peer", at), peer.Tell())
-		wo.pl.HearMoves(peer.Moves(wo.now, time.Time{}))
-		wo.pl.HearReadings(wo.now, time.Millisecond, peer.Readings(wo.now))
+		wo.pl.ApplyLoadReport(wo.now, fmt.Sprint("peer", at), peer.LoadReport())
+		wo.pl.ApplyMoves(peer.Moves(wo.now, time.Time{}))
+		wo.pl.ApplyReadings(wo.now, time.Millisecond, peer.Readings(wo.now))
 	case 6:
 		if tk, rf := wo.pl.Pick(wo.now, wo.ask(rt)); rf == nil {
 			wo.tickets = append(wo.tickets, tk)
@@ -71,19 +71,19 @@
 		}
 	case 8:
 		if len(wo.tickets) > 0 {
-			wo.tickets[0].Heard(wo.now)
-			wo.tickets[0].Counted(wo.now, rapid.IntRange(0, 60).Draw(rt, "count"))
+			wo.tickets[0].RecordActivity(wo.now)
+			wo.tickets[0].RecordLoad(wo.now, rapid.IntRange(0, 60).Draw(rt, "count"))
 		}
 	}
 }
 
-func (wo *world) ask(rt *rapid.T) *place.Ask {
+func (wo *world) ask(rt *rapid.T) *place.Request {
 	id := rapid.Uint64Range(0, 20).Draw(rt, "chat")
 	as := ask(chat(id%3, id)[:rapid.IntRange(0, 3).Draw(rt, "parts")])
 	as.Engine = rapid.IntRange(0, 9).Draw(rt, "engine") > 0
 	if rapid.IntRange(0, 3).Draw(rt, "retried") == 0 {
 		as.Tried = []core.EndpointID{endpoint(0).ID}
-		as.Healthy = rapid.Bool().Draw(rt, "healthy")
+		as.HealthyOnly = rapid.Bool().Draw(rt, "healthy")
 	}
 	return as
 }
@@ -100,7 +100,7 @@
 			if !as.Engine {
 				continue // its price has a part that is drawn
 			}
-			got, want := wo.pl.Look(wo.now, as), wo.pl.WeighAll(wo.now, as)
+			got, want := wo.pl.InspectChoice(wo.now, as), wo.pl.WeighAll(wo.now, as)
 			if math.Abs(got.CostMs-want.CostMs) > 1e-6 {
 				// The holder may be drawn from several: both were weighed with one of them.
 				if wo.several(as) {
@@ -118,7 +118,7 @@
 }
 
 // several tells whether more than one endpoint may be the holder, by repeated draws.
-func (wo *world) several(as *place.Ask) bool {
+func (wo *world) several(as *place.Request) bool {
 	first := wo.pl.WeighAll(wo.now, as)
 	for range 20 {
 		if wo.pl.WeighAll(wo.now, as).CostMs != first.CostMs {
@@ -168,7 +168,7 @@
 					wd.gap = max(now.Sub(old.at), old.gap/2)
 				}
 				words[name] = wd
-				pl.Hear(now, name, peer.Tell())
+				pl.ApplyLoadReport(now, name, peer.LoadReport())
 			}
 			for ix := range worldSize {
 				want := 0
@@ -177,7 +177,7 @@
 						want += wd.calls[ix]
 					}
 				}
-				if got, known := pl.Told(now, endpoint(ix).ID); known && got != want {
+				if got, known := pl.PeerCalls(now, endpoint(ix).ID); known && got != want {
 					rt.Fatalf("e%02d is believed to have %d calls of others, want %d", ix, got, want)
 				}
 			}
@@ -198,18 +198,18 @@
 	register(pl, 1)
 	register(peer, 1)
 	for range 3 {
-		pick(t, peer, begin, &place.Ask{Pool: pool, Engine: true})
+		pick(t, peer, begin, &place.Request{Pool: pool, Engine: true})
 	}
 	const gap = 4 * time.Second
 	for turn := range 5 {
 		at := begin.Add(time.Duration(turn) * gap)
-		pl.Hear(at, "peer", peer.Tell())
-		told, _ := pl.Told(at.Add(gap-time.Millisecond), endpoint(0).ID)
+		pl.ApplyLoadReport(at, "peer", peer.LoadReport())
+		told, _ := pl.PeerCalls(at.Add(gap-time.Millisecond), endpoint(0).ID)
 		if turn > 0 && told != 3 {
 			t.Errorf("word %d: %d calls are believed before the next, want 3", turn, told)
 		}
 	}
-	if told, _ := pl.Told(begin.Add(4*gap+mostGaps*gap+time.Millisecond), endpoint(0).ID); told != 0 {
+	if told, _ := pl.PeerCalls(begin.Add(4*gap+mostGaps*gap+time.Millisecond), endpoint(0).ID); told != 0 {
 		t.Errorf("%d calls are believed of a peer that has stopped", told)
 	}
 }
--- a/core/place/zone.go
+++ b/core/place/zone.go
@@ -21,15 +21,15 @@
 func (pl *Placer) Evacuate(now time.Time, zone core.Zone, until time.Time) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.start()
-	if pl.evacuated[zone] != nil {
+	pl.initMaps()
+	if pl.evacuations[zone] != nil {
 		return false
 	}
-	pl.evacuated[zone] = &evacuation{from: now, until: until}
+	pl.evacuations[zone] = &evacuation{from: now, until: until}
 	for _, st := range pl.byID {
 		if st.Zone == zone {
-			st.stir()
-			st.evacuated = pl.evacuated[zone]
+			st.markChanged()
+			st.evacuated = pl.evacuations[zone]
 		}
 	}
 	return true
@@ -40,13 +40,13 @@
 func (pl *Placer) Restore(now time.Time, zone core.Zone) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	if pl.evacuated[zone] == nil {
+	if pl.evacuations[zone] == nil {
 		return false
 	}
-	delete(pl.evacuated, zone)
+	delete(pl.evacuations, zone)
 	for _, st := range pl.byID {
 		if st.Zone == zone {
-			st.stir()
+			st.markChanged()
 			st.evacuated = nil
 			st.cold.since = now
 		}
@@ -54,12 +54,12 @@
 	return true
 }
 
-// Evacuated are the zones under evacuation, in the order of their names.
-func (pl *Placer) Evacuated() []core.Zone {
+// EvacuatedZones are the zones under evacuation, in the order of their names.
+func (pl *Placer) EvacuatedZones() []core.Zone {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	zones := make([]core.Zone, 0, len(pl.evacuated))
-	for zone := range pl.evacuated {
+	zones := make([]core.Zone, 0, len(pl.evacuations))
+	for zone := range pl.evacuations {
 		zones = append(zones, zone)
 	}
 	slices.Sort(zones)
@@ -79,23 +79,23 @@
 	return count
 }
 
-// over tells whether nothing new may be sent to the zone.
-func (ev *evacuation) over(now time.Time) bool { return ev != nil && !now.Before(ev.until) }
+// complete tells whether nothing new may be sent to the zone.
+func (ev *evacuation) complete(now time.Time) bool { return ev != nil && !now.Before(ev.until) }
 
-// left tells whether calls of that key have left the zone.
-func (ev *evacuation) left(now time.Time, key uint64) bool {
+// moved tells whether calls of that key have left the zone.
+func (ev *evacuation) moved(now time.Time, key uint64) bool {
 	if ev == nil {
 		return false
 	}
 	if !now.Before(ev.until) {
 		return true
 	}
-	part := float64(now.Sub(ev.from)) / float64(ev.until.Sub(ev.from))
-	return float64(key) <= part*math.MaxUint64
+	fraction := float64(now.Sub(ev.from)) / float64(ev.until.Sub(ev.from))
+	return float64(key) <= fraction*math.MaxUint64
 }
 
 // closedTo tells whether the endpoint gets no new calls like the one that is to be placed,
 // whatever its load.
 func (ch *choice) closedTo(st *state) bool {
-	return st.Draining || st.evacuated != nil && st.evacuated.left(ch.now, ch.key)
+	return st.Draining || st.evacuated != nil && st.evacuated.moved(ch.now, ch.chatKey)
 }
--- a/core/place/zone_test.go
+++ b/core/place/zone_test.go
@@ -36,12 +36,12 @@
 				}
 			case 2:
 				ep := inZone(ix, zone)
-				ep.Start = core.Incarnation(rapid.IntRange(1, 3).Draw(rt, "start"))
+				ep.Incarnation = core.Incarnation(rapid.IntRange(1, 3).Draw(rt, "start"))
 				pl.Register(begin, ep)
 			case 3:
 				pl.Remove(endpoint(ix).ID)
 			case 4:
-				pl.Doubt(endpoint(ix).ID)
+				pl.MarkMissing(endpoint(ix).ID)
 			}
 			tk, rf := pl.Pick(begin, ask(chat(1, uint64(ix))))
 			if rf != nil {
@@ -84,7 +84,7 @@
 		"another zone is":         {func(pl *place.Placer) { pl.Evacuate(begin, "b", begin) }, ""},
 		"it drains":               {func(pl *place.Placer) { pl.Register(begin, draining(endpoint(0))) }, core.ReasonDraining},
 		"it is gone":              {func(pl *place.Placer) { pl.Remove("e00") }, core.ReasonDraining},
-		"its registration lapsed": {func(pl *place.Placer) { pl.Doubt("e00") }, ""},
+		"its registration lapsed": {func(pl *place.Placer) { pl.MarkMissing("e00") }, ""},
 		"it started again": {func(pl *place.Placer) {
 			pl.Register(begin, started(0, 7))
 		}, core.ReasonDraining},
@@ -93,7 +93,7 @@
 		register(pl, 1)
 		tk := pick(t, pl, begin, ask(chat(1, 1)))
 		on.change(pl)
-		if got := tk.Send(begin); got != on.want {
+		if got := tk.BeforeSend(begin); got != on.want {
 			t.Errorf("%s: withdrawn for %q, want %q", name, got, on.want)
 		}
 	}
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -171,8 +171,8 @@
 	pr.mirror = &mirror.Mirror{Outranks: pr.Platform.Outranks}
 	pr.peers = &gossip.Group{Self: se.Name, Addr: se.PeersAddr, Mirror: pr.mirror, Rand: pr.rand, Log: pr.Logs.Part("gossip")}
 	pr.placer = &place.Placer{
-		Zone: se.Zone, Regions: se.Zones, Rand: pr.rand, CapFactor: se.CapFactor, Routers: pr.peers.Routers,
-		Cold: place.ColdLimits{Overrun: se.ColdOverrun, Slack: se.ColdSlack},
+		Zone: se.Zone, Regions: se.Zones, Rand: pr.rand, CapFactor: se.CapFactor, RouterCount: pr.peers.Routers,
+		ColdLimits: place.ColdLimits{Overrun: se.ColdOverrun, Slack: se.ColdSlack},
 	}
 	pr.peers.Placer, pr.peers.InForce = pr.placer, pr.inForce
 	pr.budget = &retry.Window{Ratio: se.RetryRatio, Slack: se.RetrySlack, Span: se.RetrySpan, Routers: pr.peers.Routers}
@@ -230,7 +230,7 @@
 	pr.Stats.Read(stats.StoreEra, func() int64 { return int64(pr.mirror.AsOf().Era()) })
 	pr.Stats.Read(stats.PeersLive, func() int64 { return int64(pr.peers.Live()) })
 	pr.Stats.Read(stats.EndpointsKnown, func() int64 { return int64(pr.endpoints()) })
-	pr.Stats.Read(stats.ZonesEvacuated, func() int64 { return int64(len(pr.placer.Evacuated())) })
+	pr.Stats.Read(stats.ZonesEvacuated, func() int64 { return int64(len(pr.placer.EvacuatedZones())) })
 	if pr.Dropped != nil {
 		pr.Stats.Read(stats.LogLinesDropped, pr.Dropped)
 	}
@@ -259,7 +259,7 @@
 	if ta == nil {
 		return 0
 	}
-	return pr.placer.Known(func(id core.PoolID) bool { return ta.Pool(id) != nil })
+	return pr.placer.Serving(func(id core.PoolID) bool { return ta.Pool(id) != nil })
 }
 
 // announceTick is how often a router looks whether it is to be found through the store. It
--- a/io/entry/export_test.go
+++ b/io/entry/export_test.go
@@ -18,11 +18,11 @@
 func (pr *Process) Changed(it core.Item) { pr.view.changed(it) }
 
 // Endpoints is how many are known, of whichever pools.
-func (pr *Process) Endpoints() int { return pr.placer.Known(func(core.PoolID) bool { return true }) }
+func (pr *Process) Endpoints() int { return pr.placer.Serving(func(core.PoolID) bool { return true }) }
 
 // Pick chooses an endpoint of the pool.
 func (pr *Process) Pick(pool core.PoolID) (*place.Ticket, *core.Refusal) {
-	return pr.placer.Pick(time.Now(), &place.Ask{Pool: pool})
+	return pr.placer.Pick(time.Now(), &place.Request{Pool: pool})
 }
 
 // Broke tells that an attempt broke off.
--- a/io/entry/view.go
+++ b/io/entry/view.go
@@ -124,7 +124,7 @@
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
 	fields := []zap.Field{
-		zap.String("Endpoint", string(ep.ID)), zap.Uint64("Start", uint64(ep.Start)), zap.String("Pool", string(ep.Pool)),
+		zap.String("Endpoint", string(ep.ID)), zap.Uint64("Start", uint64(ep.Incarnation)), zap.String("Pool", string(ep.Pool)),
 		zap.String("Addr", ep.Addr), zap.Bool("Draining", ep.Draining), zap.Stringer("Rev", rev),
 	}
 	if !vi.pr.placer.Register(time.Now(), ep) {
@@ -138,10 +138,10 @@
 		vi.known = map[core.EndpointID]known{}
 	}
 	old, was := vi.known[ep.ID]
-	now := known{ep.Addr, ep.Start, ep.Draining, rev}
+	now := known{ep.Addr, ep.Incarnation, ep.Draining, rev}
 	vi.known[ep.ID] = now
 	switch {
-	case was && old.start != ep.Start:
+	case was && old.start != ep.Incarnation:
 		// Its process is gone, and with it the connections: those left idle would only
 		// show that once a request is lost on them.
 		vi.pr.pool.CloseIdle(old.addr)
@@ -159,7 +159,7 @@
 	gone, was := vi.departed[ep.ID]
 	delete(vi.departed, ep.ID)
 	delete(vi.returned, ep.ID)
-	if !was || gone.start != ep.Start || !vi.pr.reader.RecentlyRestored() {
+	if !was || gone.start != ep.Incarnation || !vi.pr.reader.RecentlyRestored() {
 		return
 	}
 	vi.log.Info("Endpoint is back, perhaps from a copy of the store.", zap.String("Endpoint", string(ep.ID)))
@@ -167,7 +167,7 @@
 		vi.returned = map[core.EndpointID]place.Endpoint{}
 	}
 	vi.returned[ep.ID] = ep
-	vi.pr.placer.Doubt(ep.ID)
+	vi.pr.placer.MarkMissing(ep.ID)
 }
 
 // noteDeparture remembers that an endpoint is gone.
@@ -216,7 +216,7 @@
 // is removed or renewed by itself.
 func (vi *view) displace(id, by core.EndpointID) {
 	addr := vi.known[id].addr
-	vi.pr.placer.Doubt(id)
+	vi.pr.placer.MarkMissing(id)
 	vi.pr.pool.CloseIdle(addr)
 	vi.pr.Stats.Add(stats.EndpointsDisplaced, 1)
 	vi.log.Info("Another endpoint has this one's address.", zap.String("Endpoint", string(id)), zap.String("Other", string(by)),
@@ -226,7 +226,7 @@
 // replaced tells that the process of an endpoint is gone, if that was not planned.
 func (vi *view) replaced(id core.EndpointID, old known) {
 	if !old.draining {
-		vi.pr.guard.Replaced(core.EndpointRef{ID: id, Addr: old.addr, Hash: place.HashOf(id, old.start)})
+		vi.pr.guard.Replaced(core.EndpointRef{ID: id, Addr: old.addr, Hash: place.EndpointHash(id, old.start)})
 	}
 }
 
@@ -279,7 +279,7 @@
 		vi.departing = map[core.EndpointID]bool{}
 	}
 	vi.departing[id] = true
-	vi.pr.placer.Doubt(id)
+	vi.pr.placer.MarkMissing(id)
 }
 
 func (vi *view) remove(id core.EndpointID) {
--- a/io/entry/view_test.go
+++ b/io/entry/view_test.go
@@ -76,7 +76,7 @@
 		addr := local.Listen(t).Addr().String()
 		pr := process(faulty{addr})
 		pr.Changed(core.Item{Key: "one", Rev: 1})
-		pr.Broke(core.EndpointRef{ID: "one", Addr: addr, Hash: place.HashOf("one", 0)}, time.Now().Add(-time.Second), core.Fingerprint{1})
+		pr.Broke(core.EndpointRef{ID: "one", Addr: addr, Hash: place.EndpointHash("one", 0)}, time.Now().Add(-time.Second), core.Fingerprint{1})
 		want := int64(1)
 		if draining {
 			pr.Changed(core.Item{Key: "one", Rev: 2, Value: []byte("draining")})
--- a/io/gossip/counts.go
+++ b/io/gossip/counts.go
@@ -200,7 +200,7 @@
 // finds out by itself whether it is one.
 func (gr *Group) handleUnreachable(now time.Time, endpoint uint64, from string) {
 	if gr.counts.table.ReportUnreachable(now, endpoint, from) {
-		gr.broadcastLost(now, endpoint, from, place.LostFor)
+		gr.broadcastLost(now, endpoint, from, place.UnreachableTTL)
 	}
 	if gr.Reach != nil && gr.counts.startReconnect(endpoint) {
 		go gr.reconnectLoop(endpoint)
@@ -235,14 +235,14 @@
 
 // handleDraining takes a peer's word that an endpoint leaves.
 func (gr *Group) handleDraining(endpoint uint64, from string) {
-	if id, changed := gr.Placer.HearLeaves(endpoint); changed {
+	if id, changed := gr.Placer.ApplyShutdown(endpoint); changed {
 		gr.Log.Info("A peer knows that an endpoint leaves.", zap.String("Endpoint", string(id)), zap.String("From", from))
 	}
 }
 
 // applyLost takes that two routers cannot reach an endpoint.
 func (gr *Group) applyLost(now time.Time, endpoint uint64, from string, ttl time.Duration) {
-	id, accepted := gr.Placer.HearDown(now, endpoint, ttl)
+	id, accepted := gr.Placer.MarkUnreachable(now, endpoint, ttl)
 	gr.Log.Info("Two routers cannot reach an endpoint.", zap.String("Endpoint", string(id)), zap.String("From", from),
 		zap.Duration("For", ttl), zap.Bool("Believed", accepted))
 }
@@ -288,7 +288,7 @@
 	case countLost:
 		gr.applyLost(now, cm.Endpoint, from.String(), min(maxLostTTL, time.Duration(cm.Calls)*time.Millisecond))
 	case countReachable:
-		gr.Placer.HearBack(cm.Endpoint)
+		gr.Placer.MarkReachable(cm.Endpoint)
 	case countDraining:
 		gr.handleDraining(cm.Endpoint, from.String())
 	case countGrantRequest:
--- a/io/gossip/counts_test.go
+++ b/io/gossip/counts_test.go
@@ -124,7 +124,7 @@
 	for _, ro := range all {
 		ro.Placer.Register(time.Now(), place.Endpoint{ID: "e2", Addr: "127.0.0.1:2", Pool: "pool", Slots: 8})
 	}
-	tk, re := all[0].Placer.Pick(time.Now(), &place.Ask{Pool: "pool", Engine: true})
+	tk, re := all[0].Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true})
 	if re != nil {
 		t.Fatal(re)
 	}
@@ -135,7 +135,7 @@
 		all[1].Down(tk.Hash)
 		for _, ro := range all {
 			for range 5 {
-				other, re := ro.Placer.Pick(time.Now(), &place.Ask{Pool: "pool", Engine: true})
+				other, re := ro.Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true})
 				if re != nil || other.Endpoint.ID == lost {
 					return false
 				}
@@ -184,12 +184,12 @@
 	parts := []place.Part{{Hash: 1, Tokens: 500}, {Hash: 2, Tokens: 500}, {Hash: 3, Tokens: 100}}
 	now := time.Now()
 	ro.Placer.Register(now, place.Endpoint{ID: "e2", Addr: "127.0.0.1:2", Pool: "pool", Slots: 8})
-	first, re := ro.Placer.Pick(now, &place.Ask{Pool: "pool", Parts: parts, Engine: true})
+	first, re := ro.Placer.Pick(now, &place.Request{Pool: "pool", Parts: parts, Engine: true})
 	if re != nil {
 		t.Fatal(re)
 	}
 	tried := []core.EndpointID{first.Endpoint.ID}
-	if _, re = ro.Placer.Pick(now, &place.Ask{Pool: "pool", Parts: parts, Engine: true, Tried: tried}); re != nil {
+	if _, re = ro.Placer.Pick(now, &place.Request{Pool: "pool", Parts: parts, Engine: true, Tried: tried}); re != nil {
 		t.Fatal(re)
 	}
 	if len(ro.Placer.Moves(now, time.Time{})) == 0 {
@@ -220,7 +220,7 @@
 // new router does not know its peers yet; it must go on, or it ends at each start for as long
 // as endpoints crash: "invalid memory address", and its callers' connections are refused.
 func TestLostEndpointDuringStart(t *testing.T) {
-	gr := &gossip.Group{Addr: "127.0.0.1:1", Placer: &place.Placer{Rand: clock.NewRand(1), Routers: func() int { return 1 }}, Log: zap.NewNop()}
+	gr := &gossip.Group{Addr: "127.0.0.1:1", Placer: &place.Placer{Rand: clock.NewRand(1), RouterCount: func() int { return 1 }}, Log: zap.NewNop()}
 	gr.HandleUnreachable(7, "127.0.0.2")
 	gr.HandleUnreachable(7, "127.0.0.3")
 }
--- a/io/gossip/down.go
+++ b/io/gossip/down.go
@@ -46,7 +46,7 @@
 func (gr *Group) reconnectLoop(endpoint uint64) {
 	defer gr.counts.endReconnect(endpoint)
 	announced := false
-	for ttl := place.LostFor; gr.counts.socket.Load() != nil; ttl = min(maxLostTTL, 2*ttl) {
+	for ttl := place.UnreachableTTL; gr.counts.socket.Load() != nil; ttl = min(maxLostTTL, 2*ttl) {
 		reached, known := gr.Reach(context.Background(), endpoint)
 		if !known {
 			return
@@ -66,6 +66,6 @@
 	if !announced {
 		return // the router that could not reach it is alone with that
 	}
-	gr.Placer.HearBack(endpoint)
+	gr.Placer.MarkReachable(endpoint)
 	gr.sendToAll(&countMessage{Kind: countReachable, Endpoint: endpoint})
 }
--- a/io/gossip/down_test.go
+++ b/io/gossip/down_test.go
@@ -32,7 +32,7 @@
 		count := 0
 		for _, ro := range all {
 			for range 20 {
-				tk, rf := ro.Placer.Pick(time.Now(), &place.Ask{Pool: "pool", Engine: true})
+				tk, rf := ro.Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true})
 				if rf != nil {
 					t.Fatal(rf)
 				}
@@ -47,9 +47,9 @@
 	if chosen() == 0 {
 		t.Fatal("nobody chooses the endpoint before it is lost: the test shows nothing")
 	}
-	all[0].Down(place.HashOf(endpoint, 0))
+	all[0].Down(place.EndpointHash(endpoint, 0))
 	eventually(t, "nobody chooses the lost endpoint", func() bool { return chosen() == 0 })
-	for began := time.Now(); time.Since(began) < 4*place.LostFor; time.Sleep(50 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < 4*place.UnreachableTTL; time.Sleep(50 * time.Millisecond) {
 		if got := chosen(); got > 0 {
 			t.Fatalf("chosen %d times again after %s, though it is still lost", got, time.Since(began))
 		}
@@ -70,11 +70,11 @@
 	all := meetWith(t, 3, func(gr *gossip.Group) {
 		gr.Reach = func(context.Context, uint64) (bool, bool) { return true, true }
 	})
-	endpoint := place.HashOf("e", 0)
+	endpoint := place.EndpointHash("e", 0)
 	all[0].Down(endpoint)
 	time.Sleep(300 * time.Millisecond)
 	for ix, ro := range all {
-		tk, rf := ro.Placer.Pick(time.Now(), &place.Ask{Pool: "pool", Engine: true})
+		tk, rf := ro.Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true})
 		if rf != nil {
 			t.Fatal(rf)
 		}
--- a/io/gossip/fuzz_test.go
+++ b/io/gossip/fuzz_test.go
@@ -38,7 +38,7 @@
 		fe.Confirm(0)
 		gr := &gossip.Group{
 			Addr: "127.0.0.1:1", Mirror: &mirror.Mirror{}, Feed: fe, Rand: clock.NewRand(1), Log: zap.NewNop(),
-			Placer: &place.Placer{Rand: clock.NewRand(1), Routers: func() int { return 1 }},
+			Placer: &place.Placer{Rand: clock.NewRand(1), RouterCount: func() int { return 1 }},
 		}
 		gr.HandleDatagram(data)
 		gr.HandleDatagram(data)
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -346,9 +346,9 @@
 	if ms.AsOf <= gr.Mirror.AsOf() {
 		gr.Feed.Confirm(now.Sub(confirmed))
 	}
-	gr.Placer.Hear(now, from, ms.Calls)
-	gr.Placer.HearMoves(ms.Moves)
-	gr.Placer.HearReadings(now, minTransitDelay, ms.Readings)
+	gr.Placer.ApplyLoadReport(now, from, ms.Calls)
+	gr.Placer.ApplyMoves(ms.Moves)
+	gr.Placer.ApplyReadings(now, minTransitDelay, ms.Readings)
 }
 
 // recordSender keeps what a message tells of its sender and of others; false if it is this router.
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -69,7 +69,7 @@
 	fe.Confirm(0)
 	gr := &gossip.Group{
 		Self: core.VMID(fmt.Sprint("r", ix)), Mirror: &mirror.Mirror{}, Feed: fe, Rand: clock.NewRand(uint64(ix)), Log: zap.NewNop(),
-		Placer:     &place.Placer{Zone: "a", Rand: clock.NewRand(1), Routers: func() int { return 1 }},
+		Placer:     &place.Placer{Zone: "a", Rand: clock.NewRand(1), RouterCount: func() int { return 1 }},
 		AskTimeout: time.Second, // beside other programs, an answer may take long
 	}
 	gr.Placer.Register(time.Now(), place.Endpoint{ID: "e", Addr: "127.0.0.1:1", Pool: "pool", Slots: 8})
@@ -116,16 +116,16 @@
 	for _, ro := range routers {
 		eventually(t, "all hear all", func() bool { return ro.Live() == 2 })
 	}
-	if _, re := routers[0].Placer.Pick(time.Now(), &place.Ask{Pool: "pool"}); re != nil {
+	if _, re := routers[0].Placer.Pick(time.Now(), &place.Request{Pool: "pool"}); re != nil {
 		t.Fatal(re)
 	}
 	eventually(t, "a peer knows of the call", func() bool {
-		tk, re := routers[2].Placer.Pick(time.Now(), &place.Ask{Pool: "pool"})
+		tk, re := routers[2].Placer.Pick(time.Now(), &place.Request{Pool: "pool"})
 		if re != nil {
 			return false
 		}
 		defer tk.Done(time.Now(), place.Neutral)
-		return tk.Others == 1
+		return tk.PeerCalls == 1
 	})
 }
 
@@ -258,7 +258,7 @@
 func TestNoDeadlock(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	two.Add(one.Addr)
-	one.Placer.Routers = one.Routers
+	one.Placer.RouterCount = one.Routers
 	one.Mirror.Changed = func(it core.Item) { one.Add(fmt.Sprint("127.0.0.1:", it.Rev)) }
 	co, err := net.Dial("udp", one.Addr)
 	if err != nil {
@@ -274,7 +274,7 @@
 		ended <- struct{}{}
 	}
 	go hammer(func(int) {
-		if tk, re := one.Placer.Pick(time.Now(), &place.Ask{Pool: "pool", MaxConns: 1000}); re == nil {
+		if tk, re := one.Placer.Pick(time.Now(), &place.Request{Pool: "pool", MaxConns: 1000}); re == nil {
 			tk.Done(time.Now(), place.Served)
 		}
 	})
--- a/io/gossip/tell.go
+++ b/io/gossip/tell.go
@@ -53,7 +53,7 @@
 func (gr *Group) message(now time.Time) *message {
 	ms := &message{
 		AsOf: gr.Mirror.AsOf(), AgeMs: uint32(min(maxAgeMs, max(0, gr.Feed.Age().Milliseconds()))),
-		Failing: gr.Feed.Failing(), Calls: gr.Placer.Tell(),
+		Failing: gr.Feed.Failing(), Calls: gr.Placer.LoadReport(),
 	}
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
--- a/io/guard/guard_test.go
+++ b/io/guard/guard_test.go
@@ -82,7 +82,7 @@
 	one := func() int { return 1 }
 	return &guard.Controller{
 		Ledger: &guard.Ledger{Peers: &group{}, Store: st, Stats: stats.New(), Log: zap.NewNop()},
-		Conns:  &conns.Pool{}, Placer: &place.Placer{Rand: clock.NewRand(1), Routers: one},
+		Conns:  &conns.Pool{}, Placer: &place.Placer{Rand: clock.NewRand(1), RouterCount: one},
 	}
 }
 
@@ -117,7 +117,7 @@
 	_ = dead.Close()
 	ep := place.Endpoint{ID: "e", Addr: dead.Addr().String(), Pool: "pool", Slots: 1, Draining: true}
 	ct.Placer.Register(time.Now(), ep)
-	ct.Broke(core.EndpointRef{ID: ep.ID, Addr: ep.Addr, Hash: place.HashOf(ep.ID, 0)}, time.Now(), core.Fingerprint{1})
+	ct.Broke(core.EndpointRef{ID: ep.ID, Addr: ep.Addr, Hash: place.EndpointHash(ep.ID, 0)}, time.Now(), core.Fingerprint{1})
 	time.Sleep(50 * time.Millisecond)
 	crashedUnder(t, ct, 0)
 }
--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -42,7 +42,7 @@
 	ex.reportOutcome(began, rf)
 	rq.reserved = ex.stall.stop()
 	ex.tk.Done(time.Now(), result)
-	if counts := rq.re.Counts; counts != nil && result == place.Unreached {
+	if counts := rq.re.Counts; counts != nil && result == place.Unreachable {
 		counts.Down(ex.tk.Hash)
 	}
 	return rf
@@ -52,14 +52,14 @@
 	co, err := ex.rq.re.Conns.Get(ctx, ex.tk.Endpoint.Addr)
 	if err != nil {
 		ex.connRefused = isConnRefused(err)
-		return ex.refusal(core.NotRun, core.ReasonEndpointDown, "connect", err), ex.unlessCallerGone(place.Unreached)
+		return ex.refusal(core.NotRun, core.ReasonEndpointDown, "connect", err), ex.unlessCallerGone(place.Unreachable)
 	}
 	ex.co = co
 	if ex.rq.connClosed() {
 		ex.returnUnusedConn()
 		return ex.refusal(core.NotRun, core.ReasonCallerGone, "send", errCallerGone), place.Neutral
 	}
-	if reason := ex.tk.Send(time.Now()); reason != "" {
+	if reason := ex.tk.BeforeSend(time.Now()); reason != "" {
 		ex.returnUnusedConn()
 		return ex.refusal(core.NotRun, reason, "send", errNoLongerOpen), place.Neutral
 	}
@@ -84,7 +84,7 @@
 	ex.received()
 	ex.handleNotice()
 	if calls, told := ex.rq.re.Dialect.Calls(ex.rs.Header); told {
-		ex.tk.Counted(time.Now(), calls)
+		ex.tk.RecordLoad(time.Now(), calls)
 		if counts := ex.rq.re.Counts; counts != nil {
 			counts.Said(ex.tk.Hash, calls)
 		}
@@ -117,7 +117,7 @@
 
 // received notes that something came from the endpoint.
 func (ex *exchange) received() {
-	ex.tk.Heard(time.Now())
+	ex.tk.RecordActivity(time.Now())
 	ex.stall.reset()
 }
 
@@ -131,7 +131,7 @@
 		return ex.refusal(core.NotRun, core.ReasonWrongPool, "send", errAddressReused), place.Replaced
 	case refused:
 		ex.drainBody(ctx)
-		return ex.refusal(core.NotRun, core.ReasonQueueFull, "send", errors.New(rs.Status)), place.Full
+		return ex.refusal(core.NotRun, core.ReasonQueueFull, "send", errors.New(rs.Status)), place.Rejected
 	case rs.StatusCode >= http.StatusMultipleChoices:
 		return ex.handleFailure(ctx)
 	case rs.Header.Get("Content-Encoding") != "" || rs.Header.Get(di.Stamp) == "":
@@ -265,7 +265,7 @@
 	case !ex.co.Sent():
 		return ex.refusal(core.NotRun, core.ReasonEndpointDown, step, err), place.Failed
 	case ex.stall.stop() != nil:
-		return ex.refusal(core.Unknown, core.ReasonStalled, step, err), place.Silent
+		return ex.refusal(core.Unknown, core.ReasonStalled, step, err), place.TimedOut
 	case errors.Is(err, conns.ErrStray):
 		return ex.refusal(core.Unknown, core.ReasonCrossed, step, err), place.Failed
 	}
--- a/io/relay/counts_test.go
+++ b/io/relay/counts_test.go
@@ -57,11 +57,11 @@
 func newSharedPool(t *testing.T, ke *fakeCounts) *fleet {
 	t.Helper()
 	fl := newFleet(t, respond(http.StatusOK, "x"), respond(http.StatusOK, "x"))
-	fl.re.Placer.Routers = func() int { return 2 }
+	fl.re.Placer.RouterCount = func() int { return 2 }
 	fl.re.Dialect.Calls = func(http.Header) (int, bool) { return 5, true }
 	fl.re.Counts = ke
 	for range 6 { // the pool is in use
-		if _, rf := fl.re.Placer.Pick(time.Now(), &place.Ask{Pool: "pool", Engine: true}); rf != nil {
+		if _, rf := fl.re.Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true}); rf != nil {
 			t.Fatal(rf)
 		}
 	}
--- a/io/relay/notice.go
+++ b/io/relay/notice.go
@@ -30,7 +30,7 @@
 // markDraining closes the endpoint to new requests. It may announce that it leaves long before its
 // registration tells so, as where the store is away.
 func (ex *exchange) markDraining() {
-	if !ex.tk.Leaves(time.Now()) {
+	if !ex.tk.RecordShutdown(time.Now()) {
 		return
 	}
 	ex.rq.re.Log.Info("An endpoint announces that it leaves.", zap.String("Endpoint", string(ex.tk.Endpoint.ID)),
@@ -44,7 +44,7 @@
 // markBackoff leaves the endpoint alone for the time that it asked for.
 func (ex *exchange) markBackoff() {
 	backoff := ex.rq.notice.Backoff
-	if !ex.tk.Backoff(time.Now(), backoff) {
+	if !ex.tk.RecordBackoff(time.Now(), backoff) {
 		return
 	}
 	ex.rq.re.Log.Info("An endpoint wants no requests for a time.", zap.String("Endpoint", string(ex.tk.Endpoint.ID)),
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -145,13 +145,13 @@
 
 // pick chooses an endpoint. One that is cold needs a grant; without it the request goes
 // elsewhere.
-func (rq *request) pick(ctx context.Context, as *place.Ask) (*place.Ticket, *core.Refusal) {
+func (rq *request) pick(ctx context.Context, as *place.Request) (*place.Ticket, *core.Refusal) {
 	for range maxGrantRequests {
 		tk, rf := rq.re.Placer.Pick(time.Now(), as)
 		if rf != nil {
 			return nil, rf
 		}
-		limit := tk.NeedsGrant()
+		limit := tk.GrantLimit()
 		if limit == 0 || rq.re.Grants == nil {
 			return tk, nil
 		}
@@ -162,40 +162,40 @@
 		rq.re.Stats.Add(stats.ColdDenied, 1)
 		tk.Deny(time.Now(), after)
 	}
-	as.Warm = true
+	as.WarmOnly = true
 	return rq.re.Placer.Pick(time.Now(), as)
 }
 
 // refreshCount learns how many calls the endpoint has that the choice would fall on. Where it
 // turns out to be full, the next is taken without another question.
-func (rq *request) refreshCount(ctx context.Context, as *place.Ask) {
+func (rq *request) refreshCount(ctx context.Context, as *place.Request) {
 	if rq.re.Counts == nil {
 		return
 	}
-	endpoint, uncertain := rq.re.Placer.Uncertain(time.Now(), as)
+	endpoint, uncertain := rq.re.Placer.NeedsCount(time.Now(), as)
 	if !uncertain {
 		return
 	}
 	if calls, known := rq.re.Counts.Ask(ctx, endpoint); known {
 		rq.countAsked = true
-		rq.re.Placer.HearCount(time.Now(), endpoint, calls)
+		rq.re.Placer.ApplyCount(time.Now(), endpoint, calls)
 	}
 }
 
 // placementAsk is what the choice of an endpoint goes by.
-func (rq *request) placementAsk() *place.Ask {
-	as := &place.Ask{Pool: rq.pool, Parts: rq.promptParts, Tried: rq.tried}
+func (rq *request) placementAsk() *place.Request {
+	as := &place.Request{Pool: rq.pool, Parts: rq.promptParts, Tried: rq.tried}
 	if rq.customer != nil {
 		as.Customer = rq.customer.ID
 	}
 	homes, all := route.HomesOf(rq.route, rq.customer)
-	as.Homes, as.Bound = homes, !all
+	as.HomeRegions, as.RegionBound = homes, !all
 	if po := rq.table.Pool(rq.pool); po != nil {
 		as.MaxConns = po.MaxConns
 		as.Engine = po.Engine
-		as.Memory = po.Memory
-		as.FetchPerMs = po.FetchPerMs
-		as.ColdFor, as.ColdRate = po.ColdFor, po.ColdRate
+		as.EngineMemory = po.Memory
+		as.FetchTokensPerMs = po.FetchPerMs
+		as.ColdDuration, as.ColdRate = po.ColdFor, po.ColdRate
 	}
 	return as
 }
@@ -285,11 +285,11 @@
 	}
 	if tk := rq.ticket; tk != nil {
 		fields = append(fields, zap.String("Endpoint", string(tk.Endpoint.ID)), zap.Float64("CostMs", math.Round(tk.CostMs)),
-			zap.Int("Calls", tk.Calls), zap.Int("Others", tk.Others), zap.Int("Said", tk.Said), zap.Float64("Mean", math.Round(10*tk.Mean)/10),
-			zap.Int("Usable", tk.Usable), zap.Int("Full", tk.Full), zap.Int("BackingOff", tk.BackingOff), zap.Int("ColdFull", tk.ColdFull), zap.Int("Of", tk.Of), zap.Bool("Cold", tk.Cold))
-		if tk.Prompt > 0 {
-			fields = append(fields, zap.String("Chat", strconv.FormatUint(tk.Chat, 16)), zap.Bool("Home", tk.Home), zap.Int64("Prompt", int64(tk.Prompt)),
-				zap.Int64("Uncached", int64(tk.Uncached)), zap.Int64("Fetched", int64(tk.Fetched)), zap.String("FetchFrom", tk.FetchFrom))
+			zap.Int("Calls", tk.OwnCalls), zap.Int("Others", tk.PeerCalls), zap.Int("Said", tk.ReportedCalls), zap.Float64("Mean", math.Round(10*tk.MeanCalls)/10),
+			zap.Int("Usable", tk.Usable), zap.Int("Full", tk.Full), zap.Int("BackingOff", tk.BackingOff), zap.Int("ColdFull", tk.ColdFull), zap.Int("Of", tk.PoolSize), zap.Bool("Cold", tk.Cold))
+		if tk.PromptTokens > 0 {
+			fields = append(fields, zap.String("Chat", strconv.FormatUint(tk.ChatKey, 16)), zap.Bool("Home", tk.AtHome), zap.Int64("Prompt", int64(tk.PromptTokens)),
+				zap.Int64("Uncached", int64(tk.UncachedTokens)), zap.Int64("Fetched", int64(tk.FetchTokens)), zap.String("FetchFrom", tk.FetchFrom))
 		}
 	}
 	return append(fields, zap.Duration("Age", rq.re.ViewAge()))
--- a/io/relay/stall.go
+++ b/io/relay/stall.go
@@ -104,7 +104,7 @@
 func (rq *request) reserve(current *place.Ticket) *place.Ticket {
 	as := rq.placementAsk()
 	as.Tried = append(slices.Clone(rq.tried), current.Endpoint.ID)
-	as.Healthy = true
+	as.HealthyOnly = true
 	now := time.Now()
 	tk, rf := rq.pick(rq.hr.Context(), as)
 	if rf != nil {
--- a/io/relay/stall_test.go
+++ b/io/relay/stall_test.go
@@ -32,7 +32,7 @@
 		},
 		"the other may be gone": func(fl *fleet) {
 			fl.re.Placer.Register(time.Now(), place.Endpoint{ID: "e9", Addr: "127.0.0.1:9", Pool: "pool", Zone: "a", Slots: 8})
-			fl.re.Placer.Doubt("e9")
+			fl.re.Placer.MarkMissing("e9")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
