--- a/core/place/backoff_test.go
+++ b/core/place/backoff_test.go
@@ -10,12 +10,12 @@
 
 // Guards against calls placed on endpoints that want none: the longest time that was asked for holds,
 // also when the registration lapses and comes back or a later start's arrives, and for no longer.
-func TestBackoffHoldsForItsTime(t *testing.T) {
+func TestBackoffLastsAsRequested(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
 	held := map[core.EndpointID]*place.Ticket{}
 	for id := uint64(1); len(held) < 2; id++ {
-		tk := pick(t, pl, begin, ask(chat(1, id)))
+		tk := pick(t, pl, begin, newRequest(chat(1, id)))
 		held[tk.Endpoint.ID] = tk
 	}
 	tk := held["e00"]
@@ -25,15 +25,15 @@
 	tk.Done(begin, place.Rejected)
 	refresh := func(at core.Incarnation) {
 		pl.Remove("e00")
-		pl.Register(begin, started(0, at))
+		pl.Register(begin, withIncarnation(0, at))
 	}
 	for ix, at := range []time.Duration{0, 900 * time.Millisecond, 1100 * time.Millisecond, 2999 * time.Millisecond} {
-		if got := picks(t, pl, begin.Add(at), "e00"); got != 0 {
+		if got := countPicks(t, pl, begin.Add(at), "e00"); got != 0 {
 			t.Errorf("%d calls after %s of a pause of 3 s", got, at)
 		}
 		refresh(core.Incarnation(ix / 2))
 	}
-	if picks(t, pl, begin.Add(3*time.Second), "e00") == 0 {
+	if countPicks(t, pl, begin.Add(3*time.Second), "e00") == 0 {
 		t.Error("no calls after the pause")
 	}
 }
@@ -45,13 +45,13 @@
 	register(pl, 2)
 	held := map[core.EndpointID]*place.Ticket{}
 	for id := uint64(1); len(held) < 2; id++ {
-		tk := pick(t, pl, begin, ask(chat(1, id)))
+		tk := pick(t, pl, begin, newRequest(chat(1, id)))
 		held[tk.Endpoint.ID] = tk
 	}
 	held["e00"].RecordBackoff(begin, 5*time.Second)
 	held["e01"].RecordBackoff(begin, 3*time.Second)
 	pl.MarkMissing("e01")
-	_, rf := pl.Pick(begin.Add(time.Second), ask(chat(1, 1)))
+	_, rf := pl.Pick(begin.Add(time.Second), newRequest(chat(1, 1)))
 	if rf == nil || rf.Outcome != core.NotRun || rf.Reason != core.ReasonBackoff || rf.RetryAfter != 2*time.Second {
 		t.Errorf("%+v", rf)
 	}
--- a/core/place/beginning_test.go
+++ b/core/place/beginning_test.go
@@ -12,8 +12,8 @@
 // before it.
 type cache map[uint64]bool
 
-// lacks tells how many tokens of the prompt are not held, from the first that is missing on.
-func (ca cache) lacks(parts []place.Part) core.Tokens {
+// missingTokens tells how many tokens of the prompt are not held, from the first that is missing on.
+func (ca cache) missingTokens(parts []place.Part) core.Tokens {
 	var missing core.Tokens
 	held := true
 	var key uint64
@@ -26,7 +26,7 @@
 	return missing
 }
 
-func (ca cache) take(parts []place.Part) {
+func (ca cache) add(parts []place.Part) {
 	var key uint64
 	for _, pa := range parts {
 		key = key*31 + pa.Hash
@@ -38,8 +38,8 @@
 // routers, none of them pressed. Each chat stays at its home, and what many begin with is
 // asked for on all engines. Read anew on each, it holds up the calls that run there: 20,400
 // tokens are read that another engine holds, and 7,800 if they are taken over.
-func TestBeginningsAreTakenOverNotReadAnew(t *testing.T) {
-	const routers, engines, chats, beginnings = 4, 9, 120, 30
+func TestSharedPrefixesAreFetchedNotPrefilled(t *testing.T) {
+	const routers, engines, chats, prefixes = 4, 9, 120, 30
 	var fleet []*place.Placer
 	for range routers {
 		pl := newPlacer(routers)
@@ -55,19 +55,19 @@
 	for turn := range 1500 {
 		now := begin.Add(time.Duration(turn) * 20 * time.Millisecond)
 		id := uint64(ra.IntN(chats))
-		parts := []place.Part{{Hash: 1 + id%beginnings, Tokens: 300}, {Hash: 1000 + id, Tokens: 4000}, {Hash: 1<<40 + uint64(turn), Tokens: 200}}
-		tk := serve(t, fleet[ra.IntN(routers)], now, ask(parts))
+		parts := []place.Part{{Hash: 1 + id%prefixes, Tokens: 300}, {Hash: 1000 + id, Tokens: 4000}, {Hash: 1<<40 + uint64(turn), Tokens: 200}}
+		tk := serve(t, fleet[ra.IntN(routers)], now, newRequest(parts))
 		here := caches[tk.Endpoint.Addr]
-		lacking := here.lacks(parts[:2])
+		lacking := here.missingTokens(parts[:2])
 		if from := caches[tk.FetchFrom]; from != nil {
-			lacking = min(lacking, from.lacks(parts[:2]))
+			lacking = min(lacking, from.missingTokens(parts[:2]))
 		}
 		least := core.Tokens(4300)
 		for _, other := range caches {
-			least = min(least, other.lacks(parts[:2]))
+			least = min(least, other.missingTokens(parts[:2]))
 		}
 		again += lacking - least
-		here.take(parts)
+		here.add(parts)
 	}
 	if again > 9000 {
 		t.Errorf("%d tokens were read that another engine holds, want at most 9000", again)
--- a/core/place/choice.go
+++ b/core/place/choice.go
@@ -41,13 +41,13 @@
 	ties int
 }
 
-func (lo *candidate) consider(pl *Placer, st *state, cost float64) {
+func (ca *candidate) consider(pl *Placer, st *state, cost float64) {
 	switch {
-	case lo.st == nil || cost < lo.cost:
-		lo.st, lo.cost, lo.ties = st, cost, 1
-	case cost == lo.cost:
-		if lo.ties++; pl.oneIn(lo.ties) {
-			lo.st = st
+	case ca.st == nil || cost < ca.cost:
+		ca.st, ca.cost, ca.ties = st, cost, 1
+	case cost == ca.cost:
+		if ca.ties++; pl.oneIn(ca.ties) {
+			ca.st = st
 		}
 	}
 }
--- a/core/place/cold_test.go
+++ b/core/place/cold_test.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	coldFor  = 3 * time.Second
-	overrun  = 1.5
-	coldMost = 5.0 // slack
+	coldFor   = 3 * time.Second
+	overrun   = 1.5
+	coldSlack = 5.0 // slack
 )
 
 // coldFleet is routers before one pool that share the limits of its cold endpoints, on virtual
 // time. It counts what endpoints are sent in every second.
 type coldFleet struct {
 	routers []*place.Placer
-	// keepers grant to the routers, by their numbers; a nil one does not answer.
-	keepers []*gauge.Table
-	rate    float64
-	now     time.Time
-	sent    map[core.EndpointID][]time.Time
-	waiting []*place.Ticket
-	refused int
-	most    int
+	// owners grant to the routers, by their numbers; a nil one does not answer.
+	owners       []*gauge.Table
+	rate         float64
+	now          time.Time
+	sent         map[core.EndpointID][]time.Time
+	waiting      []*place.Ticket
+	refused      int
+	maxPerSecond int
 }
 
 func newColdFleet(routers, endpoints int, rate float64) *coldFleet {
 	cf := &coldFleet{rate: rate, now: begin.Add(time.Minute), sent: map[core.EndpointID][]time.Time{}}
-	keeper := &gauge.Table{}
+	owner := &gauge.Table{}
 	for ix := range routers {
 		pl := &place.Placer{
 			Zone: "a", Rand: newRand(uint64(ix)), CapFactor: 2, RouterCount: func() int { return routers },
-			ColdLimits: place.ColdLimits{Overrun: overrun, Slack: coldMost},
+			ColdLimits: place.ColdLimits{Overrun: overrun, Slack: coldSlack},
 		}
 		register(pl, endpoints)
 		cf.routers = append(cf.routers, pl)
-		cf.keepers = append(cf.keepers, keeper)
+		cf.owners = append(cf.owners, owner)
 	}
 	return cf
 }
 
-// cool makes an endpoint cold at all routers, as its registration tells.
-func (cf *coldFleet) cool(ix int) {
+// makeCold makes an endpoint cold at all routers, as its registration tells.
+func (cf *coldFleet) makeCold(ix int) {
 	ep := endpoint(ix)
 	ep.ColdUntil = cf.now.Add(coldFor)
 	for _, pl := range cf.routers {
@@ -58,11 +58,11 @@
 
 // choose places a call, as io/relay does, and leaves it waiting for its connection.
 func (cf *coldFleet) choose(router int, parts []place.Part) {
-	as := ask(parts)
-	as.ColdDuration, as.ColdRate = coldFor, cf.rate
+	rq := newRequest(parts)
+	rq.ColdDuration, rq.ColdRate = coldFor, cf.rate
 	for tries := 0; ; tries++ {
-		as.WarmOnly = tries == 3
-		tk, rf := cf.routers[router].Pick(cf.now, as)
+		rq.WarmOnly = tries == 3
+		tk, rf := cf.routers[router].Pick(cf.now, rq)
 		if rf != nil {
 			cf.refused++
 			return
@@ -77,8 +77,8 @@
 
 func (cf *coldFleet) grant(router int, tk *place.Ticket, limit int) bool {
 	granted, after := false, 200*time.Millisecond
-	if keeper := cf.keepers[router]; keeper != nil {
-		granted, after = keeper.Grant(cf.now, tk.Hash, limit)
+	if owner := cf.owners[router]; owner != nil {
+		granted, after = owner.Grant(cf.now, tk.Hash, limit)
 	}
 	if !granted {
 		tk.Deny(cf.now, after)
@@ -103,13 +103,13 @@
 		}
 	}
 	if tk.Cold {
-		cf.most = max(cf.most, within)
+		cf.maxPerSecond = max(cf.maxPerSecond, within)
 	}
 	tk.RecordActivity(cf.now)
 	tk.Done(cf.now, place.Served)
 }
 
-func (cf *coldFleet) bound() int { return int(cf.rate*overrun + coldMost) }
+func (cf *coldFleet) bound() int { return int(cf.rate*overrun + coldSlack) }
 
 // Guards against more requests to a cold endpoint in a second than its bound, summed over all
 // routers: a third of the pool cold at once, a chat that much of the traffic is about, calls
@@ -120,7 +120,7 @@
 		rate := rapid.SampledFrom([]float64{1, 2, 3, 6, 18, 20}).Draw(rt, "rate")
 		cf := newColdFleet(routers, 9, rate)
 		for ix := range 3 {
-			cf.cool(ix)
+			cf.makeCold(ix)
 		}
 		hot := rapid.Uint64Range(0, 20).Draw(rt, "hot chat")
 		for step := range 300 {
@@ -136,39 +136,39 @@
 				cf.send(rapid.IntRange(0, len(cf.waiting)-1).Draw(rt, "which"))
 			}
 		}
-		if cf.most > cf.bound() {
-			rt.Fatalf("%d requests in a second before %d routers, at most %d allowed", cf.most, routers, cf.bound())
+		if cf.maxPerSecond > cf.bound() {
+			rt.Fatalf("%d requests in a second before %d routers, at most %d allowed", cf.maxPerSecond, routers, cf.bound())
 		}
 	})
 }
 
 // Guards against a bound that is broken where routers ask different keepers: a fleet that is cut
 // in two, keepers that change, routers that have all just started and are granted nothing.
-func TestColdBoundHoldsAmongRoutersThatDisagree(t *testing.T) {
+func TestColdBoundHoldsWhenRoutersDisagreeOnOwners(t *testing.T) {
 	for _, rate := range []float64{1, 2, 3, 6, 18} {
 		for name, change := range map[string]func(cf *coldFleet, step int){
 			"cut in two": func(cf *coldFleet, step int) {
 				other := &gauge.Table{}
-				for ix := range cf.keepers {
+				for ix := range cf.owners {
 					if step == 0 && ix%2 == 0 {
-						cf.keepers[ix] = other
+						cf.owners[ix] = other
 					}
 				}
 			},
 			"keepers change": func(cf *coldFleet, step int) {
 				fresh := &gauge.Table{}
-				for ix := range cf.keepers {
+				for ix := range cf.owners {
 					if step%120 == 60 {
-						cf.keepers[ix] = fresh
+						cf.owners[ix] = fresh
 					}
 				}
 			},
-			"all just started": func(cf *coldFleet, _ int) { cf.keepers = make([]*gauge.Table, len(cf.keepers)) },
+			"all just started": func(cf *coldFleet, _ int) { cf.owners = make([]*gauge.Table, len(cf.owners)) },
 		} {
 			t.Run(fmt.Sprint(name, " ", rate), func(t *testing.T) {
 				cf := newColdFleet(26, 9, rate)
-				cf.cool(0)
-				cf.cool(1)
+				cf.makeCold(0)
+				cf.makeCold(1)
 				ra := newRand(7)
 				for step := range 290 {
 					change(cf, step)
@@ -180,8 +180,8 @@
 						cf.send(0)
 					}
 				}
-				if cf.most > cf.bound() {
-					t.Errorf("%d requests in a second, at most %d allowed", cf.most, cf.bound())
+				if cf.maxPerSecond > cf.bound() {
+					t.Errorf("%d requests in a second, at most %d allowed", cf.maxPerSecond, cf.bound())
 				}
 				if cf.refused > 0 {
 					t.Errorf("%d requests refused, though seven endpoints are warm", cf.refused)
@@ -200,7 +200,7 @@
 	}{"no rate": {0, true}, "warm": {1, false}} {
 		cf := newColdFleet(26, 1, on.rate)
 		if on.cold {
-			cf.cool(0)
+			cf.makeCold(0)
 		}
 		for ix := range 40 {
 			cf.choose(ix%26, chat(1, 1))
@@ -213,11 +213,11 @@
 
 // Guards against a pool whose endpoints are all cold and that serves nobody: it serves as many
 // as the routers together may send.
-func TestPoolThatIsColdAsAWholeServes(t *testing.T) {
+func TestEntirelyColdPoolServes(t *testing.T) {
 	const endpoints = 4
 	cf := newColdFleet(26, endpoints, 18)
 	for ix := range endpoints {
-		cf.cool(ix)
+		cf.makeCold(ix)
 	}
 	served := 0
 	for range 100 {
@@ -238,28 +238,28 @@
 
 // Guards against endpoints taken for warm that may have become cold unannounced: at the end of
 // an evacuation of their zone, and when one that could not be reached answers again.
-func TestEndpointMayBeColdWithoutSayingSo(t *testing.T) {
-	for name, change := range map[string]func(pl *place.Placer, now time.Time, as *place.Request){
+func TestEndpointMayBeColdUnannounced(t *testing.T) {
+	for name, change := range map[string]func(pl *place.Placer, now time.Time, rq *place.Request){
 		"its zone was evacuated": func(pl *place.Placer, now time.Time, _ *place.Request) {
 			pl.Evacuate(now.Add(-time.Minute), "a", now.Add(-time.Minute))
 			pl.Restore(now, "a")
 		},
-		"it could not be reached": func(pl *place.Placer, now time.Time, as *place.Request) {
-			tk, _ := pl.Pick(now.Add(-time.Minute), as)
+		"it could not be reached": func(pl *place.Placer, now time.Time, rq *place.Request) {
+			tk, _ := pl.Pick(now.Add(-time.Minute), rq)
 			tk.Done(now.Add(-time.Minute), place.Unreachable)
-			tk, _ = pl.Pick(now, as)
+			tk, _ = pl.Pick(now, rq)
 			tk.BeforeSend(now)
 			tk.RecordActivity(now)
 			tk.Done(now, place.Served)
 		},
 	} {
 		cf := newColdFleet(1, 1, 2)
-		pl, as := cf.routers[0], ask(chat(1, 1))
-		as.ColdDuration, as.ColdRate = coldFor, 2
-		change(pl, cf.now, as)
+		pl, rq := cf.routers[0], newRequest(chat(1, 1))
+		rq.ColdDuration, rq.ColdRate = coldFor, 2
+		change(pl, cf.now, rq)
 		sent := 0
 		for ; sent < 10; sent++ {
-			if _, rf := pl.Pick(cf.now, as); rf != nil {
+			if _, rf := pl.Pick(cf.now, rq); rf != nil {
 				break
 			}
 		}
@@ -267,7 +267,7 @@
 			t.Errorf("%s: %d requests at once, its rate is 2 a second", name, sent)
 		}
 		cf.now = cf.now.Add(coldFor + time.Second)
-		if _, rf := pl.Pick(cf.now, as); rf != nil {
+		if _, rf := pl.Pick(cf.now, rq); rf != nil {
 			t.Errorf("%s: refused once it is warm: %v", name, rf)
 		}
 	}
@@ -275,12 +275,12 @@
 
 // Guards against requests sent without a grant to an endpoint that became cold between the choice
 // and the sending.
-func TestEndpointThatBecomesColdAfterTheChoice(t *testing.T) {
+func TestEndpointTurnsColdAfterTheChoice(t *testing.T) {
 	cf := newColdFleet(1, 1, 2)
 	for range 10 {
 		cf.choose(0, chat(1, 1))
 	}
-	cf.cool(0)
+	cf.makeCold(0)
 	for len(cf.waiting) > 0 {
 		cf.send(0)
 	}
@@ -295,12 +295,12 @@
 	cf := newColdFleet(1, 4, 1)
 	pl := cf.routers[0]
 	for ix := range 4 {
-		cf.cool(ix)
+		cf.makeCold(ix)
 	}
-	as := ask(chat(1, 1))
-	as.ColdDuration, as.ColdRate = coldFor, 1
+	rq := newRequest(chat(1, 1))
+	rq.ColdDuration, rq.ColdRate = coldFor, 1
 	for range 3 {
-		tk := pick(t, pl, cf.now, as)
+		tk := pick(t, pl, cf.now, rq)
 		tk.Deny(cf.now, time.Second)
 	}
 	if got := pl.IndexEntries(); got != 0 {
--- a/core/place/counts_test.go
+++ b/core/place/counts_test.go
@@ -12,7 +12,7 @@
 
 // crowd is the load of a stage's start: calls double for four seconds, and at each moment a
 // few chats are asked some thirty times, as a runner comes into sight.
-func crowd(seed uint64, routers, tellSteps int, kept counts) *surge {
+func crowd(seed uint64, routers, reportSteps int, kept counts) *surge {
 	const (
 		engines, places, runs = 45, 16, 57
 		usual                 = 5.0 * engines / runs
@@ -21,7 +21,7 @@
 		popular, moment = 3, 60
 	)
 	su := newSurge(routers, engines, places, runs)
-	su.seed, su.tellSteps, su.goal, su.counts = seed, tellSteps, 40, kept
+	su.seed, su.reportSteps, su.goal, su.counts = seed, reportSteps, 40, kept
 	su.prompt = func(id uint64) []place.Part {
 		return []place.Part{{Hash: id % 12, Tokens: 700}, {Hash: 1000 + id, Tokens: 1300}, {Hash: 1 << 40, Tokens: 360}}
 	}
@@ -72,49 +72,49 @@
 
 // A router that shares its engines asks for a count that may have changed since it heard of
 // it, and not for one of this moment. One that is alone knows all calls itself.
-func TestOldCountsAreAskedFor(t *testing.T) {
+func TestNeedsCountWhenStale(t *testing.T) {
 	alone, shared := newPlacer(1), newPlacer(2)
 	register(alone, 1)
 	register(shared, 1)
 	for _, pl := range []*place.Placer{alone, shared} {
-		if _, uncertain := pl.NeedsCount(begin, ask(nil)); uncertain {
+		if _, uncertain := pl.NeedsCount(begin, newRequest(nil)); uncertain {
 			t.Error("a count is asked for in a pool that is idle")
 		}
 		for range 12 {
-			pick(t, pl, begin, ask(nil))
+			pick(t, pl, begin, newRequest(nil))
 		}
 	}
-	if _, uncertain := alone.NeedsCount(begin, ask(nil)); uncertain {
+	if _, uncertain := alone.NeedsCount(begin, newRequest(nil)); uncertain {
 		t.Error("a router that is alone asks for a count")
 	}
-	endpoint, uncertain := shared.NeedsCount(begin, ask(nil))
+	endpoint, uncertain := shared.NeedsCount(begin, newRequest(nil))
 	if !uncertain || endpoint != place.EndpointHash("e00", 0) {
 		t.Fatal("a count that was never heard is not asked for")
 	}
 	shared.ApplyCount(begin, endpoint, 5)
-	if _, uncertain = shared.NeedsCount(begin.Add(10*time.Millisecond), ask(nil)); uncertain {
+	if _, uncertain = shared.NeedsCount(begin.Add(10*time.Millisecond), newRequest(nil)); uncertain {
 		t.Error("a count of this moment is asked for")
 	}
-	if _, uncertain = shared.NeedsCount(begin.Add(200*time.Millisecond), ask(nil)); !uncertain {
+	if _, uncertain = shared.NeedsCount(begin.Add(200*time.Millisecond), newRequest(nil)); !uncertain {
 		t.Error("a count of 200 ms ago is not asked for")
 	}
 }
 
 // Peers told of calls that have ended since. The engine's own count of a moment ago goes
 // before them, or the chat leaves a home that has room.
-func TestFreshCountGoesBeforeWords(t *testing.T) {
+func TestFreshCountOverridesLoadReports(t *testing.T) {
 	pl, peer := newPlacer(2), newPlacer(2)
 	register(pl, 1)
 	register(peer, 1)
 	for range 3 {
-		pick(t, peer, begin, ask(nil))
+		pick(t, peer, begin, newRequest(nil))
 	}
 	pl.ApplyLoadReport(begin, "peer", peer.LoadReport())
 	pl.ApplyCount(begin.Add(time.Millisecond), place.EndpointHash(endpoint(0).ID, 0), 1)
-	if tk := pick(t, pl, begin.Add(2*time.Millisecond), ask(nil)); tk.PeerCalls != 1 {
+	if tk := pick(t, pl, begin.Add(2*time.Millisecond), newRequest(nil)); tk.PeerCalls != 1 {
 		t.Errorf("%d calls of others are believed, want the 1 that the endpoint counted", tk.PeerCalls)
 	}
-	if tk := pick(t, pl, begin.Add(time.Second), ask(nil)); tk.PeerCalls != 3 {
+	if tk := pick(t, pl, begin.Add(time.Second), newRequest(nil)); tk.PeerCalls != 3 {
 		t.Errorf("%d calls of others are believed a second later, want the 3 that were told", tk.PeerCalls)
 	}
 }
--- a/core/place/export_test.go
+++ b/core/place/export_test.go
@@ -9,11 +9,11 @@
 
 // ChoiceStats is what a choice would go by, and what the cheapest endpoint costs in ms.
 type ChoiceStats struct {
-	Mean          float64
-	Usable, Full  int
-	Calls, Places int
-	Failing       float64
-	CostMs        float64
+	Mean         float64
+	Usable, Full int
+	Calls, Slots int
+	FailureRate  float64
+	CostMs       float64
 }
 
 // WeighAll looks at all endpoints in full, whatever earlier choices found, and weighs each
@@ -25,16 +25,16 @@
 		st.fastPath = false
 	}
 	ch := pl.newChoice(now, rq, max(1, pl.RouterCount()))
-	we := ChoiceStats{
-		Mean: ch.meanCalls, Usable: ch.usableCount, Full: ch.fullCount, Calls: ch.poolCalls, Places: ch.poolSlots, Failing: ch.meanFailureRate,
+	cs := ChoiceStats{
+		Mean: ch.meanCalls, Usable: ch.usableCount, Full: ch.fullCount, Calls: ch.poolCalls, Slots: ch.poolSlots, FailureRate: ch.meanFailureRate,
 		CostMs: math.Inf(1),
 	}
 	for _, st := range ch.members {
 		if ch.usableCount > 0 && st.scratch.usable {
-			we.CostMs = min(we.CostMs, pl.baseMs(st, ch)+ch.prefillMs(ch.prefillAndFetch(st)))
+			cs.CostMs = min(cs.CostMs, pl.baseMs(st, ch)+ch.prefillMs(ch.prefillAndFetch(st)))
 		}
 	}
-	return we
+	return cs
 }
 
 // InspectChoice is what a choice goes by, without a call being placed.
@@ -42,13 +42,13 @@
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ch := pl.newChoice(now, rq, max(1, pl.RouterCount()))
-	we := ChoiceStats{Mean: ch.meanCalls, Usable: ch.usableCount, Full: ch.fullCount, Calls: ch.poolCalls, Places: ch.poolSlots, Failing: ch.meanFailureRate}
+	cs := ChoiceStats{Mean: ch.meanCalls, Usable: ch.usableCount, Full: ch.fullCount, Calls: ch.poolCalls, Slots: ch.poolSlots, FailureRate: ch.meanFailureRate}
 	if ch.usableCount > 0 {
-		_, we.CostMs = pl.cheapest(ch)
+		_, cs.CostMs = pl.cheapest(ch)
 	} else {
-		we.CostMs = math.Inf(1)
+		cs.CostMs = math.Inf(1)
 	}
-	return we
+	return cs
 }
 
 // PeerCalls is how many calls of other routers an endpoint has, as they told; false if it is not
--- a/core/place/failing_test.go
+++ b/core/place/failing_test.go
@@ -8,13 +8,13 @@
 	"almondrill/core/place"
 )
 
-// plainAsk is a request to a plain service.
-func plainAsk() *place.Request { return &place.Request{Pool: pool, MaxConns: 200} }
+// plainRequest is a request to a plain service.
+func plainRequest() *place.Request { return &place.Request{Pool: pool, MaxConns: 200} }
 
 // Guards against requests that are failed by an endpoint that fails all it gets, while the other
 // is busy: of two endpoints of a plain service, before 26 routers, one breaks connections off, and
 // the other, which has as much as it can run, answers after 120 ms.
-func TestEndpointThatFailsAllIsPassedOver(t *testing.T) {
+func TestEndpointFailingEveryCallIsSkipped(t *testing.T) {
 	const routers, answerSteps = 26, 12
 	re := newReplay(routers, 2)
 	for _, pl := range re.routers {
@@ -28,7 +28,7 @@
 	failed, served := 0, 0
 	for re.step < 500 { // of 10 ms
 		for range 1 + ra.IntN(3) {
-			tk, rf := re.routers[ra.IntN(routers)].Pick(re.now(), plainAsk())
+			tk, rf := re.routers[ra.IntN(routers)].Pick(re.now(), plainRequest())
 			switch {
 			case rf != nil:
 			case tk.Endpoint.ID == "e00":
@@ -53,11 +53,11 @@
 }
 
 // Guards against an endpoint that stays passed over once it is well again.
-func TestEndpointThatFailedAllIsTriedAgain(t *testing.T) {
+func TestEndpointThatFailedEveryCallIsRetried(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
 	for failed := 0; failed < 2; {
-		tk, rf := pl.Pick(begin, plainAsk())
+		tk, rf := pl.Pick(begin, plainRequest())
 		if rf != nil {
 			t.Fatal(rf)
 		}
@@ -69,7 +69,7 @@
 	seen := map[core.EndpointID]bool{}
 	for step := range 400 {
 		now := begin.Add(time.Second + time.Duration(step)*10*time.Millisecond)
-		tk, rf := pl.Pick(now, plainAsk())
+		tk, rf := pl.Pick(now, plainRequest())
 		if rf != nil {
 			t.Fatal(rf)
 		}
--- a/core/place/health.go
+++ b/core/place/health.go
@@ -150,15 +150,15 @@
 }
 
 // record takes how long a call took.
-func (at *callDuration) record(ms float64) {
-	at.count++
-	at.ms += max(durationWeight, 1/float64(at.count)) * (ms - at.ms)
+func (cd *callDuration) record(ms float64) {
+	cd.count++
+	cd.ms += max(durationWeight, 1/float64(cd.count)) * (ms - cd.ms)
 }
 
 // typicalMs is how long calls take, firstAnswerMs before any has ended.
-func (at *callDuration) typicalMs() float64 {
-	if at == nil || at.count == 0 {
+func (cd *callDuration) typicalMs() float64 {
+	if cd == nil || cd.count == 0 {
 		return defaultCallMs
 	}
-	return at.ms
+	return cd.ms
 }
--- a/core/place/heavy_test.go
+++ b/core/place/heavy_test.go
@@ -12,7 +12,7 @@
 // A pool is nearly full. Each of hundreds of routers has some twenty calls of forty customers
 // that all send alike, so that one has two or three calls by chance. Taken for a customer that
 // floods the pool, it is refused while others get the last places.
-func TestSmallSamplesMakeNobodyHeavy(t *testing.T) {
+func TestSmallSamplesMakeNoCustomerHeavy(t *testing.T) {
 	const (
 		routers, customers = 400, 40
 		engines, slots     = 100, 16
@@ -31,7 +31,7 @@
 			pl.ApplyCount(begin, place.EndpointHash(en.ID, 0), otherCalls/engines)
 		}
 		for range own {
-			if _, rf := pl.Pick(begin, askOf(customer(ra.IntN(customers)))); rf != nil {
+			if _, rf := pl.Pick(begin, customerRequest(customer(ra.IntN(customers)))); rf != nil {
 				t.Fatal(rf)
 			}
 		}
@@ -39,7 +39,7 @@
 		for ix := range engines {
 			pl.ApplyCount(begin.Add(1), place.EndpointHash(endpoint(ix).ID, 0), 16+ix%5/4)
 		}
-		tk, rf := pl.Pick(begin.Add(2), askOf(customer(ra.IntN(customers))))
+		tk, rf := pl.Pick(begin.Add(2), customerRequest(customer(ra.IntN(customers))))
 		asked++
 		if rf != nil {
 			refused++
@@ -56,6 +56,6 @@
 
 func customer(ix int) core.CustomerID { return core.CustomerID(fmt.Sprint("customer", ix)) }
 
-func askOf(id core.CustomerID) *place.Request {
+func customerRequest(id core.CustomerID) *place.Request {
 	return &place.Request{Pool: pool, Engine: true, Customer: id}
 }
--- a/core/place/load_test.go
+++ b/core/place/load_test.go
@@ -17,23 +17,23 @@
 	calls   map[core.EndpointID]int
 	ending  map[int][]*place.Ticket // by step
 	step    int
-	// over counts placements beyond the cap, and away those elsewhere than at home, of placed
+	// beyondCap counts placements beyond the cap, and away those elsewhere than at home, of placed
 	// ones; read the prompt tokens that an endpoint read though another had them, of those
 	// sent.
-	placed, over, away int
-	read, sent         core.Tokens
-	has                map[string]bool
+	placed, beyondCap, awayFromHome int
+	prefilledAgain, sent            core.Tokens
+	cached                          map[string]bool
 }
 
 const (
 	stepTime = 10 * time.Millisecond
-	// tellSteps is how often, in steps, each router is heard: 0.4 s, as with 26 routers.
-	tellSteps = 40
+	// reportSteps is how often, in steps, each router is heard: 0.4 s, as with 26 routers.
+	reportSteps = 40
 )
 
 func newReplay(routers, endpoints int) *replay {
 	re := &replay{
-		count: endpoints, calls: map[core.EndpointID]int{}, ending: map[int][]*place.Ticket{}, has: map[string]bool{},
+		count: endpoints, calls: map[core.EndpointID]int{}, ending: map[int][]*place.Ticket{}, cached: map[string]bool{},
 	}
 	for ix := range routers {
 		pl := &place.Placer{Zone: "a", Rand: newRand(uint64(ix)), CapFactor: 2, RouterCount: func() int { return routers }}
@@ -48,7 +48,7 @@
 // place sends one call through a router; it runs for so many steps.
 func (re *replay) place(t *testing.T, router int, parts []place.Part, steps int) {
 	t.Helper()
-	tk := pick(t, re.routers[router], re.now(), ask(parts))
+	tk := pick(t, re.routers[router], re.now(), newRequest(parts))
 	total := 0
 	for _, calls := range re.calls {
 		total += calls
@@ -56,27 +56,27 @@
 	id := tk.Endpoint.ID
 	re.placed++
 	if !tk.AtHome {
-		re.away++
+		re.awayFromHome++
 	}
 	if float64(re.calls[id]+1) > 2*float64(total)/float64(re.count)+3 {
-		re.over++
+		re.beyondCap++
 	}
 	re.calls[id]++
-	re.note(tk, parts)
+	re.recordPrefill(tk, parts)
 	re.ending[re.step+steps] = append(re.ending[re.step+steps], tk)
 }
 
-// note counts what the endpoint has to read, unless it fetches it from a holder.
-func (re *replay) note(tk *place.Ticket, parts []place.Part) {
+// recordPrefill counts what the endpoint has to read, unless it fetches it from a holder.
+func (re *replay) recordPrefill(tk *place.Ticket, parts []place.Part) {
 	for ix, pa := range parts[:len(parts)-1] {
 		re.sent += pa.Tokens
 		part := fmt.Sprint(ix, "/", parts[0].Hash, "/", pa.Hash, "/")
-		fetched := tk.FetchFrom != "" && re.has[part+tk.FetchFrom]
-		if re.has[part] && !re.has[part+tk.Endpoint.Addr] && !fetched {
-			re.read += pa.Tokens
+		fetched := tk.FetchFrom != "" && re.cached[part+tk.FetchFrom]
+		if re.cached[part] && !re.cached[part+tk.Endpoint.Addr] && !fetched {
+			re.prefilledAgain += pa.Tokens
 		}
-		re.has[part] = true
-		re.has[part+tk.Endpoint.Addr] = true
+		re.cached[part] = true
+		re.cached[part+tk.Endpoint.Addr] = true
 	}
 }
 
@@ -90,13 +90,13 @@
 	}
 	delete(re.ending, re.step)
 	for from, pl := range re.routers {
-		if (re.step+from)%tellSteps != 0 {
+		if (re.step+from)%reportSteps != 0 {
 			continue
 		}
 		for to, other := range re.routers {
 			if to != from {
 				other.ApplyLoadReport(re.now(), fmt.Sprint("router", from), pl.LoadReport())
-				other.ApplyMoves(pl.Moves(re.now(), re.now().Add(-tellSteps*stepTime)))
+				other.ApplyMoves(pl.Moves(re.now(), re.now().Add(-reportSteps*stepTime)))
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 // Load comes at once, as when a stage starts: 26 routers before 47 engines, each with
 // a picture of its peers' calls that is up to 0.4 s old. Popular chats share homes.
 // Callers whose home is hot would see tokens come late while other engines idle.
-func TestSurgeStaysWithinTheCap(t *testing.T) {
+func TestSurgeStaysWithinTheLoadCap(t *testing.T) {
 	re := newReplay(26, 47)
 	ra := newRand(3)
 	for re.step < 500 {
@@ -116,10 +116,10 @@
 		}
 		re.tick()
 	}
-	if part := float64(re.over) / float64(re.placed); part > 0.03 {
+	if part := float64(re.beyondCap) / float64(re.placed); part > 0.03 {
 		t.Errorf("%.3f of %d calls went beyond the cap, want at most 0.03", part, re.placed)
 	}
-	if part := float64(re.read) / float64(re.sent); part > 0.05 {
+	if part := float64(re.prefilledAgain) / float64(re.sent); part > 0.05 {
 		t.Errorf("%.3f of the tokens that return were read anew, want at most 0.05", part)
 	}
 }
@@ -127,7 +127,7 @@
 // Three kinds of chats, of which each begins in one of a few ways, come at the rate of a
 // calm day. Callers of short prompts would wait behind the contexts that move, if those
 // that begin alike were kept together: a few engines are then at the cap all the time.
-func TestChatsThatBeginAlikeStayAtHome(t *testing.T) {
+func TestChatsWithSharedPrefixesStayAtHome(t *testing.T) {
 	re := newReplay(26, 47)
 	ra := newRand(6)
 	kinds := []struct {
@@ -153,7 +153,7 @@
 		}
 		re.tick()
 	}
-	if part := float64(re.away) / float64(re.placed); part > 0.05 {
+	if part := float64(re.awayFromHome) / float64(re.placed); part > 0.05 {
 		t.Errorf("%.3f of %d calls were placed elsewhere than at home, want at most 0.05", part, re.placed)
 	}
 }
@@ -173,23 +173,23 @@
 		}
 		re.tick()
 	}
-	if part := float64(re.over) / float64(re.placed); part > 0.03 {
+	if part := float64(re.beyondCap) / float64(re.placed); part > 0.03 {
 		t.Errorf("%.3f of %d calls went beyond the cap", part, re.placed)
 	}
-	if part := float64(re.read) / float64(re.sent); part > 0.1 {
+	if part := float64(re.prefilledAgain) / float64(re.sent); part > 0.1 {
 		t.Errorf("%.3f of the tokens that return were read anew, want at most 0.1", part)
 	}
 }
 
 // Engines are replaced one after the other. Chats of those that leave are to be taken
 // over from them, not read anew.
-func TestReplacedEnginesHandTheirChatsOn(t *testing.T) {
+func TestReplacedEnginesTransferTheirChats(t *testing.T) {
 	re := newReplay(4, 12)
 	ra := newRand(5)
 	before := core.Tokens(0)
 	for re.step < 1500 {
 		if re.step == 700 {
-			before = re.read
+			before = re.prefilledAgain
 		}
 		if at := re.step - 700; at >= 0 && at%150 == 0 && at/150 < 4 {
 			for _, pl := range re.routers {
@@ -206,21 +206,21 @@
 		re.tick()
 	}
 	// A third of the engines left; without a source, a third of 52 chats were read.
-	if anew := re.read - before; anew > 60000 {
+	if anew := re.prefilledAgain - before; anew > 60000 {
 		t.Errorf("%d tokens were read anew, want at most 60,000 of some 180,000", anew)
 	}
 }
 
 // Everybody asks about one thing, and engines of the pool cannot take contexts over, so
 // moving a call means reading 10,000 tokens. Its home must not be buried all the same.
-func TestCapHoldsWhereMovingIsDear(t *testing.T) {
+func TestLoadCapHoldsWhereMovingIsExpensive(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 10)
 	calls := map[core.EndpointID]int{}
 	for placed := range 60 {
-		as := ask(chat(1, 7))
-		as.FetchTokensPerMs = 0
-		tk := pick(t, pl, begin, as)
+		rq := newRequest(chat(1, 7))
+		rq.FetchTokensPerMs = 0
+		tk := pick(t, pl, begin, rq)
 		calls[tk.Endpoint.ID]++
 		if limit := 2*float64(placed)/10 + 3; float64(calls[tk.Endpoint.ID]) > limit {
 			t.Fatalf("call %d: %d calls at one endpoint, want at most %.1f", placed+1, calls[tk.Endpoint.ID], limit)
@@ -230,12 +230,12 @@
 
 // An engine has twice its pool's mean of calls, still below the cap. Small chats leave
 // it, at the price of a step or two; large ones stay, as they are dear to move.
-func TestSmallChatsLeaveUnderPressureFirst(t *testing.T) {
+func TestSmallChatsMoveFirstUnderPressure(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 8)
 	big := chat(1, 7)
-	home := serve(t, pl, begin, ask(big)).Endpoint.ID
-	small := smallAt(t, pl, home)
+	home := serve(t, pl, begin, newRequest(big)).Endpoint.ID
+	small := smallChatAt(t, pl, home)
 	for ix := range 8 {
 		tried := []core.EndpointID{}
 		for other := range 8 {
@@ -251,20 +251,20 @@
 			pick(t, pl, begin, &place.Request{Pool: pool, Engine: true, Tried: tried})
 		}
 	}
-	if tk := pick(t, pl, begin, ask(small)); tk.Endpoint.ID == home {
+	if tk := pick(t, pl, begin, newRequest(small)); tk.Endpoint.ID == home {
 		t.Error("a small chat stays at an engine under pressure")
 	}
-	if tk := pick(t, pl, begin, ask(big)); tk.Endpoint.ID != home {
+	if tk := pick(t, pl, begin, newRequest(big)); tk.Endpoint.ID != home {
 		t.Error("a large chat leaves its engine though there is room")
 	}
 }
 
-// smallAt finds a small chat whose home is that endpoint.
-func smallAt(t *testing.T, pl *place.Placer, home core.EndpointID) []place.Part {
+// smallChatAt finds a small chat whose home is that endpoint.
+func smallChatAt(t *testing.T, pl *place.Placer, home core.EndpointID) []place.Part {
 	t.Helper()
 	for id := range uint64(200) {
 		parts := []place.Part{{Hash: 90 + id, Tokens: 50}, {Hash: 5000 + id, Tokens: 150}, {Hash: 1 << 41, Tokens: 50}}
-		if serve(t, pl, begin, ask(parts)).Endpoint.ID == home {
+		if serve(t, pl, begin, newRequest(parts)).Endpoint.ID == home {
 			return parts
 		}
 	}
@@ -275,24 +275,24 @@
 // Two thirds of a pool crash at once while it has a sixth of the calls that it can run.
 // The engines that are left have room for all of them, and callers are not to be refused
 // because the dead ones, which have none, pull the pool's mean down.
-func TestWhatIsLeftOfAPoolTakesItsCalls(t *testing.T) {
+func TestRemainingEnginesTakeAllCalls(t *testing.T) {
 	const engines, dead, calls = 9, 6, 90
 	pl := newPlacer(1)
 	register(pl, engines)
 	for ix := range dead { // each is found dead by a call
-		as := ask(nil)
+		rq := newRequest(nil)
 		for other := range engines {
 			if other != ix {
-				as.Tried = append(as.Tried, endpoint(other).ID)
+				rq.Tried = append(rq.Tried, endpoint(other).ID)
 			}
 		}
-		pick(t, pl, begin, as).Done(begin, place.Unreachable)
+		pick(t, pl, begin, rq).Done(begin, place.Unreachable)
 	}
 	lost := 0
 	busiest := map[core.EndpointID]int{}
 	for id := range uint64(calls) {
-		as := ask(chat(1, id%30))
-		tk, re := pl.Pick(begin, as)
+		rq := newRequest(chat(1, id%30))
+		tk, re := pl.Pick(begin, rq)
 		if re == nil && tk.Endpoint.ID >= endpoint(dead).ID {
 			busiest[tk.Endpoint.ID]++
 			continue
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -36,17 +36,17 @@
 
 // chat is the prompt of a chat: a beginning that it shares, what it has said so far,
 // and the new turn.
-func chat(beginning, id uint64) []place.Part {
-	return []place.Part{{Hash: beginning, Tokens: 500}, {Hash: 1000 + id, Tokens: 10000}, {Hash: 1 << 40, Tokens: 1000}}
+func chat(prefix, id uint64) []place.Part {
+	return []place.Part{{Hash: prefix, Tokens: 500}, {Hash: 1000 + id, Tokens: 10000}, {Hash: 1 << 40, Tokens: 1000}}
 }
 
-func ask(parts []place.Part) *place.Request {
+func newRequest(parts []place.Part) *place.Request {
 	return &place.Request{Pool: pool, Parts: parts, Engine: true, EngineMemory: 400000, FetchTokensPerMs: 1000, MaxConns: 300}
 }
 
-func pick(t *testing.T, pl *place.Placer, now time.Time, as *place.Request) *place.Ticket {
+func pick(t *testing.T, pl *place.Placer, now time.Time, rq *place.Request) *place.Ticket {
 	t.Helper()
-	tk, re := pl.Pick(now, as)
+	tk, re := pl.Pick(now, rq)
 	if re != nil {
 		t.Fatal(re)
 	}
@@ -54,9 +54,9 @@
 }
 
 // serve places a call and ends it well.
-func serve(t *testing.T, pl *place.Placer, now time.Time, as *place.Request) *place.Ticket {
+func serve(t *testing.T, pl *place.Placer, now time.Time, rq *place.Request) *place.Ticket {
 	t.Helper()
-	tk := pick(t, pl, now, as)
+	tk := pick(t, pl, now, rq)
 	tk.RecordActivity(now)
 	tk.Done(now, place.Served)
 	return tk
@@ -64,7 +64,7 @@
 
 // An endpoint says that it drains, and a lagging copy of its registration says ready
 // once more. Callers whose request is sent there would see it cut when it exits.
-func TestDrainingEndpointGetsNothing(t *testing.T) {
+func TestDrainingEndpointGetsNoCalls(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
 	leaving := endpoint(0)
@@ -72,12 +72,12 @@
 	pl.Register(begin, leaving)
 	pl.Register(begin, endpoint(0))
 	for id := range uint64(50) {
-		if tk := serve(t, pl, begin, ask(chat(1, id))); tk.Endpoint.ID == "e00" {
+		if tk := serve(t, pl, begin, newRequest(chat(1, id))); tk.Endpoint.ID == "e00" {
 			t.Fatal("a draining endpoint was picked")
 		}
 	}
 	pl.Remove("e01")
-	if _, re := pl.Pick(begin, ask(chat(1, 1))); re == nil || re.Outcome != core.NotRun || re.RetryAfter <= 0 {
+	if _, re := pl.Pick(begin, newRequest(chat(1, 1))); re == nil || re.Outcome != core.NotRun || re.RetryAfter <= 0 {
 		t.Errorf("with only a draining endpoint: %v, want a refusal with a time to return", re)
 	}
 }
@@ -85,21 +85,21 @@
 // The store was away and the registrations of some endpoints lapsed; one of them has
 // really left. Requests sent to it come back refused or late. Where all registrations
 // lapsed, the pool would seem empty and everything would be refused.
-func TestMissingRegistrationIsAvoidedButNotThePool(t *testing.T) {
+func TestMissingRegistrationDoesNotEmptyThePool(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 3)
 	pl.MarkMissing("e00")
 	for id := range uint64(50) {
-		if tk := serve(t, pl, begin, ask(chat(1, id))); tk.Endpoint.ID == "e00" {
+		if tk := serve(t, pl, begin, newRequest(chat(1, id))); tk.Endpoint.ID == "e00" {
 			t.Fatal("an endpoint whose registration is missing was picked while others are there")
 		}
 	}
 	pl.MarkMissing("e01")
 	pl.MarkMissing("e02")
-	serve(t, pl, begin, ask(chat(1, 1)))
+	serve(t, pl, begin, newRequest(chat(1, 1)))
 	pl.Register(begin, endpoint(2))
 	for id := range uint64(50) {
-		if tk := serve(t, pl, begin, ask(chat(1, id))); tk.Endpoint.ID != "e02" {
+		if tk := serve(t, pl, begin, newRequest(chat(1, id))); tk.Endpoint.ID != "e02" {
 			t.Fatal("the endpoint that is back was not preferred")
 		}
 	}
@@ -107,20 +107,20 @@
 
 // A machine loses power: its connections stay open and nothing comes any more. Each
 // request sent there is lost after seconds, so no more are to follow the first ones.
-func TestSilentEndpointIsLeftAlone(t *testing.T) {
+func TestSilentEndpointIsAvoided(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 3)
-	stuck := pick(t, pl, begin, ask(chat(1, 7)))
+	stuck := pick(t, pl, begin, newRequest(chat(1, 7)))
 	now := begin.Add(1200 * time.Millisecond)
 	for id := range uint64(30) {
-		if tk := serve(t, pl, now, ask(chat(1, id))); tk.Endpoint.ID == stuck.Endpoint.ID {
+		if tk := serve(t, pl, now, newRequest(chat(1, id))); tk.Endpoint.ID == stuck.Endpoint.ID {
 			t.Fatal("an endpoint that is silent with a call in progress was picked")
 		}
 	}
 	stuck.RecordActivity(now)
 	back := 0
 	for id := range uint64(30) {
-		if tk := serve(t, pl, now, ask(chat(2, 100+id))); tk.Endpoint.ID == stuck.Endpoint.ID {
+		if tk := serve(t, pl, now, newRequest(chat(2, 100+id))); tk.Endpoint.ID == stuck.Endpoint.ID {
 			back++
 		}
 	}
@@ -131,19 +131,19 @@
 
 // An endpoint refuses connections while it restarts. It is tried again after a pause
 // that grows, by one call at a time.
-func TestUnreachableEndpointIsTriedWithCare(t *testing.T) {
+func TestUnreachableEndpointIsProbedByOneCall(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
-	home := pick(t, pl, begin, ask(chat(1, 7)))
+	home := pick(t, pl, begin, newRequest(chat(1, 7)))
 	home.Done(begin, place.Unreachable)
-	other := serve(t, pl, begin.Add(100*time.Millisecond), ask(chat(1, 7)))
+	other := serve(t, pl, begin.Add(100*time.Millisecond), newRequest(chat(1, 7)))
 	if other.Endpoint.ID == home.Endpoint.ID {
 		t.Fatal("picked again at once")
 	}
 	later := begin.Add(10 * time.Second)
 	trials := 0
 	for id := range uint64(15) {
-		if tk := pick(t, pl, later, ask(chat(2, id))); tk.Endpoint.ID == home.Endpoint.ID {
+		if tk := pick(t, pl, later, newRequest(chat(2, id))); tk.Endpoint.ID == home.Endpoint.ID {
 			trials++
 		}
 	}
@@ -162,7 +162,7 @@
 		const calls = 400
 		for id := range uint64(calls) {
 			now = now.Add(10 * time.Millisecond)
-			tk := pick(t, pl, now, ask(chat(id%8, id%60)))
+			tk := pick(t, pl, now, newRequest(chat(id%8, id%60)))
 			bad := place.Served
 			if tk.Endpoint.ID == "e00" {
 				at++
@@ -191,8 +191,8 @@
 	register(two, 12)
 	homes := map[uint64]core.EndpointID{}
 	for id := range uint64(200) {
-		homes[id] = serve(t, one, begin, ask(chat(id%3, id))).Endpoint.ID
-		if got := serve(t, two, begin, ask(chat(id%3, id))).Endpoint.ID; got != homes[id] {
+		homes[id] = serve(t, one, begin, newRequest(chat(id%3, id))).Endpoint.ID
+		if got := serve(t, two, begin, newRequest(chat(id%3, id))).Endpoint.ID; got != homes[id] {
 			t.Errorf("chat %d: %s and %s", id, homes[id], got)
 		}
 	}
@@ -200,7 +200,7 @@
 	register(fresh, 13)
 	moved := 0
 	for id, home := range homes {
-		if serve(t, fresh, begin, ask(chat(id%3, id))).Endpoint.ID != home {
+		if serve(t, fresh, begin, newRequest(chat(id%3, id))).Endpoint.ID != home {
 			moved++
 		}
 	}
@@ -211,20 +211,20 @@
 
 // A chat's home leaves. The next endpoint is to take its context over from there,
 // which takes some 10 ms, instead of reading 10,000 tokens anew, which takes 86.
-func TestMovedChatNamesWhoHoldsIt(t *testing.T) {
+func TestMovedChatNamesItsHolder(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 6)
-	home := serve(t, pl, begin, ask(chat(1, 7)))
+	home := serve(t, pl, begin, newRequest(chat(1, 7)))
 	leaving := home.Endpoint
 	leaving.Draining = true
 	pl.Register(begin, leaving)
-	next := serve(t, pl, begin, ask(chat(1, 7)))
+	next := serve(t, pl, begin, newRequest(chat(1, 7)))
 	if next.FetchFrom != home.Endpoint.Addr || next.FetchTokens == 0 {
 		t.Errorf("fetches %d tokens from %q, want the context from %s", next.FetchTokens, next.FetchFrom, home.Endpoint.Addr)
 	}
-	as := ask(chat(1, 7))
-	as.FetchTokensPerMs = 0
-	if tk := serve(t, pl, begin, as); tk.FetchFrom != "" {
+	rq := newRequest(chat(1, 7))
+	rq.FetchTokensPerMs = 0
+	if tk := serve(t, pl, begin, rq); tk.FetchFrom != "" {
 		t.Error("a source is named though engines of the pool hand nothing on")
 	}
 }
@@ -232,21 +232,21 @@
 // A router has seen a beginning that many chats share at one endpoint, and never the
 // chat itself, which a peer has moved to another. The record of the beginning must
 // not hide where the chat is.
-func TestBeginningDoesNotHideTheChat(t *testing.T) {
+func TestSharedPrefixDoesNotHideTheChat(t *testing.T) {
 	one, two := newPlacer(2), newPlacer(2)
 	register(one, 6)
 	register(two, 6)
-	serve(t, two, begin, ask([]place.Part{{Hash: 1, Tokens: 500}, {Hash: 5, Tokens: 10}}))
-	home := serve(t, one, begin, ask(chat(1, 7))).Endpoint
-	as := ask(chat(1, 7))
-	as.Tried = []core.EndpointID{home.ID}
-	moved := serve(t, one, begin, as)
+	serve(t, two, begin, newRequest([]place.Part{{Hash: 1, Tokens: 500}, {Hash: 5, Tokens: 10}}))
+	home := serve(t, one, begin, newRequest(chat(1, 7))).Endpoint
+	rq := newRequest(chat(1, 7))
+	rq.Tried = []core.EndpointID{home.ID}
+	moved := serve(t, one, begin, rq)
 	two.ApplyMoves(one.Moves(begin, time.Time{}))
 	gone := home
 	gone.Draining = true
 	two.Register(begin, gone)
 	two.Remove(home.ID)
-	tk := serve(t, two, begin, ask(chat(1, 7)))
+	tk := serve(t, two, begin, newRequest(chat(1, 7)))
 	if tk.Endpoint.ID != moved.Endpoint.ID && tk.FetchFrom != moved.Endpoint.Addr {
 		t.Errorf("went to %s, fetching from %q; the chat is at %s", tk.Endpoint.ID, tk.FetchFrom, moved.Endpoint.Addr)
 	}
@@ -254,22 +254,22 @@
 
 // An engine counts its calls in each answer; the count is brought forward by the own
 // calls since, and passed on to peers with its age.
-func TestReadingsTravelAndAge(t *testing.T) {
+func TestReadingsAreSharedAndExpire(t *testing.T) {
 	one, two := newPlacer(2), newPlacer(2)
 	register(one, 1)
 	register(two, 1)
-	tk := pick(t, one, begin, ask(chat(1, 1)))
+	tk := pick(t, one, begin, newRequest(chat(1, 1)))
 	tk.RecordLoad(begin, 9)
 	two.ApplyReadings(begin.Add(100*time.Millisecond), time.Millisecond, one.Readings(begin.Add(100*time.Millisecond)))
-	own := pick(t, two, begin.Add(200*time.Millisecond), ask(chat(1, 2)))
+	own := pick(t, two, begin.Add(200*time.Millisecond), newRequest(chat(1, 2)))
 	if own.OwnCalls != 0 || own.PeerCalls != 9 {
 		t.Errorf("own %d, others %d; want 0 and the 9 that the engine counted", own.OwnCalls, own.PeerCalls)
 	}
-	next := pick(t, two, begin.Add(200*time.Millisecond), ask(chat(1, 3)))
+	next := pick(t, two, begin.Add(200*time.Millisecond), newRequest(chat(1, 3)))
 	if next.OwnCalls != 1 || next.PeerCalls != 9 {
 		t.Errorf("own %d, others %d; want 1 and 9", next.OwnCalls, next.PeerCalls)
 	}
-	old := pick(t, two, begin.Add(5*time.Second), ask(chat(1, 4)))
+	old := pick(t, two, begin.Add(5*time.Second), newRequest(chat(1, 4)))
 	if old.PeerCalls != 0 {
 		t.Errorf("a count of 5 s ago is still believed: %d", old.PeerCalls)
 	}
@@ -277,60 +277,60 @@
 
 // A peer's word counts for two seconds; a router that was killed does not seem to
 // hold its calls for ever.
-func TestPeersWordExpires(t *testing.T) {
+func TestLoadReportExpires(t *testing.T) {
 	one, two := newPlacer(2), newPlacer(2)
 	register(one, 1)
 	register(two, 1)
 	for id := range uint64(3) {
-		pick(t, one, begin, ask(chat(1, id)))
+		pick(t, one, begin, newRequest(chat(1, id)))
 	}
 	two.ApplyLoadReport(begin, "10.0.0.1:7000", one.LoadReport())
-	if tk := pick(t, two, begin, ask(chat(1, 1))); tk.PeerCalls != 3 {
+	if tk := pick(t, two, begin, newRequest(chat(1, 1))); tk.PeerCalls != 3 {
 		t.Errorf("told %d, want 3", tk.PeerCalls)
 	}
-	if tk := pick(t, two, begin.Add(3*time.Second), ask(chat(1, 1))); tk.PeerCalls != 0 {
+	if tk := pick(t, two, begin.Add(3*time.Second), newRequest(chat(1, 1))); tk.PeerCalls != 0 {
 		t.Errorf("after 3 s still %d", tk.PeerCalls)
 	}
 }
 
 // A full endpoint refuses; it is passed over for a moment, and where all are full the
 // caller is told when to return.
-func TestFullEndpointIsPassedOver(t *testing.T) {
+func TestRejectingEndpointIsSkipped(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 1)
-	pick(t, pl, begin, ask(chat(1, 1))).Done(begin, place.Rejected)
-	_, re := pl.Pick(begin, ask(chat(1, 1)))
+	pick(t, pl, begin, newRequest(chat(1, 1))).Done(begin, place.Rejected)
+	_, re := pl.Pick(begin, newRequest(chat(1, 1)))
 	if re == nil || re.Reason != core.ReasonLoadCap || re.RetryAfter <= 0 {
 		t.Fatalf("%v, want a refusal for the load with a time to return", re)
 	}
-	serve(t, pl, begin.Add(time.Second), ask(chat(1, 1)))
+	serve(t, pl, begin.Add(time.Second), newRequest(chat(1, 1)))
 }
 
-func TestConnectionsAreShared(t *testing.T) {
+func TestConnectionsAreSharedAmongRouters(t *testing.T) {
 	pl := newPlacer(4)
 	register(pl, 1)
-	as := &place.Request{Pool: pool, MaxConns: 8}
-	pick(t, pl, begin, as)
-	pick(t, pl, begin, as)
-	if _, re := pl.Pick(begin, as); re == nil {
+	rq := &place.Request{Pool: pool, MaxConns: 8}
+	pick(t, pl, begin, rq)
+	pick(t, pl, begin, rq)
+	if _, re := pl.Pick(begin, rq); re == nil {
 		t.Error("a third connection was taken of 8 that four routers share")
 	}
 }
 
 // One of three lookup services is replaced while load is high. A short queue at the
 // other two is in time; refusing instead sends callers away who would have been served.
-func TestPlainEndpointTakesAShortQueue(t *testing.T) {
+func TestPlainEndpointAllowsAShortQueue(t *testing.T) {
 	pl := newPlacer(1)
 	for ix := range 2 {
 		ep := endpoint(ix)
 		ep.Slots = 6
 		pl.Register(begin, ep)
 	}
-	as := &place.Request{Pool: pool, MaxConns: 1000}
+	rq := &place.Request{Pool: pool, MaxConns: 1000}
 	for range 48 {
-		pick(t, pl, begin, as)
+		pick(t, pl, begin, rq)
 	}
-	_, re := pl.Pick(begin, as)
+	_, re := pl.Pick(begin, rq)
 	if re == nil || re.Reason != core.ReasonLoadCap || re.RetryAfter <= 0 {
 		t.Errorf("%v, want a refusal once four calls a place are there", re)
 	}
--- a/core/place/record.go
+++ b/core/place/record.go
@@ -49,32 +49,32 @@
 func newPartIndex() *partIndex { return &partIndex{byPart: map[uint64][]*state{}} }
 
 // endpoints are the endpoints that were sent a part.
-func (se *partIndex) endpoints(part uint64) []*state { return se.byPart[part] }
+func (pi *partIndex) endpoints(part uint64) []*state { return pi.byPart[part] }
 
-func (se *partIndex) add(part uint64, st *state) {
-	se.byPart[part] = append(se.byPart[part], st)
-	se.entries++
+func (pi *partIndex) add(part uint64, st *state) {
+	pi.byPart[part] = append(pi.byPart[part], st)
+	pi.entries++
 }
 
-func (se *partIndex) remove(part uint64, st *state) {
-	se.entries--
-	rest := se.byPart[part]
+func (pi *partIndex) remove(part uint64, st *state) {
+	pi.entries--
+	rest := pi.byPart[part]
 	at := slices.Index(rest, st)
 	rest[at] = rest[len(rest)-1]
 	rest[len(rest)-1] = nil
 	if rest = rest[:len(rest)-1]; len(rest) == 0 {
-		delete(se.byPart, part)
+		delete(pi.byPart, part)
 		return
 	}
-	se.byPart[part] = rest
+	pi.byPart[part] = rest
 }
 
 // evict lets the records forget, each in its turn what it was sent longest ago.
-func (se *partIndex) evict() {
-	for se.entries > maxIndexEntries {
-		se.nextEvict = (se.nextEvict + 1) % len(se.caches)
-		if oldest := se.caches[se.nextEvict].order.Back(); oldest != nil {
-			se.caches[se.nextEvict].evict(oldest)
+func (pi *partIndex) evict() {
+	for pi.entries > maxIndexEntries {
+		pi.nextEvict = (pi.nextEvict + 1) % len(pi.caches)
+		if oldest := pi.caches[pi.nextEvict].order.Back(); oldest != nil {
+			pi.caches[pi.nextEvict].evict(oldest)
 		}
 	}
 }
@@ -85,38 +85,38 @@
 	return re
 }
 
-func (re *cacheModel) has(hash uint64) bool { return re.byHash[hash] != nil }
+func (cm *cacheModel) has(hash uint64) bool { return cm.byHash[hash] != nil }
 
-func (re *cacheModel) add(parts []Part, prefixes []uint64, memory core.Tokens) {
+func (cm *cacheModel) add(parts []Part, prefixes []uint64, memory core.Tokens) {
 	for ix := len(parts) - 1; ix >= 0; ix-- {
-		if el := re.byHash[prefixes[ix]]; el != nil {
-			re.order.MoveToFront(el)
+		if el := cm.byHash[prefixes[ix]]; el != nil {
+			cm.order.MoveToFront(el)
 			continue
 		}
-		re.byHash[prefixes[ix]] = re.order.PushFront(&cachedPart{prefixes[ix], parts[ix].Tokens})
-		re.index.add(prefixes[ix], re.st)
-		re.tokens += parts[ix].Tokens
+		cm.byHash[prefixes[ix]] = cm.order.PushFront(&cachedPart{prefixes[ix], parts[ix].Tokens})
+		cm.index.add(prefixes[ix], cm.st)
+		cm.tokens += parts[ix].Tokens
 	}
 	limit := core.Tokens(cacheFraction * float64(memory))
-	for re.order.Len() > maxCachedParts || memory > 0 && re.tokens > limit && re.order.Len() > len(parts) {
-		re.evict(re.order.Back())
+	for cm.order.Len() > maxCachedParts || memory > 0 && cm.tokens > limit && cm.order.Len() > len(parts) {
+		cm.evict(cm.order.Back())
 	}
-	re.index.evict()
+	cm.index.evict()
 }
 
-func (re *cacheModel) evict(el *list.Element) {
-	gone := re.order.Remove(el).(*cachedPart)
-	delete(re.byHash, gone.hash)
-	re.tokens -= gone.tokens
-	re.index.remove(gone.hash, re.st)
+func (cm *cacheModel) evict(el *list.Element) {
+	gone := cm.order.Remove(el).(*cachedPart)
+	delete(cm.byHash, gone.hash)
+	cm.tokens -= gone.tokens
+	cm.index.remove(gone.hash, cm.st)
 }
 
 // clear forgets all, as the endpoint is gone.
-func (re *cacheModel) clear() {
-	for el := re.order.Back(); el != nil; el = re.order.Back() {
-		re.evict(el)
+func (cm *cacheModel) clear() {
+	for el := cm.order.Back(); el != nil; el = cm.order.Back() {
+		cm.evict(el)
 	}
-	re.index.caches = slices.DeleteFunc(re.index.caches, func(other *cacheModel) bool { return other == re })
+	cm.index.caches = slices.DeleteFunc(cm.index.caches, func(other *cacheModel) bool { return other == cm })
 }
 
 // uncached is how many of the prompt's tokens the endpoint probably has to read, if
--- a/core/place/region_test.go
+++ b/core/place/region_test.go
@@ -35,18 +35,18 @@
 					pl.Restore(now, zone)
 				}
 			}
-			as := ask(chat(1, rapid.Uint64Range(0, 5).Draw(rt, "chat")))
-			as.RegionBound = rapid.Bool().Draw(rt, "bound")
-			as.HomeRegions = rapid.SliceOfDistinct(rapid.SampledFrom([]core.Region{"north", "south", "west", "none"}), rapid.ID[core.Region]).Draw(rt, "homes")
-			tk, rf := pl.Pick(now, as)
+			rq := newRequest(chat(1, rapid.Uint64Range(0, 5).Draw(rt, "chat")))
+			rq.RegionBound = rapid.Bool().Draw(rt, "bound")
+			rq.HomeRegions = rapid.SliceOfDistinct(rapid.SampledFrom([]core.Region{"north", "south", "west", "none"}), rapid.ID[core.Region]).Draw(rt, "homes")
+			tk, rf := pl.Pick(now, rq)
 			if rf != nil {
 				continue
 			}
-			if as.RegionBound && !within(as.HomeRegions, regions[tk.Endpoint.Zone]) {
-				rt.Fatalf("homes %v, placed in zone %s", as.HomeRegions, tk.Endpoint.Zone)
+			if rq.RegionBound && !containsRegion(rq.HomeRegions, regions[tk.Endpoint.Zone]) {
+				rt.Fatalf("homes %v, placed in zone %s", rq.HomeRegions, tk.Endpoint.Zone)
 			}
-			if as.RegionBound && tk.FetchFrom != "" && !within(as.HomeRegions, addrs[tk.FetchFrom]) {
-				rt.Fatalf("homes %v, taken over from %s", as.HomeRegions, tk.FetchFrom)
+			if rq.RegionBound && tk.FetchFrom != "" && !containsRegion(rq.HomeRegions, addrs[tk.FetchFrom]) {
+				rt.Fatalf("homes %v, taken over from %s", rq.HomeRegions, tk.FetchFrom)
 			}
 			if rapid.Bool().Draw(rt, "end") {
 				tk.Done(now, place.Served)
@@ -55,7 +55,7 @@
 	})
 }
 
-func within(homes []core.Region, region core.Region) bool {
+func containsRegion(homes []core.Region, region core.Region) bool {
 	for _, home := range homes {
 		if home == region && region != "" {
 			return true
@@ -66,18 +66,18 @@
 
 // Guards against a request that waits, or goes elsewhere, once the only home region of its route
 // is lost.
-func TestLostHomeRegionIsSaid(t *testing.T) {
+func TestRefusalNamesTheLostHomeRegion(t *testing.T) {
 	pl := newPlacer(1)
 	pl.Regions = regions
 	pl.Register(begin, inZone(0, "a"))
 	pl.Register(begin, inZone(1, "b"))
-	as := ask(chat(1, 1))
-	as.HomeRegions, as.RegionBound = []core.Region{"south"}, true
-	if tk := pick(t, pl, begin, as); tk.Endpoint.Zone != "b" {
+	rq := newRequest(chat(1, 1))
+	rq.HomeRegions, rq.RegionBound = []core.Region{"south"}, true
+	if tk := pick(t, pl, begin, rq); tk.Endpoint.Zone != "b" {
 		t.Errorf("placed in zone %s", tk.Endpoint.Zone)
 	}
 	pl.Remove("e01")
-	if _, rf := pl.Pick(begin, as); rf == nil || rf.Reason != core.ReasonNoHome || rf.Outcome != core.NotRun {
+	if _, rf := pl.Pick(begin, rq); rf == nil || rf.Reason != core.ReasonNoHome || rf.Outcome != core.NotRun {
 		t.Errorf("refused with %v", rf)
 	}
 }
--- a/core/place/share_test.go
+++ b/core/place/share_test.go
@@ -6,8 +6,8 @@
 	"almondrill/core/place"
 )
 
-// sharing is a router of 420 before two endpoints that take 300 connections from all.
-func sharing(engine bool) (*place.Placer, *place.Request) {
+// manyRouters is a router of 420 before two endpoints that take 300 connections from all.
+func manyRouters(engine bool) (*place.Placer, *place.Request) {
 	pl := newPlacer(420)
 	register(pl, 2)
 	return pl, &place.Request{Pool: pool, Engine: engine, MaxConns: 300}
@@ -18,9 +18,9 @@
 // held to it, the router refuses callers while the endpoints are idle.
 func TestShareBelowOneCall(t *testing.T) {
 	for _, engine := range []bool{true, false} {
-		pl, as := sharing(engine)
+		pl, rq := manyRouters(engine)
 		for ix := range 6 {
-			if _, rf := pl.Pick(begin, as); rf != nil {
+			if _, rf := pl.Pick(begin, rq); rf != nil {
 				t.Errorf("engine %v: call %d was refused: %v", engine, ix, rf)
 			}
 		}
@@ -30,16 +30,16 @@
 // Half of an endpoint's connections are in use by other routers. One that has its share does
 // not take more, or the endpoint resets connections with requests on them.
 func TestShareHoldsWhereConnectionsAreFew(t *testing.T) {
-	pl, as := sharing(false)
+	pl, rq := manyRouters(false)
 	for ix := range 2 {
 		pl.ApplyCount(begin, place.EndpointHash(endpoint(ix).ID, 0), 150)
 	}
 	for ix := range 2 {
-		if _, rf := pl.Pick(begin, as); rf != nil {
+		if _, rf := pl.Pick(begin, rq); rf != nil {
 			t.Fatalf("call %d within the share was refused: %v", ix, rf)
 		}
 	}
-	if _, rf := pl.Pick(begin, as); rf == nil {
+	if _, rf := pl.Pick(begin, rq); rf == nil {
 		t.Error("a call beyond the share was placed on an endpoint whose connections are in use by half")
 	}
 }
--- a/core/place/size_test.go
+++ b/core/place/size_test.go
@@ -17,28 +17,28 @@
 var fleets = []fleet{{9, 3}, {47, 25}, {180, 102}, {2100, 420}}
 
 const (
-	// callsOfPeer is how many endpoints a peer tells calls of: a router of a hundred or
+	// callsPerPeer is how many endpoints a peer tells calls of: a router of a hundred or
 	// more has some 20 calls in progress.
-	callsOfPeer = 20
-	// chatsOfFleet is how many chats return to an endpoint, and beginningsOfFleet how many
+	callsPerPeer = 20
+	// chatsPerEndpoint is how many chats return to an endpoint, and beginningsOfFleet how many
 	// beginnings all share.
-	chatsOfFleet      = 20
-	beginningsOfFleet = 12
+	chatsPerEndpoint = 20
+	sharedPrefixes   = 12
 )
 
-// busy is a router of a fleet under load: its peers have told their calls, and most chats
+// loadedPlacer is a router of a fleet under load: its peers have told their calls, and most chats
 // have been served by it once.
-func busy(fl fleet) (*place.Placer, func(id uint64) *place.Request) {
+func loadedPlacer(fl fleet) (*place.Placer, func(id uint64) *place.Request) {
 	prompt := func(id uint64) *place.Request {
-		id %= uint64(chatsOfFleet * fl.endpoints)
-		return ask(chat(id%beginningsOfFleet, id))
+		id %= uint64(chatsPerEndpoint * fl.endpoints)
+		return newRequest(chat(id%sharedPrefixes, id))
 	}
 	pl := newPlacer(fl.peers + 1)
 	register(pl, fl.endpoints)
 	for ix := range fl.peers {
-		pl.ApplyLoadReport(begin, fmt.Sprint("router", ix), wordOfPeer(fl, uint64(ix)))
+		pl.ApplyLoadReport(begin, fmt.Sprint("router", ix), peerReport(fl, uint64(ix)))
 	}
-	for id := range uint64(chatsOfFleet * fl.endpoints) {
+	for id := range uint64(chatsPerEndpoint * fl.endpoints) {
 		if tk, rf := pl.Pick(begin, prompt(id)); rf == nil {
 			tk.Done(begin, place.Served)
 		}
@@ -46,15 +46,15 @@
 	return pl, prompt
 }
 
-// wordOfPeer is what a peer tells that has calls in progress at some endpoints.
-func wordOfPeer(fl fleet, seed uint64) []byte {
+// peerReport is what a peer tells that has calls in progress at some endpoints.
+func peerReport(fl fleet, seed uint64) []byte {
 	ra := newRand(seed)
 	peer := newPlacer(fl.peers + 1)
-	for range callsOfPeer {
+	for range callsPerPeer {
 		peer.Register(begin, endpoint(ra.IntN(fl.endpoints)))
 	}
-	for id := range uint64(callsOfPeer) {
-		if _, rf := peer.Pick(begin, ask(chat(1, id))); rf != nil {
+	for id := range uint64(callsPerPeer) {
+		if _, rf := peer.Pick(begin, newRequest(chat(1, id))); rf != nil {
 			break // the few endpoints that it knows are at their cap
 		}
 	}
@@ -65,7 +65,7 @@
 func BenchmarkChoice(b *testing.B) {
 	for _, fl := range fleets {
 		b.Run(fl.String(), func(b *testing.B) {
-			pl, prompt := busy(fl)
+			pl, prompt := loadedPlacer(fl)
 			now := begin.Add(100 * time.Millisecond)
 			ra := newRand(5)
 			b.ReportAllocs()
@@ -84,8 +84,8 @@
 func BenchmarkHear(b *testing.B) {
 	for _, fl := range fleets {
 		b.Run(fl.String(), func(b *testing.B) {
-			pl, _ := busy(fl)
-			words := [][]byte{wordOfPeer(fl, 1), wordOfPeer(fl, 2)}
+			pl, _ := loadedPlacer(fl)
+			words := [][]byte{peerReport(fl, 1), peerReport(fl, 2)}
 			b.ReportAllocs()
 			turn := 0
 			for b.Loop() {
--- a/core/place/starts.go
+++ b/core/place/starts.go
@@ -29,8 +29,8 @@
 
 // record takes a registration. current is false if a later start is known already, and
 // drained tells that this one was draining before.
-func (ss *incarnations) record(ep *Endpoint) (drained, current bool) {
-	known, seen := ss.latest[ep.ID]
+func (ic *incarnations) record(ep *Endpoint) (drained, current bool) {
+	known, seen := ic.latest[ep.ID]
 	if ep.Incarnation < known.incarnation {
 		return false, false
 	}
@@ -39,31 +39,31 @@
 		return drained, true
 	}
 	if !seen {
-		ss.add(ep.ID)
+		ic.add(ep.ID)
 	}
-	ss.latest[ep.ID] = latestIncarnation{incarnation: ep.Incarnation, draining: drained || ep.Draining}
+	ic.latest[ep.ID] = latestIncarnation{incarnation: ep.Incarnation, draining: drained || ep.Draining}
 	return drained, true
 }
 
-func (ss *incarnations) add(id core.EndpointID) {
-	if ss.latest == nil {
-		ss.latest = map[core.EndpointID]latestIncarnation{}
+func (ic *incarnations) add(id core.EndpointID) {
+	if ic.latest == nil {
+		ic.latest = map[core.EndpointID]latestIncarnation{}
 	}
-	if len(ss.order) >= maxIncarnations {
-		delete(ss.latest, ss.order[0])
-		ss.order = ss.order[1:]
+	if len(ic.order) >= maxIncarnations {
+		delete(ic.latest, ic.order[0])
+		ic.order = ic.order[1:]
 	}
-	ss.order = append(ss.order, id)
+	ic.order = append(ic.order, id)
 }
 
 // markDraining notes that a start gets no more work.
-func (ss *incarnations) markDraining(ep *Endpoint) {
-	known, seen := ss.latest[ep.ID]
+func (ic *incarnations) markDraining(ep *Endpoint) {
+	known, seen := ic.latest[ep.ID]
 	if seen && known.incarnation != ep.Incarnation {
 		return
 	}
 	if !seen {
-		ss.add(ep.ID)
+		ic.add(ep.ID)
 	}
-	ss.latest[ep.ID] = latestIncarnation{incarnation: ep.Incarnation, draining: true}
+	ic.latest[ep.ID] = latestIncarnation{incarnation: ep.Incarnation, draining: true}
 }
--- a/core/place/surge.go
+++ b/core/place/surge.go
@@ -31,12 +31,12 @@
 // by the pool, not by its endpoints: one of them may have more, where a context is, as
 // long as others have less. Endpoints that look dead have no places; where all do, the
 // view is doubted, and nothing bounds the pool.
-func (ch *choice) limitPoolCalls(slots int, us *customerUse) {
+func (ch *choice) limitPoolCalls(slots int, cu *customerUse) {
 	factor := float64(plainSlotFactor)
 	if ch.rq.Engine {
 		factor = poolSlotFactor
 	}
-	if us.heavy(ch.rq.Customer) {
+	if cu.heavy(ch.rq.Customer) {
 		factor *= heavyFraction
 	}
 	ch.poolSlots, ch.maxPoolCalls = slots, factor*float64(slots)
--- a/core/place/surge_test.go
+++ b/core/place/surge_test.go
@@ -11,36 +11,36 @@
 
 // engines run calls on virtual time, so many at once each, and let others wait in turn.
 type engines struct {
-	slots, runs int // places of each, and the steps that a call runs for
-	waiting     map[core.EndpointID][]*caller
-	running     map[core.EndpointID]int
-	ending      map[int][]*caller // by step
+	slots, callSteps int // places of each, and the steps that a call runs for
+	waiting          map[core.EndpointID][]*caller
+	running          map[core.EndpointID]int
+	ending           map[int][]*caller // by step
 }
 
 // caller is one caller of the load.
 type caller struct {
-	came   int // the step of its first attempt
-	router int
-	tk     *place.Ticket
-	again  bool // it was refused once
-	from   core.CustomerID
+	arrived  int // the step of its first attempt
+	router   int
+	tk       *place.Ticket
+	retried  bool // it was refused once
+	customer core.CustomerID
 }
 
 // surge plays a load before routers and engines, and counts how callers fared.
 type surge struct {
 	*engines
-	routers []*place.Placer
-	step    int
-	back    map[int][]*caller // those that were told to return, by step
+	routers   []*place.Placer
+	step      int
+	returning map[int][]*caller // those that were told to return, by step
 	// inTime had their first token within goal steps of their first attempt, late
 	// ones after it, lost ones were refused twice.
 	all, inTime, late, lost int
 	// customer draws whose call it is; nil if nobody's. lostBy and allBy count theirs.
 	customer      func(ra testRand) core.CustomerID
 	lostBy, allBy map[core.CustomerID]int
-	// tellSteps is how often, in steps, a router hears each other one, goal within how many
+	// reportSteps is how often, in steps, a router hears each other one, goal within how many
 	// steps a first token is in time.
-	tellSteps, goal int
+	reportSteps, goal int
 	// chat draws whose turn it is; nil for one of 300 alike.
 	chat func(ra testRand) uint64
 	// seed is what the load is drawn from.
@@ -59,16 +59,16 @@
 
 const (
 	goalSteps = 30
-	// surgeTell is how often, in steps, a router of four is heard: each 0.2 s.
-	surgeTell = 20
+	// surgeReportSteps is how often, in steps, a router of four is heard: each 0.2 s.
+	surgeReportSteps = 20
 )
 
 func newSurge(routers, count, slots, runs int) *surge {
 	su := &surge{
-		engines: &engines{slots, runs, map[core.EndpointID][]*caller{}, map[core.EndpointID]int{}, map[int][]*caller{}},
-		back:    map[int][]*caller{},
-		lostBy:  map[core.CustomerID]int{}, allBy: map[core.CustomerID]int{},
-		tellSteps: surgeTell, goal: goalSteps, seed: 9,
+		engines:   &engines{slots, runs, map[core.EndpointID][]*caller{}, map[core.EndpointID]int{}, map[int][]*caller{}},
+		returning: map[int][]*caller{},
+		lostBy:    map[core.CustomerID]int{}, allBy: map[core.CustomerID]int{},
+		reportSteps: surgeReportSteps, goal: goalSteps, seed: 9,
 		prompt: func(id uint64) []place.Part { return chat(id%3, id) },
 	}
 	for ix := range routers {
@@ -85,32 +85,32 @@
 
 func (su *surge) now() time.Time { return begin.Add(time.Duration(su.step) * stepTime) }
 
-// ask sends a caller's request through its router.
-func (su *surge) ask(ca *caller, id uint64) {
-	as := ask(su.prompt(id))
-	as.Customer = ca.from
+// send sends a caller's request through its router.
+func (su *surge) send(ca *caller, id uint64) {
+	rq := newRequest(su.prompt(id))
+	rq.Customer = ca.customer
 	pl := su.routers[ca.router]
 	if su.counts != nil {
-		su.askCount(pl, as)
+		su.askCount(pl, rq)
 	}
-	tk, rf := pl.Pick(su.now(), as)
+	tk, rf := pl.Pick(su.now(), rq)
 	switch {
 	case rf == nil:
 		ca.tk = tk
 		su.waiting[tk.Endpoint.ID] = append(su.waiting[tk.Endpoint.ID], ca)
-	case ca.again:
+	case ca.retried:
 		su.lost++
-		su.lostBy[ca.from]++
+		su.lostBy[ca.customer]++
 	default:
-		ca.again = true
+		ca.retried = true
 		at := su.step + 1 + int(rf.RetryAfter/stepTime)
-		su.back[at] = append(su.back[at], ca)
+		su.returning[at] = append(su.returning[at], ca)
 	}
 }
 
 // askCount is what a router does before a choice where counts are kept.
-func (su *surge) askCount(pl *place.Placer, as *place.Request) {
-	endpoint, uncertain := pl.NeedsCount(su.now(), as)
+func (su *surge) askCount(pl *place.Placer, rq *place.Request) {
+	endpoint, uncertain := pl.NeedsCount(su.now(), rq)
 	if !uncertain {
 		return
 	}
@@ -135,7 +135,7 @@
 	}
 	for from, pl := range su.routers {
 		for to, other := range su.routers {
-			if su.tells(from, to) {
+			if su.reports(from, to) {
 				other.ApplyLoadReport(su.now(), fmt.Sprint("router", from), pl.LoadReport())
 				other.ApplyReadings(su.now(), 0, pl.Readings(su.now()))
 			}
@@ -143,14 +143,14 @@
 	}
 }
 
-// tells tells whether a router is heard by another in this step. All of a few are heard by all
+// reports tells whether a router is heard by another in this step. All of a few are heard by all
 // at once; among many each has a turn for each other.
-func (su *surge) tells(from, to int) bool {
+func (su *surge) reports(from, to int) bool {
 	turn := from
-	if su.tellSteps != surgeTell {
+	if su.reportSteps != surgeReportSteps {
 		turn += len(su.routers) * to
 	}
-	return from != to && (su.step+turn)%su.tellSteps == 0
+	return from != to && (su.step+turn)%su.reportSteps == 0
 }
 
 func (su *surge) start(id core.EndpointID, ca *caller) {
@@ -160,13 +160,13 @@
 	if su.counts != nil {
 		su.counts.Report(su.now(), ca.tk.Hash, calls)
 	}
-	if su.step-ca.came <= su.goal {
+	if su.step-ca.arrived <= su.goal {
 		su.inTime++
 	} else {
 		su.late++
 	}
 	su.running[id]++
-	end := su.step + su.runs
+	end := su.step + su.callSteps
 	su.ending[end] = append(su.ending[end], ca)
 }
 
@@ -176,20 +176,20 @@
 	ra := newRand(su.seed)
 	due := 0.0
 	for until := su.step + steps; su.step < until || su.inTime+su.late+su.lost < su.all; su.tick() {
-		for _, ca := range su.back[su.step] {
-			su.ask(ca, su.draw(ra))
+		for _, ca := range su.returning[su.step] {
+			su.send(ca, su.draw(ra))
 		}
 		if su.step >= until {
 			continue
 		}
 		for due += 2 * rate * ra.Float64(); due >= 1; due-- {
-			ca := &caller{came: su.step, router: ra.IntN(len(su.routers))}
+			ca := &caller{arrived: su.step, router: ra.IntN(len(su.routers))}
 			if su.customer != nil {
-				ca.from = su.customer(ra)
+				ca.customer = su.customer(ra)
 			}
 			su.all++
-			su.allBy[ca.from]++
-			su.ask(ca, su.draw(ra))
+			su.allBy[ca.customer]++
+			su.send(ca, su.draw(ra))
 		}
 	}
 }
@@ -208,7 +208,7 @@
 // served as on any day; who was refused should find a place when told to return.
 // Served in time are 0.58 of the callers. If twice the places are given, it is 0.15; if
 // all are told to return after 0.4 s, 0.53, and 0.19 instead of 0.11 are refused twice.
-func TestSurgeBeyondThePoolIsServedInTime(t *testing.T) {
+func TestOverloadedPoolServesInTime(t *testing.T) {
 	su := newSurge(4, 12, 48, 130)
 	su.play(1.3*12*48/130, 1000)
 	inTime, lost := float64(su.inTime)/float64(su.all), float64(su.lost)/float64(su.all)
@@ -224,7 +224,7 @@
 // One customer's race begins: it sends two thirds of a load that is 1.6 times what the
 // pool can run, nine others the rest. They are to be served as on any day; what is too
 // much is refused to the one that surges.
-func TestSurgeOfOneCustomerCostsItAlone(t *testing.T) {
+func TestSurgingCustomerDoesNotHurtOthers(t *testing.T) {
 	su := newSurge(4, 12, 48, 130)
 	su.customer = func(ra testRand) core.CustomerID {
 		if ra.Float64() < 0.667 {
@@ -246,7 +246,7 @@
 
 // The load stays just below what the pool can run, in clumps. Nobody is to be refused
 // for a clump that is over before a first token would be late.
-func TestLoadBelowThePoolIsNotRefused(t *testing.T) {
+func TestLoadBelowCapacityIsNotRefused(t *testing.T) {
 	su := newSurge(4, 12, 48, 130)
 	su.play(0.9*12*48/130, 1000)
 	if late := float64(su.late+su.lost) / float64(su.all); late > 0.02 {
@@ -256,7 +256,7 @@
 
 // Two of three engines are dead, and every router has seen it. Their places are no
 // reason to take calls that the third cannot run.
-func TestDeadEnginesHaveNoPlaces(t *testing.T) {
+func TestDeadEnginesHaveNoSlots(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 3)
 	for ix := range 2 {
@@ -286,7 +286,7 @@
 // The same load is played several times from the same seeds. Where a choice between equals
 // hangs on the order of a map, callers lost are 0.09 to 0.14 of all from run to run, and
 // neither a test nor an incident can be played again.
-func TestRunRepeatsFromItsSeed(t *testing.T) {
+func TestSimulationRepeatsFromItsSeed(t *testing.T) {
 	var first string
 	for run := range 5 {
 		su := newSurge(4, 12, 48, 130)
--- a/core/place/told.go
+++ b/core/place/told.go
@@ -83,57 +83,57 @@
 }
 
 // apply replaces a peer's word.
-func (wo *loadReports) apply(now time.Time, from string, calls []endpointCalls) {
-	wd := &loadReport{from: from, receivedAt: now, expires: now.Add(minReportTTL), calls: calls}
-	if el := wo.byPeer[from]; el != nil {
-		old := wo.remove(el)
+func (lr *loadReports) apply(now time.Time, from string, calls []endpointCalls) {
+	rp := &loadReport{from: from, receivedAt: now, expires: now.Add(minReportTTL), calls: calls}
+	if el := lr.byPeer[from]; el != nil {
+		old := lr.remove(el)
 		// News is told at once: a short gap is followed by longer ones.
-		wd.interval = max(now.Sub(old.receivedAt), old.interval/2)
-		wd.expires = now.Add(min(maxReportTTL, max(minReportTTL, reportTTLIntervals*wd.interval)))
+		rp.interval = max(now.Sub(old.receivedAt), old.interval/2)
+		rp.expires = now.Add(min(maxReportTTL, max(minReportTTL, reportTTLIntervals*rp.interval)))
 	}
-	wo.addSums(wd, 1)
-	wo.insert(wd)
+	lr.addSums(rp, 1)
+	lr.insert(rp)
 }
 
 // insert puts a word where it belongs in the order, which is near the end as a rule.
-func (wo *loadReports) insert(wd *loadReport) {
-	at := wo.byExpiry.Back()
-	for at != nil && at.Value.(*loadReport).expires.After(wd.expires) {
+func (lr *loadReports) insert(rp *loadReport) {
+	at := lr.byExpiry.Back()
+	for at != nil && at.Value.(*loadReport).expires.After(rp.expires) {
 		at = at.Prev()
 	}
 	if at == nil {
-		wo.byPeer[wd.from] = wo.byExpiry.PushFront(wd)
+		lr.byPeer[rp.from] = lr.byExpiry.PushFront(rp)
 		return
 	}
-	wo.byPeer[wd.from] = wo.byExpiry.InsertAfter(wd, at)
+	lr.byPeer[rp.from] = lr.byExpiry.InsertAfter(rp, at)
 }
 
-func (wo *loadReports) remove(el *list.Element) *loadReport {
-	wd := wo.byExpiry.Remove(el).(*loadReport)
-	delete(wo.byPeer, wd.from)
-	wo.addSums(wd, -1)
-	return wd
+func (lr *loadReports) remove(el *list.Element) *loadReport {
+	rp := lr.byExpiry.Remove(el).(*loadReport)
+	delete(lr.byPeer, rp.from)
+	lr.addSums(rp, -1)
+	return rp
 }
 
 // addSums counts a word in, or out with a sign of -1.
-func (wo *loadReports) addSums(wd *loadReport, sign int) {
-	for _, ca := range wd.calls {
-		wo.sums[ca.endpoint] += sign * ca.calls
-		if wo.sums[ca.endpoint] == 0 {
-			delete(wo.sums, ca.endpoint)
+func (lr *loadReports) addSums(rp *loadReport, sign int) {
+	for _, ec := range rp.calls {
+		lr.sums[ec.endpoint] += sign * ec.calls
+		if lr.sums[ec.endpoint] == 0 {
+			delete(lr.sums, ec.endpoint)
 		}
-		wo.onChange(ca.endpoint, sign*ca.calls)
+		lr.onChange(ec.endpoint, sign*ec.calls)
 	}
 }
 
 // expire stops counting the words of peers that have stopped. When they were heard is kept
 // for longer, so that the gap of a peer that is heard rarely becomes known.
-func (wo *loadReports) expire(now time.Time) {
-	for el := wo.byExpiry.Front(); el != nil && now.After(el.Value.(*loadReport).expires); el = wo.byExpiry.Front() {
-		wd := wo.remove(el)
-		if end := wd.receivedAt.Add(maxReportTTL); now.Before(end) {
-			wd.expires, wd.calls = end, nil
-			wo.insert(wd)
+func (lr *loadReports) expire(now time.Time) {
+	for el := lr.byExpiry.Front(); el != nil && now.After(el.Value.(*loadReport).expires); el = lr.byExpiry.Front() {
+		rp := lr.remove(el)
+		if end := rp.receivedAt.Add(maxReportTTL); now.Before(end) {
+			rp.expires, rp.calls = end, nil
+			lr.insert(rp)
 		}
 	}
 }
--- a/core/place/use.go
+++ b/core/place/use.go
@@ -32,28 +32,28 @@
 }
 
 func (pl *Placer) customerUseOf(id core.PoolID) *customerUse {
-	us := pl.customerUses[id]
-	if us == nil {
-		us = &customerUse{byCustomer: map[core.CustomerID]int{}}
-		pl.customerUses[id] = us
+	cu := pl.customerUses[id]
+	if cu == nil {
+		cu = &customerUse{byCustomer: map[core.CustomerID]int{}}
+		pl.customerUses[id] = cu
 	}
-	return us
+	return cu
 }
 
 // add counts calls that begin or end.
-func (us *customerUse) add(id core.CustomerID, by int) {
-	us.total += by
-	us.byCustomer[id] += by
-	if us.byCustomer[id] == 0 {
-		delete(us.byCustomer, id)
+func (cu *customerUse) add(id core.CustomerID, by int) {
+	cu.total += by
+	cu.byCustomer[id] += by
+	if cu.byCustomer[id] == 0 {
+		delete(cu.byCustomer, id)
 	}
 }
 
 // heavy tells whether the customer has far more in progress than the others.
-func (us *customerUse) heavy(id core.CustomerID) bool {
-	if us == nil || len(us.byCustomer) < 2 {
+func (cu *customerUse) heavy(id core.CustomerID) bool {
+	if cu == nil || len(cu.byCustomer) < 2 {
 		return false
 	}
-	mean := float64(us.total) / float64(len(us.byCustomer))
-	return float64(us.byCustomer[id]) > heavyFactor*mean+heavyDeviations*math.Sqrt(mean)
+	mean := float64(cu.total) / float64(len(cu.byCustomer))
+	return float64(cu.byCustomer[id]) > heavyFactor*mean+heavyDeviations*math.Sqrt(mean)
 }
--- a/core/place/walk_test.go
+++ b/core/place/walk_test.go
@@ -53,7 +53,7 @@
 	case 4, 5:
 		at := rapid.IntRange(0, len(wo.peers)-1).Draw(rt, "peer")
 		peer := wo.peers[at]
-		if tk, rf := peer.Pick(wo.now, ask(chat(uint64(ix%3), uint64(ix)))); rf == nil && rapid.Bool().Draw(rt, "short") {
+		if tk, rf := peer.Pick(wo.now, newRequest(chat(uint64(ix%3), uint64(ix)))); rf == nil && rapid.Bool().Draw(rt, "short") {
 			tk.RecordLoad(wo.now, rapid.IntRange(0, 60).Draw(rt, "count"))
 			tk.Done(wo.now, place.Served)
 		}
@@ -61,7 +61,7 @@
 		wo.pl.ApplyMoves(peer.Moves(wo.now, time.Time{}))
 		wo.pl.ApplyReadings(wo.now, time.Millisecond, peer.Readings(wo.now))
 	case 6:
-		if tk, rf := wo.pl.Pick(wo.now, wo.ask(rt)); rf == nil {
+		if tk, rf := wo.pl.Pick(wo.now, wo.drawRequest(rt)); rf == nil {
 			wo.tickets = append(wo.tickets, tk)
 		}
 	case 7:
@@ -77,39 +77,39 @@
 	}
 }
 
-func (wo *world) ask(rt *rapid.T) *place.Request {
+func (wo *world) drawRequest(rt *rapid.T) *place.Request {
 	id := rapid.Uint64Range(0, 20).Draw(rt, "chat")
-	as := ask(chat(id%3, id)[:rapid.IntRange(0, 3).Draw(rt, "parts")])
-	as.Engine = rapid.IntRange(0, 9).Draw(rt, "engine") > 0
+	rq := newRequest(chat(id%3, id)[:rapid.IntRange(0, 3).Draw(rt, "parts")])
+	rq.Engine = rapid.IntRange(0, 9).Draw(rt, "engine") > 0
 	if rapid.IntRange(0, 3).Draw(rt, "retried") == 0 {
-		as.Tried = []core.EndpointID{endpoint(0).ID}
-		as.HealthyOnly = rapid.Bool().Draw(rt, "healthy")
+		rq.Tried = []core.EndpointID{endpoint(0).ID}
+		rq.HealthyOnly = rapid.Bool().Draw(rt, "healthy")
 	}
-	return as
+	return rq
 }
 
 // A choice among thousands of endpoints passes those by that cannot cost least, and looks
 // little at those about which it knew nothing before. Were one passed by wrongly, chats would
 // leave the engines that hold them, or calls go to one that is down, on large pools only.
-func TestChoiceIsThatOfWeighingAll(t *testing.T) {
+func TestChoiceMatchesWeighingAll(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wo := newWorld()
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			wo.step(rt)
-			as := wo.ask(rt)
-			if !as.Engine {
+			rq := wo.drawRequest(rt)
+			if !rq.Engine {
 				continue // its price has a part that is drawn
 			}
-			got, want := wo.pl.InspectChoice(wo.now, as), wo.pl.WeighAll(wo.now, as)
+			got, want := wo.pl.InspectChoice(wo.now, rq), wo.pl.WeighAll(wo.now, rq)
 			if math.Abs(got.CostMs-want.CostMs) > 1e-6 {
 				// The holder may be drawn from several: both were weighed with one of them.
-				if wo.several(as) {
+				if wo.ambiguousHolder(rq) {
 					continue
 				}
 				rt.Fatalf("the choice costs %v ms, the cheapest of all %v", got.CostMs, want.CostMs)
 			}
 			got.CostMs, want.CostMs = 0, 0
-			got.Failing, want.Failing = math.Round(1e6*got.Failing), math.Round(1e6*want.Failing)
+			got.FailureRate, want.FailureRate = math.Round(1e6*got.FailureRate), math.Round(1e6*want.FailureRate)
 			if got != want {
 				rt.Fatalf("the choice went by %+v, want %+v", got, want)
 			}
@@ -117,11 +117,11 @@
 	})
 }
 
-// several tells whether more than one endpoint may be the holder, by repeated draws.
-func (wo *world) several(as *place.Request) bool {
-	first := wo.pl.WeighAll(wo.now, as)
+// ambiguousHolder tells whether more than one endpoint may be the holder, by repeated draws.
+func (wo *world) ambiguousHolder(rq *place.Request) bool {
+	first := wo.pl.WeighAll(wo.now, rq)
 	for range 20 {
-		if wo.pl.WeighAll(wo.now, as).CostMs != first.CostMs {
+		if wo.pl.WeighAll(wo.now, rq).CostMs != first.CostMs {
 			return true
 		}
 	}
@@ -131,16 +131,16 @@
 // Words are replaced, lapse and meet endpoints that come and go. The kept sums have to be
 // what adding the words up gives: an error would stay for good, and an endpoint look busy or
 // idle for ever.
-func TestSumsOfWordsAreKept(t *testing.T) {
+func TestLoadReportSumsStayCorrect(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pl := newPlacer(9)
 		now := begin
-		type word struct {
+		type report struct {
 			at    time.Time
 			gap   time.Duration
 			calls map[int]int
 		}
-		words := map[string]*word{}
+		reports := map[string]*report{}
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 			ix := rapid.IntRange(0, worldSize-1).Draw(rt, "endpoint")
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
@@ -153,28 +153,28 @@
 			case 3:
 				name := fmt.Sprint("peer", rapid.IntRange(0, 4).Draw(rt, "peer"))
 				peer := newPlacer(9)
-				wd := &word{at: now, calls: map[int]int{}}
+				rp := &report{at: now, calls: map[int]int{}}
 				for at := range rapid.IntRange(0, worldSize).Draw(rt, "told") {
 					peer.Register(now, endpoint(at))
-					only := ask(nil)
+					only := newRequest(nil)
 					for other := range at {
 						only.Tried = append(only.Tried, endpoint(other).ID)
 					}
 					if _, rf := peer.Pick(now, only); rf == nil {
-						wd.calls[at]++
+						rp.calls[at]++
 					}
 				}
-				if old := words[name]; old != nil && now.Sub(old.at) < 20*time.Second {
-					wd.gap = max(now.Sub(old.at), old.gap/2)
+				if old := reports[name]; old != nil && now.Sub(old.at) < 20*time.Second {
+					rp.gap = max(now.Sub(old.at), old.gap/2)
 				}
-				words[name] = wd
+				reports[name] = rp
 				pl.ApplyLoadReport(now, name, peer.LoadReport())
 			}
 			for ix := range worldSize {
 				want := 0
-				for _, wd := range words {
-					if lives(now, wd.at, wd.gap) {
-						want += wd.calls[ix]
+				for _, rp := range reports {
+					if unexpired(now, rp.at, rp.gap) {
+						want += rp.calls[ix]
 					}
 				}
 				if got, known := pl.PeerCalls(now, endpoint(ix).ID); known && got != want {
@@ -185,15 +185,15 @@
 	})
 }
 
-// lives tells whether a word counts still: 2 s, or three gaps where words are further apart.
-func lives(now, at time.Time, gap time.Duration) bool {
-	return now.Sub(at) <= min(20*time.Second, max(2*time.Second, 3*gap))
+// unexpired tells whether a word counts still: 2 s, or three gaps where words are further apart.
+func unexpired(now, at time.Time, interval time.Duration) bool {
+	return now.Sub(at) <= min(20*time.Second, max(2*time.Second, 3*interval))
 }
 
 // Before hundreds of routers, each peer is heard every 4 s, as what it sends is bounded.
 // Were its word forgotten before it speaks again, no router would know of more than half of
 // the calls, and send new ones to engines that are full.
-func TestRareWordsCount(t *testing.T) {
+func TestInfrequentLoadReportsCount(t *testing.T) {
 	pl, peer := newPlacer(400), newPlacer(400)
 	register(pl, 1)
 	register(peer, 1)
@@ -209,10 +209,10 @@
 			t.Errorf("word %d: %d calls are believed before the next, want 3", turn, told)
 		}
 	}
-	if told, _ := pl.PeerCalls(begin.Add(4*gap+mostGaps*gap+time.Millisecond), endpoint(0).ID); told != 0 {
+	if told, _ := pl.PeerCalls(begin.Add(4*gap+reportTTLIntervals*gap+time.Millisecond), endpoint(0).ID); told != 0 {
 		t.Errorf("%d calls are believed of a peer that has stopped", told)
 	}
 }
 
-// mostGaps is after how many gaps a peer counts as stopped.
-const mostGaps = 3
+// reportTTLIntervals is after how many gaps a peer counts as stopped.
+const reportTTLIntervals = 3
--- a/core/place/zone_test.go
+++ b/core/place/zone_test.go
@@ -43,7 +43,7 @@
 			case 4:
 				pl.MarkMissing(endpoint(ix).ID)
 			}
-			tk, rf := pl.Pick(begin, ask(chat(1, uint64(ix))))
+			tk, rf := pl.Pick(begin, newRequest(chat(1, uint64(ix))))
 			if rf != nil {
 				if rf.Outcome != core.NotRun || rf.RetryAfter <= 0 {
 					rt.Fatalf("refused as %s, to return after %s", rf.Outcome, rf.RetryAfter)
@@ -63,18 +63,18 @@
 	pl := newPlacer(1)
 	pl.Register(begin, inZone(0, "a"))
 	pl.Evacuate(begin, "a", begin)
-	if _, rf := pl.Pick(begin, ask(chat(1, 1))); rf == nil || rf.Reason != core.ReasonEvacuated {
+	if _, rf := pl.Pick(begin, newRequest(chat(1, 1))); rf == nil || rf.Reason != core.ReasonEvacuated {
 		t.Errorf("refused with %v", rf)
 	}
 	pl.Register(begin, draining(inZone(0, "a")))
-	if _, rf := pl.Pick(begin, ask(chat(1, 1))); rf == nil || rf.Reason != core.ReasonNoEndpoint {
+	if _, rf := pl.Pick(begin, newRequest(chat(1, 1))); rf == nil || rf.Reason != core.ReasonNoEndpoint {
 		t.Errorf("of endpoints that drain, refused with %v", rf)
 	}
 }
 
 // Guards against a call that is sent on an old choice: between choice and sending the zone is
 // evacuated, or the endpoint drains or goes.
-func TestChoiceIsWithdrawn(t *testing.T) {
+func TestBeforeSendRejectsAStaleChoice(t *testing.T) {
 	for name, on := range map[string]struct {
 		change func(pl *place.Placer)
 		want   core.Reason
@@ -86,12 +86,12 @@
 		"it is gone":              {func(pl *place.Placer) { pl.Remove("e00") }, core.ReasonDraining},
 		"its registration lapsed": {func(pl *place.Placer) { pl.MarkMissing("e00") }, ""},
 		"it started again": {func(pl *place.Placer) {
-			pl.Register(begin, started(0, 7))
+			pl.Register(begin, withIncarnation(0, 7))
 		}, core.ReasonDraining},
 	} {
 		pl := newPlacer(1)
 		register(pl, 1)
-		tk := pick(t, pl, begin, ask(chat(1, 1)))
+		tk := pick(t, pl, begin, newRequest(chat(1, 1)))
 		on.change(pl)
 		if got := tk.BeforeSend(begin); got != on.want {
 			t.Errorf("%s: withdrawn for %q, want %q", name, got, on.want)
@@ -101,7 +101,7 @@
 
 // Guards against prompts that are read anew in the zones that are left: the engines of the
 // evacuated one still hold them and hand them on.
-func TestEvacuatedEngineHandsPromptsOn(t *testing.T) {
+func TestEvacuatedEngineTransfersPrompts(t *testing.T) {
 	pl := newPlacer(1)
 	for ix := range 12 {
 		pl.Register(begin, inZone(ix, []core.Zone{"a", "b"}[ix%2]))
@@ -109,9 +109,9 @@
 	now := begin.Add(time.Minute)
 	moved := 0
 	for id := range uint64(40) {
-		before := serve(t, pl, now, ask(chat(id, id))).Endpoint
+		before := serve(t, pl, now, newRequest(chat(id, id))).Endpoint
 		pl.Evacuate(now, before.Zone, now)
-		after := serve(t, pl, now, ask(chat(id, id)))
+		after := serve(t, pl, now, newRequest(chat(id, id)))
 		if after.FetchFrom == before.Addr {
 			moved++
 		}
@@ -124,7 +124,7 @@
 
 // Guards against a load beyond the cap while a zone is evacuated: its engines, idle by then, are
 // part of their pool's mean.
-func TestCapHoldsWhileAZoneIsEvacuated(t *testing.T) {
+func TestLoadCapHoldsWhileAZoneIsEvacuated(t *testing.T) {
 	re := newReplay(26, 48)
 	for _, pl := range re.routers {
 		for ix := range 48 {
@@ -144,14 +144,14 @@
 		}
 		re.tick()
 	}
-	if part := float64(re.over) / float64(re.placed); part > 0.03 {
+	if part := float64(re.beyondCap) / float64(re.placed); part > 0.03 {
 		t.Errorf("%.3f of %d calls went beyond the cap, want at most 0.03", part, re.placed)
 	}
 }
 
 // Guards against refusals for the cap when most of a pool is evacuated: the endpoints that are
 // left take what they have places for.
-func TestWhatIsLeftOfAPoolServes(t *testing.T) {
+func TestOpenEndpointsServeDuringAnEvacuation(t *testing.T) {
 	pl := newPlacer(1)
 	for ix := range 12 {
 		pl.Register(begin, inZone(ix, []core.Zone{"a", "b", "c", "d"}[ix%4]))
@@ -160,7 +160,7 @@
 		pl.Evacuate(begin, zone, begin)
 	}
 	for id := range uint64(120) {
-		if _, rf := pl.Pick(begin, ask(chat(id, id))); rf != nil {
+		if _, rf := pl.Pick(begin, newRequest(chat(id, id))); rf != nil {
 			t.Fatalf("refused with 3 endpoints of 48 places and %d calls: %v", id, rf)
 		}
 	}
@@ -168,7 +168,7 @@
 
 // Guards against a third of all chats that move in the same moment: they leave an evacuated zone
 // over the time that there is, each once, and none is left when that ends.
-func TestChatsLeaveAnEvacuatedZoneOneAfterTheOther(t *testing.T) {
+func TestChatsLeaveAnEvacuatedZoneGradually(t *testing.T) {
 	const within = 4 * time.Second
 	pl := newPlacer(1)
 	for ix := range 12 {
@@ -181,7 +181,7 @@
 	for step := 0; step <= 8; step++ {
 		at := now.Add(time.Duration(step) * within / 8)
 		for id := range uint64(400) {
-			if zone := serve(t, pl, at, ask(chat(id, id))).Endpoint.Zone; zone == "a" {
+			if zone := serve(t, pl, at, newRequest(chat(id, id))).Endpoint.Zone; zone == "a" {
 				left[id] = true
 			} else if left[id] {
 				t.Fatalf("chat %d returned to the evacuated zone", id)
