--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -125,7 +125,7 @@
 		ga.Loads.Observe(core.LoadEntry{Pool: "chat", VM: "one", Load: 500})
 		offer(t, ga, ticket("c", core.PriorityNormal))
 		time.Sleep(loads.Stale + time.Second)
-		if _, re := ga.Offer(ticket("c", core.PriorityNormal)); re == nil || len(re.Instead) != 0 {
+		if _, re := ga.Offer(ticket("c", core.PriorityNormal)); re == nil || len(re.Alternatives) != 0 {
 			t.Errorf("on stale figures: %v", re)
 		}
 	})
--- a/core/admit/report.go
+++ b/core/admit/report.go
@@ -95,18 +95,18 @@
 	limit := core.Work(ga.limits.LoadFactor*float64(mean)) - wo
 	return &core.Refusal{
 		Outcome: core.NotRun, Reason: core.ReasonLoadCap, Step: "admit", Peer: string(ga.VM),
-		Detail:     "the endpoint is at its multiple of the pool's mean load",
-		Instead:    ga.Loads.Less(max(limit, mean), instead, ga.Rand),
-		RetryAfter: leastRetryAfter,
+		Detail:       "the endpoint is at its multiple of the pool's mean load",
+		Alternatives: ga.Loads.Less(max(limit, mean), instead, ga.Rand),
+		RetryAfter:   leastRetryAfter,
 	}
 }
 
 func (ga *Gate) refuseQueue(ti *Ticket) *core.Refusal {
 	re := &core.Refusal{
 		Outcome: core.NotRun, Reason: core.ReasonQueueFull, Step: "admit", Peer: string(ga.VM),
-		Detail:     "the endpoint's queue is full",
-		Instead:    ga.Loads.Less(ga.load, instead, ga.Rand),
-		RetryAfter: ga.retryAfter(),
+		Detail:       "the endpoint's queue is full",
+		Alternatives: ga.Loads.Less(ga.load, instead, ga.Rand),
+		RetryAfter:   ga.retryAfter(),
 	}
 	if float64(ti.account.waiting)*ga.weights > float64(ga.queue.work)*ti.account.weight {
 		re.Reason = core.ReasonShareExceeded
--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -311,7 +311,7 @@
 // reloading refuses a call while the endpoint loads another model or version.
 func (ag *Agent) reloading(sl *Slot) *core.Refusal {
 	re := ag.refuse(core.ReasonReloading, "enter", "the engine is loading another model or version")
-	re.Instead = sl.gate.Less()
+	re.Alternatives = sl.gate.Less()
 	return re
 }
 
--- a/core/agent/control.go
+++ b/core/agent/control.go
@@ -94,13 +94,13 @@
 			held = held && sl.Held()
 			st := sl.gate.Standing()
 			own.Load += st.Load
-			own.Drain += st.Drain
+			own.Throughput += st.Drain
 			count++
 		}
 	}
 	own.Draining = own.Draining || held
 	own.Load /= max(1, count)
-	own.Drain /= max(1, count)
+	own.Throughput /= max(1, count)
 }
 
 // Hear takes in a peer's digest.
@@ -129,7 +129,7 @@
 	for home, pls := range ag.places.take() {
 		if ag.maySend(placementSize * core.Bytes(len(pls))) {
 			// A lost message is only a lost hint.
-			_ = ag.Peers.Place(ctx, home, pls)
+			_ = ag.Peers.UpdatePlacements(ctx, home, pls)
 		}
 	}
 }
--- a/core/agent/crash.go
+++ b/core/agent/crash.go
@@ -36,7 +36,7 @@
 // findCrash tells routers by the reason that the endpoint crashed while it ran the call: they
 // count for each request, and stop sending one that is there each time.
 func (ag *Agent) findCrash(ctx context.Context, sl *Slot, began time.Time, re *core.Refusal) {
-	en, able := sl.Endpoint.(core.Liveness)
+	en, able := sl.Endpoint.(core.LivenessProber)
 	if !able || re.Outcome == core.NotRun || !brokeOff[re.Reason] {
 		return
 	}
--- a/core/agent/hand.go
+++ b/core/agent/hand.go
@@ -83,7 +83,7 @@
 			if ag.waitToSend(ctx, placementSize*core.Bytes(len(batch))) != nil {
 				return handed
 			}
-			if ag.Peers.Place(ctx, home, batch) == nil {
+			if ag.Peers.UpdatePlacements(ctx, home, batch) == nil {
 				handed += len(batch)
 			}
 		}
@@ -151,7 +151,7 @@
 	rd, wr := io.Pipe()
 	go func() { wr.CloseWithError(ca.Export(ctx, key, wr)) }()
 	counted := &counter{from: rd}
-	err := ag.Peers.Hand(ctx, home, &core.Handover{Placement: he.Placement, Tokens: he.Tokens}, counted)
+	err := ag.Peers.HandOver(ctx, home, &core.Handover{Placement: he.Placement, Tokens: he.Tokens}, counted)
 	// The exporter may still be writing where the other side refused.
 	_ = rd.CloseWithError(io.ErrClosedPipe)
 	return counted.size, err
--- a/core/agent/place.go
+++ b/core/agent/place.go
@@ -57,20 +57,20 @@
 
 // pointElsewhere refuses a call whose chat is better served by another agent.
 func (ag *Agent) pointElsewhere(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, key uint64, he *chats.Held) *core.Refusal {
-	if ca.Forced {
+	if ca.NoRedirect {
 		return nil
 	}
 	if he != nil && he.Tokens*4 >= ca.Prompt*3 {
 		return ag.tooBusy(gr, sl, ca)
 	}
 	if vm, away := ag.Book.Away(key); away {
-		if vm == ca.Missed || !ag.worthGoing(sn, gr, sl, ca, vm) {
+		if vm == ca.StaleHolder || !ag.worthGoing(sn, gr, sl, ca, vm) {
 			ag.Book.Unpoint(key, vm)
 			return nil
 		}
 		return ag.pointTo(vm, "another agent has the chat's context")
 	}
-	if home := ag.home(sn, ca.Pool, key); home != ag.Self && home != ca.Missed && home != "" {
+	if home := ag.home(sn, ca.Pool, key); home != ag.Self && home != ca.StaleHolder && home != "" {
 		return ag.pointTo(home, "the chat's home is another agent")
 	}
 	return nil
@@ -94,7 +94,7 @@
 		return nil
 	}
 	re := ag.refuse(core.ReasonBusyHolder, "place", "prefilling elsewhere is quicker than waiting here")
-	re.Instead = less
+	re.Alternatives = less
 	return re
 }
 
@@ -162,7 +162,7 @@
 	for _, pl := range pls {
 		key := ring.Key(pl.Customer, pl.Pool, pl.Chat)
 		switch {
-		case pl.Gone:
+		case pl.Withdrawn:
 			ag.Book.Unpoint(key, pl.VM)
 		case pl.VM != ag.Self:
 			ag.Book.Point(key, pl)
@@ -172,6 +172,6 @@
 
 func (ag *Agent) pointTo(vm core.VMID, detail string) *core.Refusal {
 	re := ag.refuse(core.ReasonHeldElsewhere, "place", detail)
-	re.Instead = []core.VMID{vm}
+	re.Alternatives = []core.VMID{vm}
 	return re
 }
--- a/core/call.go
+++ b/core/call.go
@@ -24,11 +24,11 @@
 	// Prompt and Output are the expected sizes in tokens.
 	Prompt Tokens
 	Output Tokens
-	// Missed is a VM that was asked for the chat's context and has it no longer.
-	Missed VMID
-	// Forced asks the agent to run the call rather than point elsewhere for the
+	// StaleHolder is a VM that was asked for the chat's context and has it no longer.
+	StaleHolder VMID
+	// NoRedirect asks the agent to run the call rather than point elsewhere for the
 	// chat's context: the router has already followed a pointer.
-	Forced bool
+	NoRedirect bool
 	// Method, Path and ContentType are those of the request to the endpoint.
 	Method      string
 	Path        string
@@ -79,8 +79,8 @@
 	Do(ctx context.Context, ca *Call, si Sink) (Usage, error)
 }
 
-// Liveness is an endpoint that can be asked whether its process is there.
-type Liveness interface {
+// LivenessProber is an endpoint that can be asked whether its process is there.
+type LivenessProber interface {
 	// Alive is false only if nothing listens there.
 	Alive(ctx context.Context) bool
 }
@@ -97,18 +97,18 @@
 type Peers interface {
 	Serve(ctx context.Context, to VMID, ca *Call, si Sink) (*Report, error)
 	Exchange(ctx context.Context, to VMID, di *Digest) (*Digest, error)
-	Claim(ctx context.Context, to VMID, cl *Claim) (*Verdict, error)
+	Claim(ctx context.Context, to VMID, cl *Claim) (*ClaimReply, error)
 	Fetch(ctx context.Context, to VMID, since Revision) (*Changes, error)
-	Place(ctx context.Context, to VMID, pl []Placement) error
-	// Blame tells a router of a request that crashes endpoints.
-	Blame(ctx context.Context, to VMID, no *BlameNote) error
+	UpdatePlacements(ctx context.Context, to VMID, pl []Placement) error
+	// NotifyCrash tells a router of a request that crashes endpoints.
+	NotifyCrash(ctx context.Context, to VMID, no *CrashNotice) error
 	// Order hands an agent an order for an endpoint beside it, and Inspect asks
 	// for the state of all of them. Order's error is a *Refusal.
 	Order(ctx context.Context, to VMID, or *Order) error
 	Inspect(ctx context.Context, to VMID) ([]EndpointState, error)
-	// Hand moves a chat's context to another agent's engine. Its error is a
+	// HandOver moves a chat's context to another agent's engine. Its error is a
 	// *Refusal. A context that cannot be read to its end is not kept there.
-	Hand(ctx context.Context, to VMID, ha *Handover, context io.Reader) error
+	HandOver(ctx context.Context, to VMID, ha *Handover, context io.Reader) error
 }
 
 // Digest is what two processes tell each other in the background.
@@ -125,10 +125,10 @@
 	Pool PoolID
 	VM   VMID
 	Load Work
-	// Drain is the work a second that the endpoint finished lately.
-	Drain    Work
-	Age      time.Duration
-	Draining bool
+	// Throughput is the work a second that the endpoint finished lately.
+	Throughput Work
+	Age        time.Duration
+	Draining   bool
 }
 
 // Placement says that an agent holds a chat's context; sent to the chat's home.
@@ -137,8 +137,8 @@
 	Pool     PoolID
 	Chat     ChatID
 	VM       VMID
-	// Gone withdraws it.
-	Gone bool
+	// Withdrawn withdraws it.
+	Withdrawn bool
 }
 
 // Handover is a chat's context on its way from a leaving agent to another one.
@@ -172,8 +172,8 @@
 	Incarnation Incarnation
 }
 
-// Verdict answers a Claim. Granted: By is the asker. Otherwise Holder has it.
-type Verdict struct {
+// ClaimReply answers a Claim. Granted: By is the asker. Otherwise Holder has it.
+type ClaimReply struct {
 	Granted bool
 	Holder  Claimant
 }
--- a/core/claim/ask.go
+++ b/core/claim/ask.go
@@ -25,7 +25,7 @@
 
 // Ask asks the keeper of the claim's shard, or the own one where that cannot be
 // reached or does not answer in time.
-func (as *Asker) Ask(ctx context.Context, cl *core.Claim) (*core.Verdict, error) {
+func (as *Asker) Ask(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error) {
 	to := as.keeperOf(ShardOf(cl.Hash, as.Keeper.Shards))
 	if to == as.Self.VM || to == "" {
 		return as.Keeper.Claim(ctx, cl)
--- a/core/claim/chain.go
+++ b/core/claim/chain.go
@@ -55,7 +55,7 @@
 	}
 	var he head
 	en, err := sh.keeper.KV.Get(ctx, headKey(sh.shardNo))
-	if err != nil && !errors.Is(err, core.ErrAbsent) {
+	if err != nil && !errors.Is(err, core.ErrNotFound) {
 		return fmt.Errorf("read head: %w", err)
 	}
 	if err == nil {
--- a/core/claim/keeper.go
+++ b/core/claim/keeper.go
@@ -95,7 +95,7 @@
 }
 
 // Claim asks for a key and waits for the verdict, ErrUnsettled or ctx's end.
-func (ke *Keeper) Claim(ctx context.Context, cl *core.Claim) (*core.Verdict, error) {
+func (ke *Keeper) Claim(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error) {
 	return ke.shard(ShardOf(cl.Hash, ke.Shards)).claim(ctx, cl)
 }
 
@@ -164,7 +164,7 @@
 }
 
 type answer struct {
-	verdict *core.Verdict
+	verdict *core.ClaimReply
 	err     error
 }
 
@@ -198,7 +198,7 @@
 	return len(sh.young) + len(sh.old)
 }
 
-func (sh *shard) claim(ctx context.Context, cl *core.Claim) (*core.Verdict, error) {
+func (sh *shard) claim(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error) {
 	sh.mu.Lock()
 	if ve := sh.verdict(cl); ve != nil {
 		sh.mu.Unlock()
@@ -220,13 +220,13 @@
 }
 
 // verdict answers from what is known, nil if the key is not. Called locked.
-func (sh *shard) verdict(cl *core.Claim) *core.Verdict {
+func (sh *shard) verdict(cl *core.Claim) *core.ClaimReply {
 	he, known := sh.find(cl.Hash)
 	if !known {
 		return nil
 	}
 	by := sh.claimants[he.by]
-	return &core.Verdict{Granted: by == cl.By, Holder: by}
+	return &core.ClaimReply{Granted: by == cl.By, Holder: by}
 }
 
 // find looks a claim up that is not older than the window. Called locked.
--- a/core/claim/keys.go
+++ b/core/claim/keys.go
@@ -25,7 +25,7 @@
 	// Within bounds the time that a claim may take.
 	Within time.Duration
 	// Ask asks the key's keeper.
-	Ask func(ctx context.Context, cl *core.Claim) (*core.Verdict, error)
+	Ask func(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error)
 	// Alive tells whether a claimant is, as far as known, still there.
 	Alive func(by core.Claimant) bool
 	// Replayed, if set, counts a replay.
@@ -215,7 +215,7 @@
 			"the key was claimed by a process that is gone: "+string(ve.Holder.VM))
 	}
 	re := ke.refuse(core.NotRun, core.ReasonHeldElsewhere, "the key was claimed by another agent")
-	re.Instead = []core.VMID{ve.Holder.VM}
+	re.Alternatives = []core.VMID{ve.Holder.VM}
 	return re
 }
 
--- a/core/blame.go
+++ b/core/crash.go
@@ -28,21 +28,21 @@
 	At       time.Time
 }
 
-// BlameKind is what a BlameNote tells.
-type BlameKind uint8
+// CrashNoticeKind is what a BlameNote tells.
+type CrashNoticeKind uint8
 
 const (
 	// BlameSuspected: the request was running at an endpoint when that crashed.
-	BlameSuspected BlameKind = iota + 1
+	NoticeSuspected CrashNoticeKind = iota + 1
 	// BlameQuarantined: it has crashed so many that it is not sent to any more.
-	BlameQuarantined
+	NoticeQuarantined
 	// BlameCleared: an attempt at it has ended well, or it was lifted; it is not suspected any more.
-	BlameCleared
+	NoticeCleared
 )
 
-// BlameNote is what routers tell each other about a request.
-type BlameNote struct {
-	Kind    BlameKind
+// CrashNotice is what routers tell each other about a request.
+type CrashNotice struct {
+	Kind    CrashNoticeKind
 	Request Fingerprint
 	Crashes []Crash
 }
@@ -59,30 +59,30 @@
 	Rev Version
 }
 
-// Quarantines keeps entries in the platform's store.
-type Quarantines interface {
+// QuarantineStore keeps entries in the platform's store.
+type QuarantineStore interface {
 	// PutQuarantine writes the entry if the store's is still of revision Rev, and returns
 	// its new one. ErrConflict: it is not.
 	PutQuarantine(ctx context.Context, qu Quarantine) (Version, error)
-	// DropQuarantine removes the entry if it is still of revision Rev.
-	DropQuarantine(ctx context.Context, qu Quarantine) error
+	// DeleteQuarantine removes the entry if it is still of revision Rev.
+	DeleteQuarantine(ctx context.Context, qu Quarantine) error
 }
 
-// Blame finds out which requests crash the endpoints that run them.
-type Blame interface {
-	// May tells whether the request may be sent to an endpoint now, or else when it might.
-	May(ctx context.Context, fp Fingerprint) (allowed bool, after time.Duration)
-	// Ended tells that an attempt ended well.
-	Ended(fp Fingerprint)
+// CrashTracker finds out which requests crash the endpoints that run them.
+type CrashTracker interface {
+	// Allowed tells whether the request may be sent to an endpoint now, or else when it might.
+	Allowed(ctx context.Context, fp Fingerprint) (allowed bool, after time.Duration)
+	// Succeeded tells that an attempt ended well.
+	Succeeded(fp Fingerprint)
 	// Crashed tells that an endpoint, named by a hash, crashed while it ran the request.
 	Crashed(endpoint uint64, fp Fingerprint)
 }
 
-// CrashWatch is a Blame that finds out by itself whether endpoints crashed.
-type CrashWatch interface {
-	Blame
-	// Broke tells that an attempt broke off, or got no answer in its time.
-	Broke(en EndpointRef, began time.Time, fp Fingerprint)
-	// Refused tells that the endpoint refused a connection.
-	Refused(en EndpointRef)
+// CrashDetector is a Blame that finds out by itself whether endpoints crashed.
+type CrashDetector interface {
+	CrashTracker
+	// Interrupted tells that an attempt broke off, or got no answer in its time.
+	Interrupted(en EndpointRef, began time.Time, fp Fingerprint)
+	// ConnRefused tells that the endpoint refused a connection.
+	ConnRefused(en EndpointRef)
 }
--- a/core/crash/fleet_test.go
+++ b/core/crash/fleet_test.go
@@ -301,7 +301,7 @@
 		for to := range fleetRouters {
 			fl.sendNote(router, to, no)
 		}
-		if no.Kind == core.BlameQuarantined {
+		if no.Kind == core.NoticeQuarantined {
 			fl.schedule(50*time.Millisecond, func() { fl.storeDecisions(router, false) })
 		}
 	}
@@ -317,7 +317,7 @@
 	}
 }
 
-func (fl *fleet) sendNote(from, to int, no core.BlameNote) {
+func (fl *fleet) sendNote(from, to int, no core.CrashNotice) {
 	if from == to || fl.ra.Float64() < fl.lossRate {
 		return
 	}
@@ -337,7 +337,7 @@
 	fl.apply(router, ef)
 	for _, de := range unstored {
 		if broadcast {
-			fl.apply(router, crash.Effects{ToAll: []core.BlameNote{de.Note}})
+			fl.apply(router, crash.Effects{ToAll: []core.CrashNotice{de.Note}})
 		}
 		if fl.store[de.Entry.Request].Rev == 0 {
 			fl.writeEntry(de.Entry)
--- a/core/crash/quarantine.go
+++ b/core/crash/quarantine.go
@@ -62,8 +62,8 @@
 // crashCount is at how many crashes it was.
 func (qu *quarantine) crashCount() int { return max(qu.storedCrashes, len(qu.crashes)) }
 
-func (qu *quarantine) note(fp core.Fingerprint) core.BlameNote {
-	return core.BlameNote{Kind: core.BlameQuarantined, Request: fp, Crashes: slices.Clone(qu.crashes)}
+func (qu *quarantine) note(fp core.Fingerprint) core.CrashNotice {
+	return core.CrashNotice{Kind: core.NoticeQuarantined, Request: fp, Crashes: slices.Clone(qu.crashes)}
 }
 
 // ensureQuarantine is a request's quarantine, begun if there is none; nil if there are too many.
--- a/core/crash/table.go
+++ b/core/crash/table.go
@@ -40,8 +40,8 @@
 // Effects are what a router has to do for what it heard or saw.
 type Effects struct {
 	// ToOwners are for the routers that count the crashes of the request, ToAll for all.
-	ToOwners []core.BlameNote
-	ToAll    []core.BlameNote
+	ToOwners []core.CrashNotice
+	ToAll    []core.CrashNotice
 	// Remove are entries of the platform's store that hold no longer.
 	Remove []core.Quarantine
 	// Quarantined are requests that are quarantined from now on, Over those that are not any more.
@@ -86,7 +86,7 @@
 		if ta.successes.succeededSince(fp, now.Add(-successWindow)) {
 			continue
 		}
-		ef.ToOwners = append(ef.ToOwners, core.BlameNote{Kind: core.BlameSuspected, Request: fp, Crashes: []core.Crash{cr}})
+		ef.ToOwners = append(ef.ToOwners, core.CrashNotice{Kind: core.NoticeSuspected, Request: fp, Crashes: []core.Crash{cr}})
 		ta.recordCrash(now, fp, cr, &ef)
 	}
 	return ef
@@ -111,7 +111,7 @@
 // clear takes back what is held against a request.
 func (ta *Table) clear(fp core.Fingerprint) Effects {
 	var ef Effects
-	cleared := core.BlameNote{Kind: core.BlameCleared, Request: fp}
+	cleared := core.CrashNotice{Kind: core.NoticeCleared, Request: fp}
 	if qu := ta.quarantined[fp]; qu != nil {
 		ef.ToAll = append(ef.ToAll, cleared)
 		if qu.rev != 0 {
@@ -126,22 +126,22 @@
 }
 
 // ApplyNote takes a peer's note.
-func (ta *Table) ApplyNote(now time.Time, no core.BlameNote) Effects {
+func (ta *Table) ApplyNote(now time.Time, no core.CrashNotice) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var ef Effects
 	switch no.Kind {
-	case core.BlameSuspected:
+	case core.NoticeSuspected:
 		for _, cr := range no.Crashes {
 			ta.recordCrash(now, no.Request, cr, &ef)
 		}
-	case core.BlameCleared:
+	case core.NoticeCleared:
 		ta.successes.record(no.Request, now)
 		delete(ta.suspects, no.Request)
 		ta.release(no.Request, &ef)
-	case core.BlameQuarantined:
+	case core.NoticeQuarantined:
 		if ta.succeededBefore(no) {
-			ef.ToAll = append(ef.ToAll, core.BlameNote{Kind: core.BlameCleared, Request: no.Request})
+			ef.ToAll = append(ef.ToAll, core.CrashNotice{Kind: core.NoticeCleared, Request: no.Request})
 			break
 		}
 		qu := ta.ensureQuarantine(now, no.Request, &ef)
@@ -158,7 +158,7 @@
 }
 
 // succeededBefore tells whether this router saw the request end around the time of its first crash.
-func (ta *Table) succeededBefore(no core.BlameNote) bool {
+func (ta *Table) succeededBefore(no core.CrashNotice) bool {
 	if len(no.Crashes) == 0 {
 		return false
 	}
--- a/core/crash/table_test.go
+++ b/core/crash/table_test.go
@@ -18,8 +18,8 @@
 	return []core.Crash{{Endpoint: endpoint, At: after(ms)}}
 }
 
-func suspected(fp core.Fingerprint, endpoint uint64, ms int) core.BlameNote {
-	return core.BlameNote{Kind: core.BlameSuspected, Request: fp, Crashes: crashAt(endpoint, ms)}
+func suspected(fp core.Fingerprint, endpoint uint64, ms int) core.CrashNotice {
+	return core.CrashNotice{Kind: core.NoticeSuspected, Request: fp, Crashes: crashAt(endpoint, ms)}
 }
 
 // crashThreeEndpoints has a request crash three endpoints of one router, at 0, 1 and 2 s, and
@@ -71,7 +71,7 @@
 // counts of the keeper start anew.
 func TestSuccessfulRequestIsCleared(t *testing.T) {
 	ta, owner := &crash.Table{}, &crash.Table{}
-	applyNotes := func(ms int, notes []core.BlameNote) {
+	applyNotes := func(ms int, notes []core.CrashNotice) {
 		for _, no := range notes {
 			owner.ApplyNote(after(ms), no)
 		}
@@ -100,7 +100,7 @@
 		if ef := ta.EndpointCrashed(after(1000*ix+500), uint64(10+ix), []core.Fingerprint{first}); len(ef.ToOwners) > 0 {
 			t.Errorf("crash %d is told: %+v", ix, ef)
 		}
-		owner.ApplyNote(after(1000*ix), core.BlameNote{Kind: core.BlameCleared, Request: first})
+		owner.ApplyNote(after(1000*ix), core.CrashNotice{Kind: core.NoticeCleared, Request: first})
 		owner.ApplyNote(after(1000*ix+510), suspected(first, uint64(10+ix), 1000*ix+500))
 	}
 	if quarantined(ta, after(5000), first) || quarantined(owner, after(5000), first) {
@@ -125,7 +125,7 @@
 		t.Fatalf("the test does not bring the quarantine about: %+v", ef)
 	}
 	objection := witness.ApplyNote(after(32), ef.ToAll[0])
-	if len(objection.ToAll) != 1 || objection.ToAll[0].Kind != core.BlameCleared {
+	if len(objection.ToAll) != 1 || objection.ToAll[0].Kind != core.NoticeCleared {
 		t.Fatalf("the router that served it does not object: %+v", objection)
 	}
 	owner.ApplyNote(after(34), objection.ToAll[0])
@@ -254,7 +254,7 @@
 		t.Error("the store's entry is not in force")
 	}
 	notified := &crash.Table{}
-	no := core.BlameNote{Kind: core.BlameQuarantined, Request: second, Crashes: crashAt(10, -2000)}
+	no := core.CrashNotice{Kind: core.NoticeQuarantined, Request: second, Crashes: crashAt(10, -2000)}
 	for s := range 40 {
 		notified.ApplyNote(after(1000*s), no)
 	}
--- a/core/crash/verdict.go
+++ b/core/crash/verdict.go
@@ -75,7 +75,7 @@
 
 // Decision is a quarantine that this router decided and the store does not have yet.
 type Decision struct {
-	Note  core.BlameNote
+	Note  core.CrashNotice
 	Entry core.Quarantine
 }
 
--- a/core/loads/loads.go
+++ b/core/loads/loads.go
@@ -110,7 +110,7 @@
 	if old, known := ta.figures[en.VM]; known && !at.After(old.at) {
 		return
 	}
-	ta.figures[en.VM] = figure{load: en.Load, drain: en.Drain, at: at, draining: en.Draining}
+	ta.figures[en.VM] = figure{load: en.Load, drain: en.Throughput, at: at, draining: en.Draining}
 	ta.summed = time.Time{}
 }
 
@@ -225,7 +225,7 @@
 			continue
 		}
 		entries = append(entries, core.LoadEntry{
-			Pool: ta.Pool, VM: vm, Load: fi.load, Drain: fi.drain, Age: age, Draining: fi.draining,
+			Pool: ta.Pool, VM: vm, Load: fi.load, Throughput: fi.drain, Age: age, Draining: fi.draining,
 		})
 	}
 	ta.mu.Unlock()
--- a/core/order/control.go
+++ b/core/order/control.go
@@ -255,7 +255,7 @@
 	if now.Problem == nil && now.Phase != core.PhaseUnreachable {
 		co.pace.Well()
 		delete(se.again, now.Endpoint)
-		if known && now.Engine.Meets(&or) {
+		if known && now.Engine.Satisfies(&or) {
 			co.proofOf(now.Pool, &or).proved = true
 		}
 		return
--- a/core/order/gate.go
+++ b/core/order/gate.go
@@ -77,7 +77,7 @@
 // waiting for calls in progress may take minutes, in which the lease can lapse
 // and another holder decide otherwise.
 func (ga *Gate) run(ctx context.Context, se *Seat, or *core.Order) *core.Refusal {
-	if st, err := ga.state(ctx, se); err == nil && st.Meets(or) {
+	if st, err := ga.state(ctx, se); err == nil && st.Satisfies(or) {
 		return nil
 	}
 	if or.Kind == core.OrderLoadModel {
@@ -171,7 +171,7 @@
 	es := core.EndpointState{Endpoint: se.ID, Pool: se.Pool, Phase: core.PhaseReady}
 	st, err := ga.state(ctx, se)
 	switch {
-	case errors.Is(err, core.ErrNoOrders):
+	case errors.Is(err, core.ErrOrdersUnsupported):
 		es.Phase = core.PhaseUnmanaged
 	case err != nil:
 		es.Phase = core.PhaseUnreachable
@@ -189,7 +189,7 @@
 
 func (ga *Gate) state(ctx context.Context, se *Seat) (*core.EngineState, error) {
 	if se.Engine == nil {
-		return nil, core.ErrNoOrders
+		return nil, core.ErrOrdersUnsupported
 	}
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
--- a/core/order/lease.go
+++ b/core/order/lease.go
@@ -98,7 +98,7 @@
 	switch {
 	case err == nil:
 		le.extend(sent)
-	case errors.Is(err, core.ErrLeaseGone):
+	case errors.Is(err, core.ErrLeaseExpired):
 		le.drop()
 	}
 	// Any other error leaves the lease as it was: it may have been renewed, but
@@ -109,7 +109,7 @@
 func (le *Lease) acquire(ctx context.Context) error {
 	le.drop()
 	sent := le.Clock.Now()
-	if _, err := le.KV.Get(ctx, holderKey); !errors.Is(err, core.ErrAbsent) {
+	if _, err := le.KV.Get(ctx, holderKey); !errors.Is(err, core.ErrNotFound) {
 		if err == nil {
 			err = ErrHeld
 		}
@@ -182,7 +182,7 @@
 // entry's version; 0 if there were none.
 func current(ctx context.Context, kv core.KV) (core.Fence, core.Version, error) {
 	en, err := kv.Get(ctx, fenceKey)
-	if errors.Is(err, core.ErrAbsent) {
+	if errors.Is(err, core.ErrNotFound) {
 		return 0, 0, nil
 	}
 	if err != nil {
--- a/core/order/plan.go
+++ b/core/order/plan.go
@@ -90,7 +90,7 @@
 		return nil
 	}
 	for _, or := range orders(po, es) {
-		if !es.Engine.Meets(&or) {
+		if !es.Engine.Satisfies(&or) {
 			return &or
 		}
 	}
--- a/core/orders.go
+++ b/core/orders.go
@@ -39,8 +39,8 @@
 	Role     string
 }
 
-// Meets tells whether the state is what the order wants.
-func (es *EngineState) Meets(or *Order) bool {
+// Satisfies tells whether the state is what the order wants.
+func (es *EngineState) Satisfies(or *Order) bool {
 	switch or.Kind {
 	case OrderLoadModel:
 		return es.Model == or.Name && es.Version == or.Version
@@ -80,7 +80,7 @@
 }
 
 // ErrNoOrders: the endpoint has no interface for orders.
-var ErrNoOrders = errors.New("endpoint takes no orders")
+var ErrOrdersUnsupported = errors.New("endpoint takes no orders")
 
 // Orderable is an endpoint that takes orders. Order returns once the engine is
 // done; its error is a *Refusal. Source: the engine's own HTTP protocol.
--- a/core/outcome.go
+++ b/core/outcome.go
@@ -98,8 +98,8 @@
 	RetryAfter time.Duration
 	// Status is the endpoint's own HTTP status where it answered with an error.
 	Status int
-	// Instead names VMs to try in its place, best first.
-	Instead []VMID
+	// Alternatives names VMs to try in its place, best first.
+	Alternatives []VMID
 }
 
 // Error carries step and peer.
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -164,8 +164,8 @@
 
 // After is the member to try after a refusal, -1 if there is no other.
 func (se *Search) After(re *core.Refusal) int {
-	if re.Reason == core.ReasonHeldElsewhere && len(re.Instead) > 0 {
-		if ix := se.Pool.Index(re.Instead[0]); ix >= 0 && !se.was(ix) {
+	if re.Reason == core.ReasonHeldElsewhere && len(re.Alternatives) > 0 {
+		if ix := se.Pool.Index(re.Alternatives[0]); ix >= 0 && !se.was(ix) {
 			return se.note(ix)
 		}
 	}
@@ -174,7 +174,7 @@
 		se.walked++
 		return se.note(se.nextHome())
 	}
-	if ix := se.lighter(re.Instead); ix >= 0 {
+	if ix := se.lighter(re.Alternatives); ix >= 0 {
 		return se.note(ix)
 	}
 	if service {
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -74,7 +74,7 @@
 func TestWalkBeforeNames(t *testing.T) {
 	po := pool(12, 1)
 	search := func(names ...core.VMID) []int {
-		refusal := &core.Refusal{Reason: core.ReasonLoadCap, Instead: names}
+		refusal := &core.Refusal{Reason: core.ReasonLoadCap, Alternatives: names}
 		se := pick.Search{Pool: po, Key: 99, Rand: clock.NewRand(1)}
 		return []int{se.First(), se.After(refusal), se.After(refusal), se.After(refusal)}
 	}
--- a/core/platform.go
+++ b/core/platform.go
@@ -23,11 +23,11 @@
 // taken effect.
 var (
 	// ErrAbsent: no such entry.
-	ErrAbsent = errors.New("kv: entry absent")
+	ErrNotFound = errors.New("kv: entry absent")
 	// ErrConflict: the entry's version is not the expected one; nothing was written.
 	ErrConflict = errors.New("kv: version conflict")
 	// ErrLeaseGone: the lease has lapsed; nothing was written.
-	ErrLeaseGone = errors.New("kv: lease gone")
+	ErrLeaseExpired = errors.New("kv: lease gone")
 )
 
 // Entry is a KV entry. Version grows with every write to the store, so it also
@@ -57,22 +57,22 @@
 	Watch(ctx context.Context, prefix string, after Version) (Entry, error)
 }
 
-// Counts knows how many calls endpoints have, from what they said to any router.
+// InFlightCounts knows how many calls endpoints have, from what they said to any router.
 // Endpoints are named by the hashes of their ids and starts.
-type Counts interface {
-	// Ask tells how many calls the endpoint has, before the one that the asker is about to
+type InFlightCounts interface {
+	// InFlight tells how many calls the endpoint has, before the one that the asker is about to
 	// place; false if that is unknown, or not told in time.
-	Ask(ctx context.Context, endpoint uint64) (calls int, known bool)
-	// Said passes on what an endpoint said.
-	Said(endpoint uint64, calls int)
-	// Down passes on that no connection to the endpoint could be made, Leaves that it has
+	InFlight(ctx context.Context, endpoint uint64) (calls int, known bool)
+	// ReportInFlight passes on what an endpoint said.
+	ReportInFlight(endpoint uint64, calls int)
+	// ReportDown passes on that no connection to the endpoint could be made, Leaves that it has
 	// announced that it leaves.
-	Down(endpoint uint64)
-	Leaves(endpoint uint64)
+	ReportDown(endpoint uint64)
+	ReportDraining(endpoint uint64)
 }
 
-// Grants divides limits in requests a second among the routers that share them.
-type Grants interface {
+// RateLimiter divides limits in requests a second among the routers that share them.
+type RateLimiter interface {
 	// Grant takes one of the requests a second that the endpoint gets from all routers; false,
 	// and when to ask again, if there is none, or if nobody could tell.
 	Grant(ctx context.Context, endpoint uint64, perSecond int) (granted bool, after time.Duration)
@@ -84,8 +84,8 @@
 const (
 	// VMLive may get work.
 	VMLive VMState = iota
-	// VMLeaving finishes what it has.
-	VMLeaving
+	// VMDraining finishes what it has.
+	VMDraining
 	// VMGone is no longer there.
 	VMGone
 )
@@ -130,13 +130,13 @@
 // ErrCompacted: the store no longer has the changes that were asked for.
 var ErrCompacted = errors.New("kv: history compacted")
 
-// Feed tells what changes in the platform's store.
-type Feed interface {
-	// All lists every item, and the revision from which on changes may be missing. heard is
+// ChangeFeed tells what changes in the platform's store.
+type ChangeFeed interface {
+	// List lists every item, and the revision from which on changes may be missing. heard is
 	// called whenever a part of the answer has arrived, with the items that became complete by
 	// it, if any; it may be called from any goroutine. With stale, parts of the listing may be
 	// some seconds old, at a fraction of what it costs the store otherwise.
-	All(ctx context.Context, stale bool, heard func(some []Item)) ([]Item, Version, error)
+	List(ctx context.Context, stale bool, heard func(some []Item)) ([]Item, Version, error)
 	// Changes waits until something changed after that revision, or for wait. It
 	// returns the changes and the revision up to which they are complete.
 	// ErrCompacted: they are no longer known; list anew.
--- a/core/router/router.go
+++ b/core/router/router.go
@@ -53,7 +53,7 @@
 	// Exhausted, if set, counts a retry that the Budget did not allow.
 	Exhausted func()
 	// Blame, if set, knows requests that crash endpoints.
-	Blame core.Blame
+	Blame core.CrashTracker
 	// Heard, if set, is told of every peer's revision.
 	Heard func(from core.VMID, rev core.Revision)
 }
@@ -168,7 +168,7 @@
 	if at.ro.Blame == nil {
 		return nil
 	}
-	allowed, after := at.ro.Blame.May(ctx, at.fingerprint)
+	allowed, after := at.ro.Blame.Allowed(ctx, at.fingerprint)
 	if allowed {
 		return nil
 	}
@@ -184,7 +184,7 @@
 		return
 	}
 	if err == nil {
-		at.ro.Blame.Ended(at.fingerprint)
+		at.ro.Blame.Succeeded(at.fingerprint)
 		return
 	}
 	if re := core.AsRefusal(err, "serve", string(vm)); re.Reason == core.ReasonCrashed {
@@ -254,24 +254,24 @@
 		return -1
 	}
 	if re.Reason != core.ReasonHeldElsewhere {
-		ca.Forced = true
+		ca.NoRedirect = true
 		return at.se.After(re)
 	}
-	if re.Step == stepClaim && len(re.Instead) > 0 {
+	if re.Step == stepClaim && len(re.Alternatives) > 0 {
 		// The key is claimed there: only that agent knows the outcome.
-		ca.Forced = true
+		ca.NoRedirect = true
 		at.pointed = true
-		return at.pool.Index(re.Instead[0])
+		return at.pool.Index(re.Alternatives[0])
 	}
-	if ca.Missed != "" {
+	if ca.StaleHolder != "" {
 		// A second pointer in a row: whoever is asked next runs it.
-		ca.Forced = true
+		ca.NoRedirect = true
 	}
-	ca.Missed = at.pool.Members[ix].VM
-	if len(re.Instead) == 0 || !at.se.Untried(re.Instead[0]) {
+	ca.StaleHolder = at.pool.Members[ix].VM
+	if len(re.Alternatives) == 0 || !at.se.Untried(re.Alternatives[0]) {
 		// The agent's list is behind: it points to one that has left, or that has
 		// refused already. It is to run the call itself.
-		ca.Forced = true
+		ca.NoRedirect = true
 		return ix
 	}
 	return at.se.After(re)
--- a/core/trial/failure_test.go
+++ b/core/trial/failure_test.go
@@ -32,7 +32,7 @@
 		var all sync.WaitGroup
 		all.Go(func() { st.callers(6, 20*time.Second) })
 		time.Sleep(5 * time.Second)
-		st.fl.SetState(leaver, core.VMLeaving)
+		st.fl.SetState(leaver, core.VMDraining)
 		time.Sleep(3 * time.Second)
 		before := leaver.Engines[0].Ran()
 		all.Wait()
--- a/core/trial/history_test.go
+++ b/core/trial/history_test.go
@@ -196,7 +196,7 @@
 		case 6:
 			if len(live) > 3 {
 				// Marked by the list alone, or leaving with care.
-				if fl.SetState(one, core.VMLeaving); round%2 == 0 {
+				if fl.SetState(one, core.VMDraining); round%2 == 0 {
 					fl.Leave(one, 1<<20)
 				}
 				fl.AddAgent(fmt.Sprint("joiner-", round), round)
--- a/core/trial/policy_test.go
+++ b/core/trial/policy_test.go
@@ -127,7 +127,7 @@
 		one := live[round*7%len(live)]
 		switch round % 3 {
 		case 0:
-			fl.SetState(one, core.VMLeaving)
+			fl.SetState(one, core.VMDraining)
 			one.Agent.StopTaking()
 		case 1:
 			fl.AddAgent(fmt.Sprint("joiner-", round), round)
--- a/core/trial/work_test.go
+++ b/core/trial/work_test.go
@@ -156,7 +156,7 @@
 		gr := me.Board.Snapshot().Config.Group(poolID)
 		return me.Router.Route(ctx, &router.Request{Call: ca, Group: gr}, si)
 	}
-	ca.Forced = true
+	ca.NoRedirect = true
 	var rep *core.Report
 	err := error(&core.Refusal{Outcome: core.NotRun})
 	for try := 0; try < 3 && err != nil; try++ {
--- a/io/back/back.go
+++ b/io/back/back.go
@@ -71,8 +71,8 @@
 }
 
 var (
-	_ core.Endpoint = (*Endpoint)(nil)
-	_ core.Liveness = (*Endpoint)(nil)
+	_ core.Endpoint       = (*Endpoint)(nil)
+	_ core.LivenessProber = (*Endpoint)(nil)
 )
 
 // client keeps connections per endpoint. onceClient opens one for each call: on
--- a/io/back/order.go
+++ b/io/back/order.go
@@ -37,7 +37,7 @@
 	switch rs.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusNotImplemented:
-		return nil, core.ErrNoOrders
+		return nil, core.ErrOrdersUnsupported
 	default:
 		return nil, oops.In("state").With("peer", ep.ID).Errorf("status %d", rs.StatusCode)
 	}
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -51,8 +51,8 @@
 
 // Platform is what a router needs of the platform it runs on.
 type Platform interface {
-	core.Feed
-	core.Quarantines
+	core.ChangeFeed
+	core.QuarantineStore
 	// Decode tells what an item of the store means: a *route.Document, a
 	// place.Endpoint, a Departure, an Unusable, an Evacuation, a PeerAddr, a core.Quarantine,
 	// a Released, or nil if nothing.
--- a/io/entry/export_test.go
+++ b/io/entry/export_test.go
@@ -27,5 +27,5 @@
 
 // Broke tells that an attempt broke off.
 func (pr *Process) Broke(en core.EndpointRef, began time.Time, fp core.Fingerprint) {
-	pr.guard.Broke(en, began, fp)
+	pr.guard.Interrupted(en, began, fp)
 }
--- a/io/entry/view_test.go
+++ b/io/entry/view_test.go
@@ -22,7 +22,7 @@
 // addr, and drain if their value says so.
 type faulty struct{ addr string }
 
-func (faulty) All(context.Context, bool, func([]core.Item)) ([]core.Item, core.Version, error) {
+func (faulty) List(context.Context, bool, func([]core.Item)) ([]core.Item, core.Version, error) {
 	return nil, 0, nil
 }
 
@@ -32,7 +32,7 @@
 
 func (faulty) PutQuarantine(context.Context, core.Quarantine) (core.Version, error) { return 0, nil }
 
-func (faulty) DropQuarantine(context.Context, core.Quarantine) error { return nil }
+func (faulty) DeleteQuarantine(context.Context, core.Quarantine) error { return nil }
 
 func (faulty) Dialect() relay.Dialect { return relay.Dialect{} }
 
--- a/io/gossip/blame.go
+++ b/io/gossip/blame.go
@@ -18,7 +18,7 @@
 // crashNotice is a core.BlameNote on its way, some 60 bytes.
 type crashNotice struct {
 	_       struct{} `cbor:",toarray"`
-	Kind    core.BlameKind
+	Kind    core.CrashNoticeKind
 	Request []byte
 	Crashes []crashEntry
 }
@@ -30,7 +30,7 @@
 }
 
 // TellKeepers sends a note to the routers that count for its request.
-func (gr *Group) TellKeepers(now time.Time, no core.BlameNote) {
+func (gr *Group) TellKeepers(now time.Time, no core.CrashNotice) {
 	all := gr.counts.candidates.Load()
 	if all == nil {
 		return // the process has just started, and nobody is known
@@ -58,7 +58,7 @@
 
 // TellAll sends a note to all routers; where there are more than newsTo, to as many that are
 // drawn. The others hear of it through the store, or by a later note.
-func (gr *Group) TellAll(now time.Time, no core.BlameNote) {
+func (gr *Group) TellAll(now time.Time, no core.CrashNotice) {
 	for _, addr := range gr.randomReachable(updateFanout) {
 		to, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (gr *Group) sendCrashNotice(now time.Time, to net.Addr, no core.BlameNote) {
+func (gr *Group) sendCrashNotice(now time.Time, to net.Addr, no core.CrashNotice) {
 	cm := &crashNotice{Kind: no.Kind, Request: no.Request[:]}
 	for _, cr := range no.Crashes {
 		age := min(maxAgeMs, max(0, now.Sub(cr.At).Milliseconds()))
@@ -80,8 +80,8 @@
 
 // handleCrashNotice takes a peer's note.
 func (gr *Group) handleCrashNotice(now time.Time, from string, cm *crashNotice) {
-	no := core.BlameNote{Kind: cm.Kind}
-	if len(cm.Request) != len(no.Request) || cm.Kind < core.BlameSuspected || cm.Kind > core.BlameCleared {
+	no := core.CrashNotice{Kind: cm.Kind}
+	if len(cm.Request) != len(no.Request) || cm.Kind < core.NoticeSuspected || cm.Kind > core.NoticeCleared {
 		gr.Log.Warn("A peer's note of a request makes no sense.", zap.String("Addr", from), zap.Uint8("Kind", uint8(cm.Kind)))
 		return
 	}
--- a/io/gossip/blame_test.go
+++ b/io/gossip/blame_test.go
@@ -15,10 +15,10 @@
 // crashNotices collects what a router is told.
 type crashNotices struct {
 	mu  sync.Mutex
-	all []core.BlameNote
+	all []core.CrashNotice
 }
 
-func (no *crashNotices) add(_ time.Time, _ string, note core.BlameNote) {
+func (no *crashNotices) add(_ time.Time, _ string, note core.CrashNotice) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	no.all = append(no.all, note)
@@ -56,7 +56,7 @@
 	for request := range byte(10) {
 		fp := core.Fingerprint{request, 1}
 		for _, ro := range all {
-			ro.TellKeepers(now, core.BlameNote{Kind: core.BlameSuspected, Request: fp, Crashes: []core.Crash{{Endpoint: 7, At: now.Add(-50 * time.Millisecond)}}})
+			ro.TellKeepers(now, core.CrashNotice{Kind: core.NoticeSuspected, Request: fp, Crashes: []core.Crash{{Endpoint: 7, At: now.Add(-50 * time.Millisecond)}}})
 		}
 		// Each of the two is told by all others, and tells itself nothing.
 		eventually(t, "both keepers are told by the four others", func() bool {
@@ -70,7 +70,7 @@
 		})
 	}
 	fp := core.Fingerprint{99}
-	all[0].TellAll(now, core.BlameNote{Kind: core.BlameQuarantined, Request: fp})
+	all[0].TellAll(now, core.CrashNotice{Kind: core.NoticeQuarantined, Request: fp})
 	eventually(t, "all others are told", func() bool {
 		count := 0
 		for _, no := range received {
@@ -80,7 +80,7 @@
 	})
 	for _, no := range received {
 		for _, note := range no.all {
-			if note.Kind == core.BlameSuspected && (len(note.Crashes) != 1 || note.Crashes[0].Endpoint != 7 || time.Since(note.Crashes[0].At) < 50*time.Millisecond) {
+			if note.Kind == core.NoticeSuspected && (len(note.Crashes) != 1 || note.Crashes[0].Endpoint != 7 || time.Since(note.Crashes[0].At) < 50*time.Millisecond) {
 				t.Errorf("told as %+v", note)
 			}
 		}
@@ -112,7 +112,7 @@
 		}
 	}
 	fp := core.Fingerprint{5}
-	all[1].TellAll(time.Now(), core.BlameNote{Kind: core.BlameCleared, Request: fp})
+	all[1].TellAll(time.Now(), core.CrashNotice{Kind: core.NoticeCleared, Request: fp})
 	eventually(t, "the next note is heard", func() bool { return received[0].count(fp) == 1 })
 	if got := len(received[0].all); got != 1 {
 		t.Errorf("%d notes are taken, want one", got)
--- a/io/gossip/counts.go
+++ b/io/gossip/counts.go
@@ -135,8 +135,8 @@
 	return best
 }
 
-// Ask implements core.Counts.
-func (gr *Group) Ask(ctx context.Context, endpoint uint64) (int, bool) {
+// InFlight implements core.Counts.
+func (gr *Group) InFlight(ctx context.Context, endpoint uint64) (int, bool) {
 	owner := gr.ownerOf(endpoint)
 	if owner == nil {
 		return 0, false
@@ -172,8 +172,8 @@
 	return 0, false
 }
 
-// Said implements core.Counts.
-func (gr *Group) Said(endpoint uint64, calls int) {
+// ReportInFlight implements core.Counts.
+func (gr *Group) ReportInFlight(endpoint uint64, calls int) {
 	owner := gr.ownerOf(endpoint)
 	switch {
 	case owner == nil:
@@ -184,8 +184,8 @@
 	}
 }
 
-// Down implements core.Counts.
-func (gr *Group) Down(endpoint uint64) {
+// ReportDown implements core.Counts.
+func (gr *Group) ReportDown(endpoint uint64) {
 	owner := gr.ownerOf(endpoint)
 	switch {
 	case owner == nil:
@@ -226,10 +226,10 @@
 	}
 }
 
-// Leaves implements core.Counts. Each router that learns of it by an answer tells all, once for
+// ReportDraining implements core.Counts. Each router that learns of it by an answer tells all, once for
 // each endpoint; a peer that the message does not reach learns of it by its own next answer. The
 // request whose answer told it does not wait for that.
-func (gr *Group) Leaves(endpoint uint64) {
+func (gr *Group) ReportDraining(endpoint uint64) {
 	go gr.sendToAll(&countMessage{Kind: countDraining, Endpoint: endpoint})
 }
 
--- a/io/gossip/counts_test.go
+++ b/io/gossip/counts_test.go
@@ -59,12 +59,12 @@
 	ctx := context.Background()
 	for endpoint := range uint64(20) {
 		eventually(t, "what an endpoint said is told", func() bool {
-			all[endpoint%4].Said(endpoint, 7)
-			_, known := all[(endpoint+1)%4].Ask(ctx, endpoint)
+			all[endpoint%4].ReportInFlight(endpoint, 7)
+			_, known := all[(endpoint+1)%4].InFlight(ctx, endpoint)
 			return known
 		})
-		first, known := all[(endpoint+2)%4].Ask(ctx, endpoint)
-		second, _ := all[(endpoint+3)%4].Ask(ctx, endpoint)
+		first, known := all[(endpoint+2)%4].InFlight(ctx, endpoint)
+		second, _ := all[(endpoint+3)%4].InFlight(ctx, endpoint)
 		if !known || second != first+1 {
 			t.Errorf("endpoint %d: %d calls are told, then %d, known %v; want one more", endpoint, first, second, known)
 		}
@@ -91,7 +91,7 @@
 	waited := 0
 	for endpoint := range uint64(100) {
 		began := time.Now()
-		if _, known := alone.Ask(ctx, endpoint); known {
+		if _, known := alone.InFlight(ctx, endpoint); known {
 			t.Fatal("a count is known that nobody told")
 		}
 		if time.Since(began) >= timeout {
@@ -111,7 +111,7 @@
 func TestNewOwnerReportsUnknown(t *testing.T) {
 	all := meet(t, 2)
 	for endpoint := range uint64(10) {
-		if calls, known := all[0].Ask(context.Background(), endpoint); known {
+		if calls, known := all[0].InFlight(context.Background(), endpoint); known {
 			t.Errorf("endpoint %d is said to have %d calls, which nobody told", endpoint, calls)
 		}
 	}
@@ -131,8 +131,8 @@
 	lost := tk.Endpoint.ID
 	tk.Done(time.Now(), place.Neutral)
 	eventually(t, "no router chooses the lost engine", func() bool {
-		all[0].Down(tk.Hash)
-		all[1].Down(tk.Hash)
+		all[0].ReportDown(tk.Hash)
+		all[1].ReportDown(tk.Hash)
 		for _, ro := range all {
 			for range 5 {
 				other, re := ro.Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true})
--- a/io/gossip/down_test.go
+++ b/io/gossip/down_test.go
@@ -47,7 +47,7 @@
 	if chosen() == 0 {
 		t.Fatal("nobody chooses the endpoint before it is lost: the test shows nothing")
 	}
-	all[0].Down(place.EndpointHash(endpoint, 0))
+	all[0].ReportDown(place.EndpointHash(endpoint, 0))
 	eventually(t, "nobody chooses the lost endpoint", func() bool { return chosen() == 0 })
 	for began := time.Now(); time.Since(began) < 4*place.UnreachableTTL; time.Sleep(50 * time.Millisecond) {
 		if got := chosen(); got > 0 {
@@ -71,7 +71,7 @@
 		gr.Reach = func(context.Context, uint64) (bool, bool) { return true, true }
 	})
 	endpoint := place.EndpointHash("e", 0)
-	all[0].Down(endpoint)
+	all[0].ReportDown(endpoint)
 	time.Sleep(300 * time.Millisecond)
 	for ix, ro := range all {
 		tk, rf := ro.Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true})
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -153,7 +153,7 @@
 	// Feed is what this router knows of the store.
 	Feed Feed
 	// Blamed takes what peers tell of requests that crash endpoints; nil if nobody asks.
-	Blamed func(now time.Time, from string, no core.BlameNote)
+	Blamed func(now time.Time, from string, no core.CrashNotice)
 	// InForce tells the version of the configuration in force here; nil if there is none.
 	InForce func() route.Version
 	// Reach tells whether a connection to an endpoint can be made, by its hash; known is false for
--- a/io/guard/fleet.go
+++ b/io/guard/fleet.go
@@ -38,7 +38,7 @@
 var _ Peers = (*Fleet)(nil)
 
 // TellKeepers implements Peers: keepers are those of the highest rank by rendezvous hashing.
-func (fl *Fleet) TellKeepers(_ time.Time, no core.BlameNote) {
+func (fl *Fleet) TellKeepers(_ time.Time, no core.CrashNotice) {
 	key := binary.BigEndian.Uint64(no.Request[:])
 	self := fl.Board.Self.ID
 	var best [fleetKeepers]struct {
@@ -62,7 +62,7 @@
 }
 
 // TellAll implements Peers.
-func (fl *Fleet) TellAll(_ time.Time, no core.BlameNote) {
+func (fl *Fleet) TellAll(_ time.Time, no core.CrashNotice) {
 	all := fl.others()
 	for ix := range min(mostTold, len(all)) {
 		other := ix + int(fl.Rand.Uint64()%uint64(len(all)-ix))
@@ -83,12 +83,12 @@
 }
 
 // tell sends a note without waiting for it.
-func (fl *Fleet) tell(to core.VMID, no core.BlameNote) {
+func (fl *Fleet) tell(to core.VMID, no core.CrashNotice) {
 	fl.Spent(noteSize)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 		defer cancel()
-		if err := fl.Peers.Blame(ctx, to, &no); err != nil {
+		if err := fl.Peers.NotifyCrash(ctx, to, &no); err != nil {
 			fl.Log.Debug("Telling a peer of a request failed.", zap.String("Peer", string(to)), zap.Error(err))
 		}
 	}()
--- a/io/guard/guard.go
+++ b/io/guard/guard.go
@@ -61,10 +61,10 @@
 	looking map[uint64]bool
 }
 
-var _ core.CrashWatch = (*Controller)(nil)
+var _ core.CrashDetector = (*Controller)(nil)
 
-// Broke implements core.CrashWatch.
-func (ct *Controller) Broke(en core.EndpointRef, began time.Time, fp core.Fingerprint) {
+// Interrupted implements core.CrashWatch.
+func (ct *Controller) Interrupted(en core.EndpointRef, began time.Time, fp core.Fingerprint) {
 	if ct.Placer.Draining(en.Hash) {
 		return // it ends as planned
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// Refused implements core.CrashWatch.
-func (ct *Controller) Refused(en core.EndpointRef) { ct.gone(en, crash.Refused) }
+// ConnRefused implements core.CrashWatch.
+func (ct *Controller) ConnRefused(en core.EndpointRef) { ct.gone(en, crash.Refused) }
 
 // Replaced tells that another process has registered in the place of an endpoint that did
 // not drain.
--- a/io/guard/guard_test.go
+++ b/io/guard/guard_test.go
@@ -48,7 +48,7 @@
 	return qu.Rev, nil
 }
 
-func (st *store) DropQuarantine(_ context.Context, qu core.Quarantine) error {
+func (st *store) DeleteQuarantine(_ context.Context, qu core.Quarantine) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.items[qu.Request].Rev != qu.Rev {
@@ -68,9 +68,9 @@
 // group passes notes on to other routers' controllers.
 type group struct{ others []*guard.Controller }
 
-func (gr *group) TellKeepers(now time.Time, no core.BlameNote) { gr.TellAll(now, no) }
+func (gr *group) TellKeepers(now time.Time, no core.CrashNotice) { gr.TellAll(now, no) }
 
-func (gr *group) TellAll(now time.Time, no core.BlameNote) {
+func (gr *group) TellAll(now time.Time, no core.CrashNotice) {
 	for _, other := range gr.others {
 		other.Hear(now, "peer", no)
 	}
@@ -103,8 +103,8 @@
 	ct := newController()
 	alive, dead := local.Listen(t), local.Listen(t)
 	_ = dead.Close()
-	ct.Broke(core.EndpointRef{ID: "alive", Addr: alive.Addr().String(), Hash: 1}, time.Now(), core.Fingerprint{1})
-	ct.Broke(core.EndpointRef{ID: "dead", Addr: dead.Addr().String(), Hash: 2}, time.Now(), core.Fingerprint{2})
+	ct.Interrupted(core.EndpointRef{ID: "alive", Addr: alive.Addr().String(), Hash: 1}, time.Now(), core.Fingerprint{1})
+	ct.Interrupted(core.EndpointRef{ID: "dead", Addr: dead.Addr().String(), Hash: 2}, time.Now(), core.Fingerprint{2})
 	crashedUnder(t, ct, 1)
 	time.Sleep(300 * time.Millisecond)
 	crashedUnder(t, ct, 1)
@@ -117,7 +117,7 @@
 	_ = dead.Close()
 	ep := place.Endpoint{ID: "e", Addr: dead.Addr().String(), Pool: "pool", Slots: 1, Draining: true}
 	ct.Placer.Register(time.Now(), ep)
-	ct.Broke(core.EndpointRef{ID: ep.ID, Addr: ep.Addr, Hash: place.EndpointHash(ep.ID, 0)}, time.Now(), core.Fingerprint{1})
+	ct.Interrupted(core.EndpointRef{ID: ep.ID, Addr: ep.Addr, Hash: place.EndpointHash(ep.ID, 0)}, time.Now(), core.Fingerprint{1})
 	time.Sleep(50 * time.Millisecond)
 	crashedUnder(t, ct, 0)
 }
@@ -126,8 +126,8 @@
 func crashThree(ct *guard.Controller, fp core.Fingerprint) {
 	for ix := range uint64(3) {
 		en := core.EndpointRef{ID: "e", Addr: "127.0.0.1:1", Hash: 100 + ix}
-		ct.Broke(en, time.Now().Add(-time.Millisecond), fp)
-		ct.Refused(en)
+		ct.Interrupted(en, time.Now().Add(-time.Millisecond), fp)
+		ct.ConnRefused(en)
 		time.Sleep(3 * time.Second)
 	}
 }
@@ -156,7 +156,7 @@
 		ask := func() {
 			for _, ct := range []*guard.Controller{one, two, one, two} {
 				go func() {
-					if allowed, after := ct.May(ctx, fp); allowed {
+					if allowed, after := ct.Allowed(ctx, fp); allowed {
 						passed.Add(1)
 					} else if after < 0 || after > 2*time.Minute {
 						t.Errorf("may return after %s", after)
@@ -197,7 +197,7 @@
 		fp := core.Fingerprint{1}
 		crashThree(ct, fp)
 		for range 60 {
-			if allowed, after := ct.May(ctx, fp); allowed || after < time.Second {
+			if allowed, after := ct.Allowed(ctx, fp); allowed || after < time.Second {
 				t.Errorf("let through: %v, or told to return after %s, while the store is away", allowed, after)
 			}
 			time.Sleep(time.Second)
@@ -212,12 +212,12 @@
 		if _, found := st.get(fp); !found {
 			t.Error("the store does not have it once it is back")
 		}
-		ct.Ended(fp) // an attempt that was under way ends well
+		ct.Succeeded(fp) // an attempt that was under way ends well
 		synctest.Wait()
 		if _, found := st.get(fp); found {
 			t.Error("the entry of a request that ended well stays")
 		}
-		if allowed, _ := ct.May(ctx, fp); !allowed {
+		if allowed, _ := ct.Allowed(ctx, fp); !allowed {
 			t.Error("a request that ended well is refused")
 		}
 	})
@@ -234,7 +234,7 @@
 // noKeepers is a group in which the teller counts by itself.
 type noKeepers struct{ group }
 
-func (*noKeepers) TellKeepers(time.Time, core.BlameNote) {}
+func (*noKeepers) TellKeepers(time.Time, core.CrashNotice) {}
 
 // The store is silent while forty requests are quarantined, one after the other. The router that
 // decided it goes on telling its peers of each: one that hears nothing of a quarantine for 30 s
--- a/io/guard/kvstore.go
+++ b/io/guard/kvstore.go
@@ -29,7 +29,7 @@
 // KVStore keeps quarantines in the KV. Set KV before use.
 type KVStore struct{ KV core.KV }
 
-var _ core.Quarantines = (*KVStore)(nil)
+var _ core.QuarantineStore = (*KVStore)(nil)
 
 // PutQuarantine implements core.Quarantines.
 func (ks *KVStore) PutQuarantine(ctx context.Context, qu core.Quarantine) (core.Version, error) {
@@ -44,8 +44,8 @@
 	return ks.KV.Put(ctx, kvKey(qu.Request), value, qu.Rev, le)
 }
 
-// DropQuarantine implements core.Quarantines.
-func (ks *KVStore) DropQuarantine(ctx context.Context, qu core.Quarantine) error {
+// DeleteQuarantine implements core.Quarantines.
+func (ks *KVStore) DeleteQuarantine(ctx context.Context, qu core.Quarantine) error {
 	return ks.KV.Delete(ctx, kvKey(qu.Request), qu.Rev)
 }
 
--- a/io/guard/kvstore_test.go
+++ b/io/guard/kvstore_test.go
@@ -40,15 +40,15 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		if allowed, _ := le.May(ctx, qu.Request); allowed {
+		if allowed, _ := le.Allowed(ctx, qu.Request); allowed {
 			t.Error("a router that follows the KV lets it through")
 		}
 		qu.Rev = rev
-		if err = store.DropQuarantine(ctx, qu); err != nil {
+		if err = store.DeleteQuarantine(ctx, qu); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		if allowed, _ := le.May(ctx, qu.Request); !allowed {
+		if allowed, _ := le.Allowed(ctx, qu.Request); !allowed {
 			t.Error("an entry that is gone holds on")
 		}
 	})
--- a/io/guard/ledger.go
+++ b/io/guard/ledger.go
@@ -37,14 +37,14 @@
 // Peers are the other routers.
 type Peers interface {
 	// TellKeepers sends a note to the routers that count for its request, TellAll to all.
-	TellKeepers(now time.Time, no core.BlameNote)
-	TellAll(now time.Time, no core.BlameNote)
+	TellKeepers(now time.Time, no core.CrashNotice)
+	TellAll(now time.Time, no core.CrashNotice)
 }
 
 // Ledger is what one router holds against requests. Set the exported fields before use.
 type Ledger struct {
 	Peers Peers
-	Store core.Quarantines
+	Store core.QuarantineStore
 	Stats *stats.Set
 	Log   *zap.Logger
 
@@ -61,7 +61,7 @@
 	writing map[core.Fingerprint]bool
 }
 
-var _ core.Blame = (*Ledger)(nil)
+var _ core.CrashTracker = (*Ledger)(nil)
 
 // init makes what the zero value lacks.
 func (le *Ledger) init() {
@@ -124,8 +124,8 @@
 	return some
 }
 
-// May implements core.Blame.
-func (le *Ledger) May(ctx context.Context, fp core.Fingerprint) (bool, time.Duration) {
+// Allowed implements core.Blame.
+func (le *Ledger) Allowed(ctx context.Context, fp core.Fingerprint) (bool, time.Duration) {
 	ve := le.table.Check(time.Now(), fp)
 	if !ve.Quarantined {
 		return true, 0
@@ -187,17 +187,17 @@
 }
 
 // Hear takes a peer's note.
-func (le *Ledger) Hear(now time.Time, from string, no core.BlameNote) {
+func (le *Ledger) Hear(now time.Time, from string, no core.CrashNotice) {
 	ef := le.table.ApplyNote(now, no)
 	if len(ef.Quarantined)+len(ef.Released) > 0 {
 		le.Log.Info("A peer told of a request.", zap.Stringer("Fingerprint", no.Request), zap.String("From", from),
-			zap.Int("Crashes", len(no.Crashes)), zap.Bool("Quarantined", no.Kind == core.BlameQuarantined))
+			zap.Int("Crashes", len(no.Crashes)), zap.Bool("Quarantined", no.Kind == core.NoticeQuarantined))
 	}
 	le.apply(now, ef)
 }
 
-// Ended implements core.Blame.
-func (le *Ledger) Ended(fp core.Fingerprint) {
+// Succeeded implements core.Blame.
+func (le *Ledger) Succeeded(fp core.Fingerprint) {
 	now := time.Now()
 	le.apply(now, le.table.Succeeded(now, fp))
 }
@@ -226,7 +226,7 @@
 	}
 	for _, no := range ef.ToAll {
 		le.Peers.TellAll(now, no)
-		if no.Kind == core.BlameQuarantined {
+		if no.Kind == core.NoticeQuarantined {
 			le.wake()
 		}
 	}
@@ -247,7 +247,7 @@
 func (le *Ledger) drop(en core.Quarantine) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	if err := le.Store.DropQuarantine(ctx, en); err != nil && !errors.Is(err, core.ErrConflict) {
+	if err := le.Store.DeleteQuarantine(ctx, en); err != nil && !errors.Is(err, core.ErrConflict) {
 		le.Log.Warn("Removing a quarantine failed.", append(logs.Fields(err), zap.Stringer("Fingerprint", en.Request))...)
 	}
 }
--- a/io/kvrpc/kvrpc.go
+++ b/io/kvrpc/kvrpc.go
@@ -60,11 +60,11 @@
 	case codes.OK:
 		return nil
 	case codes.NotFound:
-		return core.ErrAbsent
+		return core.ErrNotFound
 	case codes.Aborted:
 		return core.ErrConflict
 	case codes.FailedPrecondition:
-		return core.ErrLeaseGone
+		return core.ErrLeaseExpired
 	}
 	return oops.In("kv "+step).With("peer", cl.addr).Wrap(err)
 }
@@ -150,11 +150,11 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, core.ErrAbsent):
+	case errors.Is(err, core.ErrNotFound):
 		return status.Error(codes.NotFound, err.Error())
 	case errors.Is(err, core.ErrConflict):
 		return status.Error(codes.Aborted, err.Error())
-	case errors.Is(err, core.ErrLeaseGone):
+	case errors.Is(err, core.ErrLeaseExpired):
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
 	return status.Error(codes.Unavailable, err.Error())
--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -43,7 +43,7 @@
 	rq.reserved = ex.stall.stop()
 	ex.tk.Done(time.Now(), result)
 	if counts := rq.re.Counts; counts != nil && result == place.Unreachable {
-		counts.Down(ex.tk.Hash)
+		counts.ReportDown(ex.tk.Hash)
 	}
 	return rf
 }
@@ -86,7 +86,7 @@
 	if calls, told := ex.rq.re.Dialect.Calls(ex.rs.Header); told {
 		ex.tk.RecordLoad(time.Now(), calls)
 		if counts := ex.rq.re.Counts; counts != nil {
-			counts.Said(ex.tk.Hash, calls)
+			counts.ReportInFlight(ex.tk.Hash, calls)
 		}
 	}
 	return ex.handleHead(ctx)
--- a/io/relay/counts_test.go
+++ b/io/relay/counts_test.go
@@ -25,26 +25,26 @@
 	draining []uint64
 }
 
-func (ke *fakeCounts) Down(endpoint uint64) {
+func (ke *fakeCounts) ReportDown(endpoint uint64) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	ke.down = append(ke.down, endpoint)
 }
 
-func (ke *fakeCounts) Leaves(endpoint uint64) {
+func (ke *fakeCounts) ReportDraining(endpoint uint64) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	ke.draining = append(ke.draining, endpoint)
 }
 
-func (ke *fakeCounts) Ask(_ context.Context, endpoint uint64) (int, bool) {
+func (ke *fakeCounts) InFlight(_ context.Context, endpoint uint64) (int, bool) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	ke.asked = append(ke.asked, endpoint)
 	return ke.calls, ke.known
 }
 
-func (ke *fakeCounts) Said(endpoint uint64, calls int) {
+func (ke *fakeCounts) ReportInFlight(endpoint uint64, calls int) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	if ke.reported == nil {
--- a/io/relay/crash.go
+++ b/io/relay/crash.go
@@ -27,7 +27,7 @@
 	if rq.re.Crashes == nil {
 		return nil
 	}
-	allowed, after := rq.re.Crashes.May(ctx, rq.fingerprint)
+	allowed, after := rq.re.Crashes.Allowed(ctx, rq.fingerprint)
 	if allowed {
 		return nil
 	}
@@ -47,12 +47,12 @@
 	switch {
 	case rf == nil:
 		if ex.rq.status < http.StatusMultipleChoices {
-			bl.Ended(ex.rq.fingerprint)
+			bl.Succeeded(ex.rq.fingerprint)
 		}
 	case ex.connRefused:
-		bl.Refused(en)
+		bl.ConnRefused(en)
 	case rf.Outcome == core.Unknown && possibleCrash[rf.Reason]:
-		bl.Broke(en, began, ex.rq.fingerprint)
+		bl.Interrupted(en, began, ex.rq.fingerprint)
 	}
 }
 
--- a/io/relay/crash_test.go
+++ b/io/relay/crash_test.go
@@ -24,26 +24,26 @@
 	ended      []core.Fingerprint
 }
 
-func (bl *fakeCrashWatch) May(context.Context, core.Fingerprint) (bool, time.Duration) {
+func (bl *fakeCrashWatch) Allowed(context.Context, core.Fingerprint) (bool, time.Duration) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.allowed--
 	return bl.allowed >= 0, bl.retryAfter
 }
 
-func (bl *fakeCrashWatch) Ended(fp core.Fingerprint) {
+func (bl *fakeCrashWatch) Succeeded(fp core.Fingerprint) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.ended = append(bl.ended, fp)
 }
 
-func (bl *fakeCrashWatch) Broke(en core.EndpointRef, _ time.Time, _ core.Fingerprint) {
+func (bl *fakeCrashWatch) Interrupted(en core.EndpointRef, _ time.Time, _ core.Fingerprint) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.broken = append(bl.broken, en.ID)
 }
 
-func (bl *fakeCrashWatch) Refused(en core.EndpointRef) {
+func (bl *fakeCrashWatch) ConnRefused(en core.EndpointRef) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.refused = append(bl.refused, en.ID)
--- a/io/relay/notice.go
+++ b/io/relay/notice.go
@@ -37,7 +37,7 @@
 		zap.String("Addr", ex.tk.Endpoint.Addr), zap.String("Request", ex.rq.id), zap.Int("Status", ex.rs.StatusCode),
 		zap.Duration("Age", ex.rq.re.ViewAge()))
 	if counts := ex.rq.re.Counts; counts != nil {
-		counts.Leaves(ex.tk.Hash)
+		counts.ReportDraining(ex.tk.Hash)
 	}
 }
 
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -92,11 +92,11 @@
 	Self    core.VMID
 	Placer  *place.Placer
 	// Counts knows how many calls endpoints have; nil if nobody does.
-	Counts core.Counts
+	Counts core.InFlightCounts
 	// Grants divides the limits of cold endpoints among routers; nil if this is the only one.
-	Grants core.Grants
+	Grants core.RateLimiter
 	// Crashes is told how attempts end that did not end well; nil if nobody asks.
-	Crashes core.CrashWatch
+	Crashes core.CrashDetector
 	Budget  *retry.Window
 	Conns   *conns.Pool
 	// Memory bounds what is held of bodies and answers.
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -176,7 +176,7 @@
 	if !uncertain {
 		return
 	}
-	if calls, known := rq.re.Counts.Ask(ctx, endpoint); known {
+	if calls, known := rq.re.Counts.InFlight(ctx, endpoint); known {
 		rq.countAsked = true
 		rq.re.Placer.ApplyCount(time.Now(), endpoint, calls)
 	}
--- a/io/rpc/client.go
+++ b/io/rpc/client.go
@@ -280,7 +280,7 @@
 }
 
 // Claim asks a keeper for a key.
-func (cl *Client) Claim(ctx context.Context, to core.VMID, ask *core.Claim) (*core.Verdict, error) {
+func (cl *Client) Claim(ctx context.Context, to core.VMID, ask *core.Claim) (*core.ClaimReply, error) {
 	return node(ctx, cl, to, "claim", func(nc wire.NodeClient) (*wire.ClaimReply, error) {
 		return nc.Claim(ctx, claimToWire(ask))
 	}, verdictFromWire)
@@ -295,8 +295,8 @@
 	}, changesFromWire)
 }
 
-// Place tells a chat's home where contexts are.
-func (cl *Client) Place(ctx context.Context, to core.VMID, pls []core.Placement) error {
+// UpdatePlacements tells a chat's home where contexts are.
+func (cl *Client) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	_, err := node(ctx, cl, to, "place", func(nc wire.NodeClient) (*wire.PlaceReply, error) {
@@ -305,8 +305,8 @@
 	return err
 }
 
-// Blame tells a router of a request that crashes endpoints.
-func (cl *Client) Blame(ctx context.Context, to core.VMID, no *core.BlameNote) error {
+// NotifyCrash tells a router of a request that crashes endpoints.
+func (cl *Client) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	_, err := node(ctx, cl, to, "blame", func(nc wire.NodeClient) (*wire.BlameReply, error) {
--- a/io/rpc/convert.go
+++ b/io/rpc/convert.go
@@ -19,7 +19,7 @@
 		Attempt: uint64(ca.Attempt), Customer: string(ca.Customer), Pool: string(ca.Pool),
 		Chat: string(ca.Chat), Key: string(ca.Key), MayRepeat: ca.MayRepeat,
 		Priority: uint32(ca.Priority), BudgetMicros: budget, Stream: ca.Stream,
-		Prompt: int64(ca.Prompt), Output: int64(ca.Output), Forced: ca.Forced, Missed: string(ca.Missed),
+		Prompt: int64(ca.Prompt), Output: int64(ca.Output), Forced: ca.NoRedirect, Missed: string(ca.StaleHolder),
 		Method: ca.Method, Path: ca.Path, ContentType: ca.ContentType, Body: ca.Body,
 		Revision: uint64(ca.Revision),
 	}
@@ -35,7 +35,7 @@
 		Chat: core.ChatID(ca.Chat), Key: core.IdemKey(ca.Key), MayRepeat: ca.MayRepeat,
 		Priority: core.Priority(min(ca.Priority, uint32(core.PriorityCount-1))), Deadline: deadline,
 		Stream: ca.Stream, Prompt: core.Tokens(ca.Prompt), Output: core.Tokens(ca.Output),
-		Forced: ca.Forced, Missed: core.VMID(ca.Missed), Method: ca.Method, Path: ca.Path,
+		NoRedirect: ca.Forced, StaleHolder: core.VMID(ca.Missed), Method: ca.Method, Path: ca.Path,
 		ContentType: ca.ContentType, Body: ca.Body, Revision: core.Revision(ca.Revision),
 	}
 }
@@ -64,7 +64,7 @@
 		Outcome: uint32(re.Outcome), Reason: string(re.Reason), Step: re.Step, Peer: re.Peer, Detail: re.Detail,
 		RetryAfterMicros: re.RetryAfter.Microseconds(), Status: int32(re.Status),
 	}
-	for _, vm := range re.Instead {
+	for _, vm := range re.Alternatives {
 		out.Instead = append(out.Instead, string(vm))
 	}
 	return out
@@ -84,7 +84,7 @@
 		out.Outcome = core.Outcome(re.Outcome)
 	}
 	for _, vm := range re.Instead {
-		out.Instead = append(out.Instead, core.VMID(vm))
+		out.Alternatives = append(out.Alternatives, core.VMID(vm))
 	}
 	return out
 }
@@ -116,14 +116,14 @@
 		}
 		pool.VMs = append(pool.VMs, string(en.VM))
 		pool.Loads = append(pool.Loads, int64(en.Load))
-		pool.Drains = append(pool.Drains, int64(en.Drain))
+		pool.Drains = append(pool.Drains, int64(en.Throughput))
 		pool.AgeMillis = append(pool.AgeMillis, en.Age.Milliseconds())
 		pool.Drainings = append(pool.Drainings, en.Draining)
 	}
 	return out
 }
 
-func blameToWire(now time.Time, no *core.BlameNote) *wire.BlameCall {
+func blameToWire(now time.Time, no *core.CrashNotice) *wire.BlameCall {
 	out := &wire.BlameCall{Kind: uint32(no.Kind), Request: no.Request[:]}
 	for _, cr := range no.Crashes {
 		out.Endpoints = append(out.Endpoints, cr.Endpoint)
@@ -134,9 +134,9 @@
 
 var errNoNote = errors.New("this is no note of a request")
 
-func blameFromWire(now time.Time, in *wire.BlameCall) (*core.BlameNote, error) {
-	no := &core.BlameNote{Kind: core.BlameKind(in.Kind)}
-	if len(in.Request) != len(no.Request) || in.Kind < uint32(core.BlameSuspected) || in.Kind > uint32(core.BlameCleared) {
+func blameFromWire(now time.Time, in *wire.BlameCall) (*core.CrashNotice, error) {
+	no := &core.CrashNotice{Kind: core.CrashNoticeKind(in.Kind)}
+	if len(in.Request) != len(no.Request) || in.Kind < uint32(core.NoticeSuspected) || in.Kind > uint32(core.NoticeCleared) {
 		return nil, errNoNote
 	}
 	no.Request = core.Fingerprint(in.Request)
@@ -163,7 +163,7 @@
 		for ix := range count {
 			out.Loads = append(out.Loads, core.LoadEntry{
 				Pool: core.PoolID(pool.Pool), VM: core.VMID(pool.VMs[ix]), Load: core.Work(pool.Loads[ix]),
-				Drain: core.Work(pool.Drains[ix]), Age: time.Duration(pool.AgeMillis[ix]) * time.Millisecond,
+				Throughput: core.Work(pool.Drains[ix]), Age: time.Duration(pool.AgeMillis[ix]) * time.Millisecond,
 				Draining: pool.Drainings[ix],
 			})
 		}
@@ -185,14 +185,14 @@
 	return out
 }
 
-func verdictToWire(ve *core.Verdict) *wire.ClaimReply {
+func verdictToWire(ve *core.ClaimReply) *wire.ClaimReply {
 	return &wire.ClaimReply{
 		Granted: ve.Granted, VM: string(ve.Holder.VM), Incarnation: uint64(ve.Holder.Incarnation),
 	}
 }
 
-func verdictFromWire(ve *wire.ClaimReply) *core.Verdict {
-	return &core.Verdict{Granted: ve.Granted, Holder: core.Claimant{
+func verdictFromWire(ve *wire.ClaimReply) *core.ClaimReply {
+	return &core.ClaimReply{Granted: ve.Granted, Holder: core.Claimant{
 		VM: core.VMID(ve.VM), Incarnation: core.Incarnation(ve.Incarnation),
 	}}
 }
@@ -209,7 +209,7 @@
 	out := &wire.PlaceCall{}
 	for _, pl := range pls {
 		out.Placements = append(out.Placements, &wire.Placement{
-			Customer: string(pl.Customer), Pool: string(pl.Pool), Chat: string(pl.Chat), VM: string(pl.VM), Gone: pl.Gone,
+			Customer: string(pl.Customer), Pool: string(pl.Pool), Chat: string(pl.Chat), VM: string(pl.VM), Gone: pl.Withdrawn,
 		})
 	}
 	return out
@@ -220,7 +220,7 @@
 	for _, pl := range pc.Placements {
 		pls = append(pls, core.Placement{
 			Customer: core.CustomerID(pl.Customer), Pool: core.PoolID(pl.Pool), Chat: core.ChatID(pl.Chat),
-			VM: core.VMID(pl.VM), Gone: pl.Gone,
+			VM: core.VMID(pl.VM), Withdrawn: pl.Gone,
 		})
 	}
 	return pls
--- a/io/rpc/hand.go
+++ b/io/rpc/hand.go
@@ -16,10 +16,10 @@
 // handChunk is the size of a message of a context.
 const handChunk = 64 << 10
 
-// Hand moves a chat's context to another agent. If it cannot be read to its end
+// HandOver moves a chat's context to another agent. If it cannot be read to its end
 // the stream is broken off rather than closed, so that the other side does not
 // take a part for the whole.
-func (cl *Client) Hand(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
+func (cl *Client) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
 	co, err := cl.take(to)
 	if err != nil {
 		return unreachable(to, err)
--- a/io/rpc/server.go
+++ b/io/rpc/server.go
@@ -22,10 +22,10 @@
 	Listener net.Listener
 	Serve    func(ctx context.Context, ca *core.Call, si core.Sink) (*core.Report, error)
 	Exchange func(di *core.Digest) *core.Digest
-	Claim    func(ctx context.Context, cl *core.Claim) (*core.Verdict, error)
+	Claim    func(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error)
 	Fetch    func(since core.Revision) (*core.Changes, error)
 	Place    func(pls []core.Placement)
-	Blame    func(no *core.BlameNote)
+	Blame    func(no *core.CrashNotice)
 	Hand     func(ctx context.Context, ha *core.Handover, rd io.Reader) error
 	Order    func(ctx context.Context, or *core.Order) error
 	Inspect  func(ctx context.Context) []core.EndpointState
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -318,7 +318,7 @@
 // that many bytes; it is gone once it has.
 func (fl *Fleet) Leave(me *Member, most core.Bytes) {
 	const within = 20 * time.Second
-	fl.SetState(me, core.VMLeaving)
+	fl.SetState(me, core.VMDraining)
 	go func() {
 		_, _ = me.Agent.Leave(me.alive, within, most)
 		fl.SetState(me, core.VMGone)
--- a/io/stand/inmem/net.go
+++ b/io/stand/inmem/net.go
@@ -163,7 +163,7 @@
 }
 
 // Claim asks a keeper.
-func (po port) Claim(ctx context.Context, to core.VMID, cl *core.Claim) (*core.Verdict, error) {
+func (po port) Claim(ctx context.Context, to core.VMID, cl *core.Claim) (*core.ClaimReply, error) {
 	me, err := po.net.way(ctx, po.from, to)
 	if err != nil || me.Keeper == nil {
 		return nil, errCut
@@ -202,8 +202,8 @@
 	return ne.fetched
 }
 
-// Place tells a home.
-func (po port) Place(ctx context.Context, to core.VMID, pls []core.Placement) error {
+// UpdatePlacements tells a home.
+func (po port) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
 	me, err := po.net.way(ctx, po.from, to)
 	if err != nil || me.Agent == nil {
 		return errCut
@@ -212,8 +212,8 @@
 	return nil
 }
 
-// Blame tells another member's router of a request.
-func (po port) Blame(ctx context.Context, to core.VMID, no *core.BlameNote) error {
+// NotifyCrash tells another member's router of a request.
+func (po port) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
 	me, err := po.net.way(ctx, po.from, to)
 	if err != nil || me.Ledger == nil {
 		return errCut
@@ -244,8 +244,8 @@
 	return me.Orders.States(ctx), nil
 }
 
-// Hand moves a context to another member's agent.
-func (po port) Hand(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
+// HandOver moves a context to another member's agent.
+func (po port) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
 	me, err := po.net.way(ctx, po.from, to)
 	if err != nil || me.Agent == nil {
 		return &core.Refusal{
--- a/io/stand/kvsrv/kvsrv.go
+++ b/io/stand/kvsrv/kvsrv.go
@@ -221,7 +221,7 @@
 	defer st.mu.Unlock()
 	en, known := st.readable()[key]
 	if !known {
-		return core.Entry{}, core.ErrAbsent
+		return core.Entry{}, core.ErrNotFound
 	}
 	return core.Entry{Key: key, Value: en.value, Version: en.version}, nil
 }
@@ -241,7 +241,7 @@
 		return 0, core.ErrConflict
 	}
 	if _, live := st.leases[le]; le != 0 && !live {
-		return 0, core.ErrLeaseGone
+		return 0, core.ErrLeaseExpired
 	}
 	st.version++
 	st.entries[key] = entry{value: slices.Clone(value), version: st.version, lease: le}
@@ -322,7 +322,7 @@
 	st.lapse()
 	held, live := st.leases[le]
 	if !live {
-		return core.ErrLeaseGone
+		return core.ErrLeaseExpired
 	}
 	held.until = st.Clock.Now().Add(held.ttl)
 	st.leases[le] = held
--- a/io/watch/fakestore_test.go
+++ b/io/watch/fakestore_test.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (st *store) All(ctx context.Context, _ bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
+func (st *store) List(ctx context.Context, _ bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
 	if err := st.injectFault(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -158,7 +158,7 @@
 }
 
 // runReaderOn is follow with a feed of one's own before the store.
-func runReaderOn(t *testing.T, feed core.Feed, st *store, mi *mirror.Mirror, leads func() bool, test func(rd *watch.Reader)) {
+func runReaderOn(t *testing.T, feed core.ChangeFeed, st *store, mi *mirror.Mirror, leads func() bool, test func(rd *watch.Reader)) {
 	synctest.Test(t, func(t *testing.T) {
 		st.woken = make(chan struct{}) // made here, to be of the test's virtual time
 		st.link.busy = make(chan struct{}, 1)
--- a/io/watch/reader.go
+++ b/io/watch/reader.go
@@ -80,7 +80,7 @@
 
 // Reader follows the store. Set the exported fields before Run.
 type Reader struct {
-	Feed   core.Feed
+	Feed   core.ChangeFeed
 	Mirror *mirror.Mirror
 	Rand   core.Rand
 	Log    *zap.Logger
@@ -341,7 +341,7 @@
 	startAttempt := func() {
 		started++
 		go func() {
-			items, asOf, err := rd.Feed.All(ctx, stale, func(some []core.Item) {
+			items, asOf, err := rd.Feed.List(ctx, stale, func(some []core.Item) {
 				storeMax(&rd.lastPage, rd.now())
 				idleTimer.Reset(listIdleTimeout)
 				rd.Mirror.Preview(some)
--- a/io/watch/reader_test.go
+++ b/io/watch/reader_test.go
@@ -38,8 +38,8 @@
 // pagedStore is a store whose listing comes in two pages, the second a second after the first.
 type pagedStore struct{ *store }
 
-func (pa *pagedStore) All(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
-	all, rev, err := pa.store.All(ctx, stale, heard)
+func (pa *pagedStore) List(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
+	all, rev, err := pa.store.List(ctx, stale, heard)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -359,8 +359,8 @@
 	exactListings atomic.Int64
 }
 
-func (sf *staleStore) All(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
-	all, rev, err := sf.store.All(ctx, stale, heard)
+func (sf *staleStore) List(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
+	all, rev, err := sf.store.List(ctx, stale, heard)
 	if err != nil || !stale {
 		sf.exactListings.Add(1)
 		return all, rev, err
