--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -124,7 +124,7 @@
 		}
 		ga.Loads.Observe(core.LoadEntry{Pool: "chat", VM: "one", Load: 500})
 		offer(t, ga, ticket("c", core.PriorityNormal))
-		time.Sleep(loads.Stale + time.Second)
+		time.Sleep(loads.MaxAge + time.Second)
 		if _, re := ga.Offer(ticket("c", core.PriorityNormal)); re == nil || len(re.Alternatives) != 0 {
 			t.Errorf("on stale figures: %v", re)
 		}
--- a/core/admit/report.go
+++ b/core/admit/report.go
@@ -87,7 +87,7 @@
 	ga.mu.Lock()
 	limit := ga.Loads.Mean(ga.load)
 	ga.mu.Unlock()
-	return ga.Loads.Less(limit, instead, ga.Rand)
+	return ga.Loads.LessLoaded(limit, instead, ga.Rand)
 }
 
 func (ga *Gate) refuseCap(wo core.Work) *core.Refusal {
@@ -96,7 +96,7 @@
 	return &core.Refusal{
 		Outcome: core.NotRun, Reason: core.ReasonLoadCap, Step: "admit", Peer: string(ga.VM),
 		Detail:       "the endpoint is at its multiple of the pool's mean load",
-		Alternatives: ga.Loads.Less(max(limit, mean), instead, ga.Rand),
+		Alternatives: ga.Loads.LessLoaded(max(limit, mean), instead, ga.Rand),
 		RetryAfter:   leastRetryAfter,
 	}
 }
@@ -105,7 +105,7 @@
 	re := &core.Refusal{
 		Outcome: core.NotRun, Reason: core.ReasonQueueFull, Step: "admit", Peer: string(ga.VM),
 		Detail:       "the endpoint's queue is full",
-		Alternatives: ga.Loads.Less(ga.load, instead, ga.Rand),
+		Alternatives: ga.Loads.LessLoaded(ga.load, instead, ga.Rand),
 		RetryAfter:   ga.retryAfter(),
 	}
 	if float64(ti.account.waiting)*ga.weights > float64(ga.queue.work)*ti.account.weight {
--- a/core/loads/loads.go
+++ b/core/loads/loads.go
@@ -45,14 +45,14 @@
 // Get returns the load last stored.
 func (ga *Gauge) Get() core.Work { return core.Work(ga.work.Load()) }
 
-// Stale is the age beyond which a figure does not count.
-const Stale = 5 * time.Second
-
-type figure struct {
-	load     core.Work
-	drain    core.Work
-	at       time.Time
-	draining bool
+// MaxAge is the age beyond which a figure does not count.
+const MaxAge = 5 * time.Second
+
+type sample struct {
+	load       core.Work
+	throughput core.Work
+	measuredAt time.Time
+	draining   bool
 }
 
 // Table holds one pool's loads. Set the exported fields before use.
@@ -61,21 +61,21 @@
 	Pool  core.PoolID
 	Self  core.VMID
 
-	mu      sync.Mutex // guards all below
-	peers   []core.VMID
-	figures map[core.VMID]figure
-	sum     core.Work // of the peers' fresh loads, as at summed
-	fresh   int       // how many figures are in sum
-	summed  time.Time
+	mu         sync.Mutex // guards all below
+	peers      []core.VMID
+	samples    map[core.VMID]sample
+	freshSum   core.Work // of the peers' fresh loads, as at summed
+	freshCount int       // how many figures are in sum
+	summedAt   time.Time
 	// The trend of the peers' mean, and the mean and time it was last taken at.
 	trend     float64
 	trendMean float64
 	trendAt   time.Time
 }
 
-// sumEvery is how long the sum over the peers is kept: admission reads it for
+// sumTTL is how long the sum over the peers is kept: admission reads it for
 // every call, and in so short a time it moves by less than one call's work.
-const sumEvery = 10 * time.Millisecond
+const sumTTL = 10 * time.Millisecond
 
 // SetPeers replaces the pool's live members, Self among them or not. It reports
 // whether they are others than before.
@@ -83,19 +83,19 @@
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	before := slices.Clone(ta.peers)
-	kept := make(map[core.VMID]figure, len(vms))
+	kept := make(map[core.VMID]sample, len(vms))
 	ta.peers = ta.peers[:0]
 	for _, vm := range vms {
 		if vm == ta.Self {
 			continue
 		}
 		ta.peers = append(ta.peers, vm)
-		if fi, known := ta.figures[vm]; known {
-			kept[vm] = fi
+		if sa, known := ta.samples[vm]; known {
+			kept[vm] = sa
 		}
 	}
-	ta.figures = kept
-	ta.summed = time.Time{}
+	ta.samples = kept
+	ta.summedAt = time.Time{}
 	return !slices.Equal(before, ta.peers)
 }
 
@@ -107,60 +107,60 @@
 	if !slices.Contains(ta.peers, en.VM) {
 		return
 	}
-	if old, known := ta.figures[en.VM]; known && !at.After(old.at) {
+	if old, known := ta.samples[en.VM]; known && !at.After(old.measuredAt) {
 		return
 	}
-	ta.figures[en.VM] = figure{load: en.Load, drain: en.Throughput, at: at, draining: en.Draining}
-	ta.summed = time.Time{}
+	ta.samples[en.VM] = sample{load: en.Load, throughput: en.Throughput, measuredAt: at, draining: en.Draining}
+	ta.summedAt = time.Time{}
 }
 
 // Mean is the mean of the pool's loads as far as known, own load included.
-func (ta *Table) Mean(own core.Work) core.Work {
+func (ta *Table) Mean(ownLoad core.Work) core.Work {
 	now := ta.Clock.Now()
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	if age := now.Sub(ta.summed); age < 0 || age > sumEvery {
-		ta.addUp(now)
+	if age := now.Sub(ta.summedAt); age < 0 || age > sumTTL {
+		ta.refreshSum(now)
 	}
-	if ta.fresh == 0 && len(ta.peers) > 0 {
+	if ta.freshCount == 0 && len(ta.peers) > 0 {
 		return 0
 	}
-	return (ta.sum + own) / core.Work(ta.fresh+1)
+	return (ta.freshSum + ownLoad) / core.Work(ta.freshCount+1)
 }
 
-// addUp sums the fresh figures, each brought forward by its age along the trend.
-func (ta *Table) addUp(now time.Time) {
-	ta.summed = now
+// refreshSum sums the fresh figures, each brought forward by its age along the trend.
+func (ta *Table) refreshSum(now time.Time) {
+	ta.summedAt = now
 	var sum, age float64
-	ta.fresh = 0
-	for _, fi := range ta.figures {
-		if now.Sub(fi.at) > Stale || fi.draining {
+	ta.freshCount = 0
+	for _, sa := range ta.samples {
+		if now.Sub(sa.measuredAt) > MaxAge || sa.draining {
 			continue
 		}
-		sum += float64(fi.load)
-		age += now.Sub(fi.at).Seconds()
-		ta.fresh++
+		sum += float64(sa.load)
+		age += now.Sub(sa.measuredAt).Seconds()
+		ta.freshCount++
 	}
-	if ta.fresh == 0 {
-		ta.sum = 0
+	if ta.freshCount == 0 {
+		ta.freshSum = 0
 		return
 	}
-	mean, meanAge := sum/float64(ta.fresh), age/float64(ta.fresh)
-	ta.follow(mean, now.Add(-time.Duration(meanAge*float64(time.Second))))
-	ahead := min(mean*mostAhead, max(0, ta.trend)*meanAge)
-	ta.sum = core.Work((mean + ahead) * float64(ta.fresh))
+	mean, meanAge := sum/float64(ta.freshCount), age/float64(ta.freshCount)
+	ta.updateTrend(mean, now.Add(-time.Duration(meanAge*float64(time.Second))))
+	extrapolated := min(mean*maxExtrapolation, max(0, ta.trend)*meanAge)
+	ta.freshSum = core.Work((mean + extrapolated) * float64(ta.freshCount))
 }
 
-// follow keeps the trend of the peers' mean, in work a second. The own load has no
+// updateTrend keeps the trend of the peers' mean, in work a second. The own load has no
 // part in it: an agent that grows hot must not take its own growth for the pool's.
-func (ta *Table) follow(mean float64, at time.Time) {
-	past := at.Sub(ta.trendAt).Seconds()
-	if past < trendEvery.Seconds() {
+func (ta *Table) updateTrend(mean float64, at time.Time) {
+	elapsed := at.Sub(ta.trendAt).Seconds()
+	if elapsed < trendInterval.Seconds() {
 		return
 	}
-	if past < Stale.Seconds() {
-		rate := (mean - ta.trendMean) / past
-		ta.trend += (rate - ta.trend) * min(1, past/trendOver.Seconds())
+	if elapsed < MaxAge.Seconds() {
+		rate := (mean - ta.trendMean) / elapsed
+		ta.trend += (rate - ta.trend) * min(1, elapsed/trendWindow.Seconds())
 	} else {
 		ta.trend = 0
 	}
@@ -168,18 +168,18 @@
 }
 
 const (
-	// trendEvery and trendOver are how often the trend is looked at, and over how
+	// trendInterval and trendOver are how often the trend is looked at, and over how
 	// long it is smoothed.
-	trendEvery = 300 * time.Millisecond
-	trendOver  = time.Second
-	// mostAhead bounds how far a figure is brought forward, as a part of it.
-	mostAhead = 0.25
+	trendInterval = 300 * time.Millisecond
+	trendWindow   = time.Second
+	// maxExtrapolation bounds how far a figure is brought forward, as a part of it.
+	maxExtrapolation = 0.25
 )
 
-// Less names up to most peers whose load is below limit. Which ones is drawn at
+// LessLoaded names up to most peers whose load is below limit. Which ones is drawn at
 // random with odds by their headroom, so that many refusals at once do not send
 // everyone to the one least loaded peer.
-func (ta *Table) Less(limit core.Work, most int, ra core.Rand) []core.VMID {
+func (ta *Table) LessLoaded(limit core.Work, maxCount int, ra core.Rand) []core.VMID {
 	type drawn struct {
 		vm  core.VMID
 		key float64
@@ -189,17 +189,17 @@
 	defer ta.mu.Unlock()
 	var found []drawn
 	for _, vm := range ta.peers { // in order, so that a seeded run repeats
-		fi, known := ta.figures[vm]
-		room := limit - fi.load
-		if !known || room <= 0 || fi.draining || now.Sub(fi.at) > Stale {
+		sa, known := ta.samples[vm]
+		headroom := limit - sa.load
+		if !known || headroom <= 0 || sa.draining || now.Sub(sa.measuredAt) > MaxAge {
 			continue
 		}
 		// The smallest of Exp(1)/room is drawn with odds proportional to room.
-		found = append(found, drawn{vm, exponential(ra) / float64(room)})
+		found = append(found, drawn{vm, exponential(ra) / float64(headroom)})
 	}
 	slices.SortFunc(found, func(one, two drawn) int { return cmp.Compare(one.key, two.key) })
-	names := make([]core.VMID, 0, most)
-	for _, dr := range found[:min(most, len(found))] {
+	names := make([]core.VMID, 0, maxCount)
+	for _, dr := range found[:min(maxCount, len(found))] {
 		names = append(names, dr.vm)
 	}
 	return names
@@ -210,29 +210,29 @@
 	now := ta.Clock.Now()
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	fi, known := ta.figures[vm]
-	return fi.load, known && !fi.draining && now.Sub(fi.at) <= Stale
+	sa, known := ta.samples[vm]
+	return sa.load, known && !sa.draining && now.Sub(sa.measuredAt) <= MaxAge
 }
 
 // Freshest returns up to most figures, the most recent first, for passing on.
-func (ta *Table) Freshest(most int) []core.LoadEntry {
+func (ta *Table) Freshest(maxCount int) []core.LoadEntry {
 	now := ta.Clock.Now()
 	ta.mu.Lock()
-	entries := make([]core.LoadEntry, 0, len(ta.figures))
-	for vm, fi := range ta.figures {
-		age := now.Sub(fi.at)
-		if age > Stale {
+	entries := make([]core.LoadEntry, 0, len(ta.samples))
+	for vm, sa := range ta.samples {
+		age := now.Sub(sa.measuredAt)
+		if age > MaxAge {
 			continue
 		}
 		entries = append(entries, core.LoadEntry{
-			Pool: ta.Pool, VM: vm, Load: fi.load, Throughput: fi.drain, Age: age, Draining: fi.draining,
+			Pool: ta.Pool, VM: vm, Load: sa.load, Throughput: sa.throughput, Age: age, Draining: sa.draining,
 		})
 	}
 	ta.mu.Unlock()
 	slices.SortFunc(entries, func(one, two core.LoadEntry) int {
 		return cmp.Or(cmp.Compare(one.Age, two.Age), cmp.Compare(one.VM, two.VM))
 	})
-	return entries[:min(most, len(entries))]
+	return entries[:min(maxCount, len(entries))]
 }
 
 // exponential draws from the exponential distribution with mean 1.
--- a/core/loads/loads_test.go
+++ b/core/loads/loads_test.go
@@ -26,7 +26,7 @@
 // A pool comes back after an outage and fills up fast. Figures of the others are
 // a second old, and on them alone every agent would take itself for too hot and
 // refuse. The trend of the others brings them forward.
-func TestRisingPoolIsBroughtForward(t *testing.T) {
+func TestRisingLoadsAreExtrapolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ta := table(10)
 		for step := range 100 {
@@ -46,7 +46,7 @@
 
 // One agent grows hot while the others stay as they are. It must not take its own
 // growth for the pool's: its mean is theirs and its own part in it.
-func TestOwnGrowthIsNoTrend(t *testing.T) {
+func TestOwnLoadDoesNotAffectTrend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ta := table(10)
 		for step := range 50 {
@@ -63,7 +63,7 @@
 }
 
 // A figure that took a roundabout way arrives behind a fresher one; it is ignored.
-func TestOlderFigureIsIgnored(t *testing.T) {
+func TestOlderSampleIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ta := table(1)
 		ta.Observe(core.LoadEntry{Pool: "chat", VM: vm(0), Load: 500, Age: time.Second})
@@ -75,7 +75,7 @@
 }
 
 // Many refusals at once name less loaded peers. They do not all name the same one.
-func TestRefusalsDoNotHerd(t *testing.T) {
+func TestAlternativesAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ta := table(10)
 		for n := range 10 {
@@ -84,7 +84,7 @@
 		ra := clock.NewRand(1)
 		first := map[core.VMID]int{}
 		for range 1000 {
-			first[ta.Less(800, 3, ra)[0]]++
+			first[ta.LessLoaded(800, 3, ra)[0]]++
 		}
 		if len(first) < 8 || first[vm(0)] > 400 {
 			t.Errorf("%v", first)
