--- a/core/admit/account.go
+++ b/core/admit/account.go
@@ -5,24 +5,24 @@
 // account is one customer's standing at the gate. It is active while the
 // customer has a ticket inside.
 type account struct {
-	weight  float64
-	tickets int
-	running int
-	waiting core.Work
-	finish  float64 // virtual time at which its last ticket ends
+	weight       float64
+	ticketCount  int
+	runningCount int
+	queuedWork   core.Work
+	finishTag    float64 // virtual time at which its last ticket ends
 }
 
-// maySlot keeps the last slots for customers within their share.
-func (ga *Gate) maySlot(ac *account) bool {
+// slotAllowed keeps the last slots for customers within their share.
+func (ga *Gate) slotAllowed(ac *account) bool {
 	free := ga.limits.Slots - ga.running
 	if free > int(ga.limits.Headroom*float64(ga.limits.Slots)) {
 		return true
 	}
-	return float64(ac.running)*ga.weights < float64(ga.limits.Slots)*ac.weight
+	return float64(ac.runningCount)*ga.activeWeight < float64(ga.limits.Slots)*ac.weight
 }
 
-// enterAccount gives the ticket its place in its customer's account.
-func (ga *Gate) enterAccount(ti *Ticket) {
+// addToAccount gives the ticket its place in its customer's account.
+func (ga *Gate) addToAccount(ti *Ticket) {
 	ac := ga.accounts[ti.Customer]
 	if ac == nil {
 		if ga.accounts == nil {
@@ -31,26 +31,26 @@
 		ac = &account{}
 		ga.accounts[ti.Customer] = ac
 	}
-	if ac.tickets == 0 {
+	if ac.ticketCount == 0 {
 		ac.weight = ti.Weight
-		ga.weights += ac.weight
+		ga.activeWeight += ac.weight
 	}
-	ac.tickets++
-	ti.start = max(ga.queue.virtual, ac.finish)
-	ac.finish = ti.start + float64(ti.Work)/ac.weight
+	ac.ticketCount++
+	ti.startTag = max(ga.queue.virtualTime, ac.finishTag)
+	ac.finishTag = ti.startTag + float64(ti.Work)/ac.weight
 	ti.account = ac
 }
 
-// leaveAccount takes the ticket out of its customer's account. One that never ran
+// removeFromAccount takes the ticket out of its customer's account. One that never ran
 // is not counted against the customer.
-func (ga *Gate) leaveAccount(ti *Ticket) {
+func (ga *Gate) removeFromAccount(ti *Ticket) {
 	ac := ti.account
-	if !ti.ran {
-		ac.finish -= float64(ti.Work) / ac.weight
+	if !ti.started {
+		ac.finishTag -= float64(ti.Work) / ac.weight
 	}
-	ac.tickets--
-	if ac.tickets > 0 {
+	ac.ticketCount--
+	if ac.ticketCount > 0 {
 		return
 	}
-	ga.weights = max(0, ga.weights-ac.weight)
+	ga.activeWeight = max(0, ga.activeWeight-ac.weight)
 }
--- a/core/admit/fair_test.go
+++ b/core/admit/fair_test.go
@@ -12,26 +12,26 @@
 // A publisher's calls run on an idle engine all day, which costs nobody anything.
 // In the evening another customer begins too, and both queue. They take turns;
 // the publisher does not wait until the other has caught up on the day.
-func TestIdleUseIsNotHeldAgainstACustomer(t *testing.T) {
+func TestUseOfIdleEndpointIsNotCharged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := newGate(2, 20)
 		for range 1000 {
 			ti := ticket("publisher", core.PriorityNormal)
 			offer(t, ga, ti)
-			ga.Leave(ti)
+			ga.Release(ti)
 		}
 		running := []*admit.Ticket{ticket("publisher", core.PriorityNormal), ticket("evening", core.PriorityNormal)}
 		for _, ti := range running {
 			offer(t, ga, ti)
 		}
-		evening, publisher := &line{customer: "evening"}, &line{customer: "publisher"}
+		evening, publisher := &customerQueue{customer: "evening"}, &customerQueue{customer: "publisher"}
 		for range 6 {
-			evening.join(t, ga)
-			publisher.join(t, ga)
+			evening.enqueue(t, ga)
+			publisher.enqueue(t, ga)
 		}
 		for range 3 {
-			ga.Leave(running[0])
-			running = append(running[1:], startedOf(t, evening, publisher))
+			ga.Release(running[0])
+			running = append(running[1:], nextStarted(t, evening, publisher))
 		}
 		if publisher.started == 0 {
 			t.Error("the publisher's call was passed over by three of the other's")
@@ -39,22 +39,22 @@
 	})
 }
 
-// line is what a customer has waiting; its tickets start in turn.
-type line struct {
+// customerQueue is what a customer has waiting; its tickets start in turn.
+type customerQueue struct {
 	customer core.CustomerID
 	tickets  []*admit.Ticket
 	started  int
 }
 
-func (li *line) join(t *testing.T, ga *admit.Gate) {
+func (li *customerQueue) enqueue(t *testing.T, ga *admit.Gate) {
 	t.Helper()
 	ti := ticket(li.customer, core.PriorityNormal)
 	offer(t, ga, ti)
 	li.tickets = append(li.tickets, ti)
 }
 
-// startedOf finds the ticket that was just given a slot.
-func startedOf(t *testing.T, lines ...*line) *admit.Ticket {
+// nextStarted finds the ticket that was just given a slot.
+func nextStarted(t *testing.T, lines ...*customerQueue) *admit.Ticket {
 	t.Helper()
 	for _, li := range lines {
 		if ti := li.tickets[li.started]; started(ti) {
@@ -69,15 +69,15 @@
 // Readers of a customer that surges wait for room at the engine that has their
 // contexts. A marshal of another customer asks something small, for which there
 // is room, and a lookup comes first anyway: neither waits behind the surge.
-func TestPatientSurgeKeepsNobodyOut(t *testing.T) {
+func TestCapWaitersDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga, first, patient := waitingForRoom(t, 130, "surge", "surge")
+		ga, first, patient := newGateAtCap(t, 130, "surge", "surge")
 		marshal, lookup := ticket("other", core.PriorityNormal), ticket("surge", core.PriorityUrgent)
 		marshal.Work, lookup.Work = 10, 10
 		if !offer(t, ga, marshal) || !offer(t, ga, lookup) {
 			t.Error("kept out by a call that waits for room")
 		}
-		ga.Leave(first)
+		ga.Release(first)
 		if !started(patient) {
 			t.Error("the patient call got no room")
 		}
@@ -87,13 +87,13 @@
 // One customer's pupils fill an engine, but for the slots kept for the others,
 // and more of them queue. An editor of another customer gets one of those slots
 // at once; she does not wait for an answer to end first.
-func TestKeptSlotIsGivenAtOnce(t *testing.T) {
+func TestReservedSlotIsGivenAtOnce(t *testing.T) {
 	ga := newGate(16, 32)
 	offer(t, ga, ticket("editor", core.PriorityNormal))
 	for range 20 {
 		offer(t, ga, ticket("pupils", core.PriorityNormal))
 	}
-	if running := ga.Standing().Running; running != 14 {
+	if running := ga.Stats().Running; running != 14 {
 		t.Fatalf("%d run: this shows nothing", running)
 	}
 	if !offer(t, ga, ticket("editor", core.PriorityNormal)) {
@@ -103,15 +103,15 @@
 
 // A term opens, and one customer's pupils could fill an engine. The pool's
 // Headroom decides how many slots stay free for the others.
-func TestHeadroomIsKeptForOthers(t *testing.T) {
-	for headroom, most := range map[float64]int{0.125: 14, 0.5: 9} {
+func TestHeadroomIsReservedForOthers(t *testing.T) {
+	for headroom, limit := range map[float64]int{0.125: 14, 0.5: 9} {
 		ga := newGate(16, 32)
 		ga.SetLimits(decl.Limits{LoadFactor: 1.25, FloorWork: 1e6, Slots: 16, QueueCalls: 32, Headroom: headroom})
 		offer(t, ga, ticket("editor", core.PriorityNormal))
 		for range 20 {
 			offer(t, ga, ticket("pupils", core.PriorityNormal))
 		}
-		if running := ga.Standing().Running; running != most {
+		if running := ga.Stats().Running; running != limit {
 			t.Errorf("headroom %g: %d run", headroom, running)
 		}
 		if !offer(t, ga, ticket("editor", core.PriorityNormal)) {
--- a/core/admit/gate.go
+++ b/core/admit/gate.go
@@ -42,15 +42,15 @@
 )
 
 const (
-	// maxWait is how long a call may be passed over for higher priorities.
-	maxWait = 5 * time.Second
+	// maxOvertaken is how long a call may be passed over for higher priorities.
+	maxOvertaken = 5 * time.Second
 	// Bounds of the advice when to try again.
-	leastRetryAfter = 100 * time.Millisecond
-	mostRetryAfter  = 30 * time.Second
-	// mostPatient bounds the calls that wait for room under the cap.
-	mostPatient = 16
-	// instead is how many less loaded peers a refusal names.
-	instead = 3
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
+	// maxCapWaiters bounds the calls that wait for room under the cap.
+	maxCapWaiters = 16
+	// maxAlternatives is how many less loaded peers a refusal names.
+	maxAlternatives = 3
 )
 
 // Gate stands before one endpoint. Set the exported fields before use.
@@ -62,19 +62,19 @@
 	// Gauge, if set, is kept at the load.
 	Gauge *loads.Gauge
 
-	mu       sync.Mutex // guards all below
-	limits   decl.Limits
-	load     core.Work
-	alien    core.Work
-	running  int
-	waiting  int
-	patient  queue // waits for room under the cap
-	queue    queue // waits for a slot
-	accounts map[core.CustomerID]*account
-	weights  float64 // sum over active accounts
-	finished core.Work
-	drain    float64
-	drainAt  time.Time
+	mu           sync.Mutex // guards all below
+	limits       decl.Limits
+	load         core.Work
+	untracked    core.Work
+	running      int
+	queued       int
+	capWaiters   queue // waits for room under the cap
+	queue        queue // waits for a slot
+	accounts     map[core.CustomerID]*account
+	activeWeight float64 // sum over active accounts
+	finishedWork core.Work
+	throughput   float64
+	throughputAt time.Time
 }
 
 // Ticket is one call's passage. Set the exported fields, then Offer it once.
@@ -84,30 +84,30 @@
 	Weight   float64
 	Priority core.Priority
 	Work     core.Work
-	// Patience is how long the call would rather wait for room under the load cap
+	// WaitLimit is how long the call would rather wait for room under the load cap
 	// than be refused, because its context is here. 0 is not at all.
-	Patience time.Duration
+	WaitLimit time.Duration
 
-	left    core.Work
-	account *account
-	start   float64
-	number  uint64
-	since   time.Time
-	state   ticketState
-	ran     bool
-	ready   chan *core.Refusal
+	remaining core.Work
+	account   *account
+	startTag  float64
+	seq       uint64
+	queuedAt  time.Time
+	state     ticketState
+	started   bool
+	ready     chan *core.Refusal
 }
 
 type ticketState uint8
 
 const (
 	_ ticketState = iota // not offered yet
-	// ticketPatient waits for room under the cap; it is not part of the load.
-	ticketPatient
-	// ticketWaiting waits for a slot.
-	ticketWaiting
+	// ticketAwaitingCap waits for room under the cap; it is not part of the load.
+	ticketAwaitingCap
+	// ticketQueued waits for a slot.
+	ticketQueued
 	ticketRunning
-	ticketOut
+	ticketDone
 )
 
 // Ready delivers nil when a waiting ticket gets its slot, or why it never will.
@@ -126,41 +126,41 @@
 func (ga *Gate) Offer(ti *Ticket) (bool, *core.Refusal) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.enterAccount(ti)
-	if ga.fits(ti.Work) && !ga.precedes(ga.patient.first(), ti) {
-		run, re := ga.admit(ti)
-		if ti.state == ticketRunning && !run {
+	ga.addToAccount(ti)
+	if ga.withinCap(ti.Work) && !ga.precedes(ga.capWaiters.first(), ti) {
+		running, re := ga.admit(ti)
+		if ti.state == ticketRunning && !running {
 			// Queued and started at once; nobody else reads its channel yet.
 			<-ti.ready
-			run = true
+			running = true
 		}
-		return run, re
+		return running, re
 	}
-	if !ga.worthWaiting(ti) {
-		ga.leaveAccount(ti)
-		return false, ga.refuseCap(ti.Work)
+	if !ga.shouldAwaitCap(ti) {
+		ga.removeFromAccount(ti)
+		return false, ga.loadCapRefusal(ti.Work)
 	}
 	ti.ready = make(chan *core.Refusal, 1)
-	ti.state = ticketPatient
-	ga.patient.push(ti)
+	ti.state = ticketAwaitingCap
+	ga.capWaiters.push(ti)
 	return false, nil
 }
 
 // admit gives a ticket within the cap a slot or a place in the queue.
 func (ga *Gate) admit(ti *Ticket) (bool, *core.Refusal) {
-	ti.left = ti.Work
-	if ga.running < ga.limits.Slots && ga.waiting == 0 && ga.maySlot(ti.account) {
+	ti.remaining = ti.Work
+	if ga.running < ga.limits.Slots && ga.queued == 0 && ga.slotAllowed(ti.account) {
 		ga.addLoad(ti.Work)
 		ga.startTicket(ti)
 		return true, nil
 	}
-	if ga.waiting >= ga.limits.QueueCalls {
-		victim := ga.queue.worse(ti)
+	if ga.queued >= ga.limits.QueueCalls {
+		victim := ga.queue.victimFor(ti)
 		if victim == nil {
-			ga.leaveAccount(ti)
-			return false, ga.refuseQueue(ti)
+			ga.removeFromAccount(ti)
+			return false, ga.queueFullRefusal(ti)
 		}
-		ga.pushOut(victim)
+		ga.evict(victim)
 	}
 	ga.addLoad(ti.Work)
 	ga.enqueue(ti)
@@ -169,11 +169,11 @@
 	return false, nil
 }
 
-// fits applies the load cap. An endpoint that is not above the mean may always
+// withinCap applies the load cap. An endpoint that is not above the mean may always
 // take one more call, however large: some endpoint always is, so no call is
 // refused everywhere for its size. The load may thus exceed LoadFactor times
 // the mean by one call's work at most.
-func (ga *Gate) fits(wo core.Work) bool {
+func (ga *Gate) withinCap(wo core.Work) bool {
 	after := ga.load + wo
 	if after <= ga.limits.FloorWork || ga.load == 0 {
 		return true
@@ -186,29 +186,29 @@
 
 func (ga *Gate) startTicket(ti *Ticket) {
 	ti.state = ticketRunning
-	ti.ran = true
-	ti.account.running++
+	ti.started = true
+	ti.account.runningCount++
 	ga.running++
 	// Also when nobody waits: what a customer used of an idle endpoint would count
 	// against it, for as long as the endpoint lives, once there is a queue.
-	ga.queue.virtual = max(ga.queue.virtual, ti.start)
+	ga.queue.virtualTime = max(ga.queue.virtualTime, ti.startTag)
 }
 
 func (ga *Gate) enqueue(ti *Ticket) {
 	if ti.ready == nil {
 		ti.ready = make(chan *core.Refusal, 1)
 	}
-	ti.state = ticketWaiting
-	ti.since = ga.Clock.Now()
-	ti.account.waiting += ti.Work
-	ga.waiting++
+	ti.state = ticketQueued
+	ti.queuedAt = ga.Clock.Now()
+	ti.account.queuedWork += ti.Work
+	ga.queued++
 	ga.queue.push(ti)
 }
 
 // dispatch gives free slots to waiting tickets.
 func (ga *Gate) dispatch() {
-	for ga.running < ga.limits.Slots && ga.waiting > 0 {
-		ti := ga.queue.pop(ga.Clock.Now(), ga.maySlot)
+	for ga.running < ga.limits.Slots && ga.queued > 0 {
+		ti := ga.queue.pop(ga.Clock.Now(), ga.slotAllowed)
 		if ti == nil {
 			return
 		}
@@ -219,17 +219,17 @@
 }
 
 func (ga *Gate) unqueue(ti *Ticket) {
-	ti.account.waiting -= ti.Work
-	ga.waiting--
+	ti.account.queuedWork -= ti.Work
+	ga.queued--
 }
 
-func (ga *Gate) pushOut(ti *Ticket) {
+func (ga *Gate) evict(ti *Ticket) {
 	ga.queue.remove(ti)
 	ga.unqueue(ti)
-	ti.state = ticketOut
-	ga.addLoad(-ti.left)
-	ti.ready <- ga.refuseQueue(ti)
-	ga.leaveAccount(ti)
+	ti.state = ticketDone
+	ga.addLoad(-ti.remaining)
+	ti.ready <- ga.queueFullRefusal(ti)
+	ga.removeFromAccount(ti)
 }
 
 // Withdraw takes a waiting ticket back. False means that it was given a slot, or
@@ -237,20 +237,20 @@
 func (ga *Gate) Withdraw(ti *Ticket) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if ti.state == ticketPatient {
-		ga.patient.remove(ti)
-		ti.state = ticketOut
-		ga.leaveAccount(ti)
+	if ti.state == ticketAwaitingCap {
+		ga.capWaiters.remove(ti)
+		ti.state = ticketDone
+		ga.removeFromAccount(ti)
 		return true
 	}
-	if ti.state != ticketWaiting {
+	if ti.state != ticketQueued {
 		return false
 	}
 	ga.queue.remove(ti)
 	ga.unqueue(ti)
-	ti.state = ticketOut
-	ga.addLoad(-ti.left)
-	ga.leaveAccount(ti)
+	ti.state = ticketDone
+	ga.addLoad(-ti.remaining)
+	ga.removeFromAccount(ti)
 	return true
 }
 
@@ -258,28 +258,28 @@
 func (ga *Gate) Progress(ti *Ticket, done core.Work) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	done = min(done, ti.left)
-	ti.left -= done
-	ga.finished += done
+	done = min(done, ti.remaining)
+	ti.remaining -= done
+	ga.finishedWork += done
 	ga.addLoad(-done)
-	ga.admitPatient()
+	ga.admitCapWaiters()
 }
 
-// Leave ends a running ticket.
-func (ga *Gate) Leave(ti *Ticket) {
+// Release ends a running ticket.
+func (ga *Gate) Release(ti *Ticket) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if ti.state != ticketRunning {
 		return
 	}
-	ti.state = ticketOut
-	ti.account.running--
+	ti.state = ticketDone
+	ti.account.runningCount--
 	ga.running--
-	ga.finished += ti.left
-	ga.addLoad(-ti.left)
-	ga.leaveAccount(ti)
+	ga.finishedWork += ti.remaining
+	ga.addLoad(-ti.remaining)
+	ga.removeFromAccount(ti)
 	ga.dispatch()
-	ga.admitPatient()
+	ga.admitCapWaiters()
 }
 
 func (ga *Gate) addLoad(wo core.Work) {
--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -49,7 +49,7 @@
 // A stage starts at night: one customer's spectators fill slots and queue. A
 // marshal of another customer calls; one of the surge's waiting calls makes room
 // and is told that it was not run, since its customer is over its share.
-func TestSurgeMakesRoomForOthers(t *testing.T) {
+func TestSurgingCustomerIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := newGate(4, 4)
 		var surge []*admit.Ticket
@@ -74,8 +74,8 @@
 		if out == nil || out.Outcome != core.NotRun || out.Reason != core.ReasonShareExceeded {
 			t.Errorf("pushed out: %v", out)
 		}
-		ga.Leave(surge[0])
-		ga.Leave(surge[1])
+		ga.Release(surge[0])
+		ga.Release(surge[1])
 		if !started(marshal) {
 			t.Error("the other customer's call still waits after two turns")
 		}
@@ -96,7 +96,7 @@
 			lookup := ticket("c", core.PriorityUrgent)
 			offer(t, ga, lookup)
 			time.Sleep(time.Second)
-			ga.Leave(running)
+			ga.Release(running)
 			running = lookup
 			if time.Since(start) > 10*time.Second {
 				t.Fatal("still waiting after 10 s")
@@ -110,7 +110,7 @@
 
 // An agent is cut off from its peers, so it does not know the pool's mean. It
 // takes work up to the floor only, and one call where it has none at all.
-func TestUnknownMeanLeavesTheFloor(t *testing.T) {
+func TestUnknownMeanFallsBackToFloorWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := newGate(100, 100)
 		ga.SetLimits(decl.Limits{LoadFactor: 1.25, FloorWork: 250, Slots: 100, QueueCalls: 100, Headroom: decl.DefaultHeadroom})
@@ -131,9 +131,9 @@
 	})
 }
 
-// waitingForRoom is a gate that is full up to its cap with the first customer's
+// newGateAtCap is a gate that is full up to its cap with the first customer's
 // call, and a call of the second that waits for room.
-func waitingForRoom(t *testing.T, floor core.Work, one, two core.CustomerID) (ga *admit.Gate, first, patient *admit.Ticket) {
+func newGateAtCap(t *testing.T, floor core.Work, one, two core.CustomerID) (ga *admit.Gate, first, patient *admit.Ticket) {
 	t.Helper()
 	ga = newGate(100, 100)
 	ga.SetLimits(decl.Limits{LoadFactor: 1.25, FloorWork: floor, Slots: 100, QueueCalls: 100, Headroom: decl.DefaultHeadroom})
@@ -141,12 +141,12 @@
 	ga.Loads.Observe(core.LoadEntry{Pool: "chat", VM: "one", Load: 20})
 	first = ticket(one, core.PriorityNormal)
 	offer(t, ga, first)
-	ga.Standing()
+	ga.Stats()
 	time.Sleep(time.Second)
 	ga.Progress(first, 20)
-	ga.Standing()
+	ga.Stats()
 	patient = ticket(two, core.PriorityNormal)
-	patient.Patience = time.Minute
+	patient.WaitLimit = time.Minute
 	if offer(t, ga, patient) || started(patient) {
 		t.Fatal("the second call found room: this shows nothing")
 	}
@@ -155,16 +155,16 @@
 
 // A call whose context is here waits for room under the cap, outside the load,
 // and gets in before one that came later.
-func TestPatientCallGetsRoom(t *testing.T) {
+func TestCapWaiterIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga, first, patient := waitingForRoom(t, 100, "a", "b")
+		ga, first, patient := newGateAtCap(t, 100, "a", "b")
 		if ga.Load() != 80 {
 			t.Fatalf("it did not wait outside; load %d", ga.Load())
 		}
 		if _, re := ga.Offer(ticket("c", core.PriorityNormal)); re == nil {
 			t.Error("a later call went before it")
 		}
-		ga.Leave(first)
+		ga.Release(first)
 		if !started(patient) {
 			t.Error("it got no room")
 		}
@@ -173,7 +173,7 @@
 
 // Whatever comes and goes, the load is the sum of what is inside, no more run
 // than there are slots, and an empty gate is empty.
-func TestGateKeepsItsBooks(t *testing.T) {
+func TestGateAccounting(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ga := newGate(4, 6)
 		inside := map[*admit.Ticket]bool{} // true if running
@@ -210,7 +210,7 @@
 			},
 			"leave": func(*rapid.T) {
 				if ti := anyone(true); ti != nil {
-					ga.Leave(ti)
+					ga.Release(ti)
 					delete(inside, ti)
 				}
 			},
@@ -221,11 +221,11 @@
 			},
 			"": func(rt *rapid.T) {
 				settle()
-				st := ga.Standing()
+				st := ga.Stats()
 				if st.Load != core.Work(100*len(inside)) {
 					rt.Fatalf("load %d for %d tickets", st.Load, len(inside))
 				}
-				if st.Running > 4 || st.Waiting > 6 || st.Running+st.Waiting != len(inside) {
+				if st.Running > 4 || st.Queued > 6 || st.Running+st.Queued != len(inside) {
 					rt.Fatalf("%+v for %d tickets", st, len(inside))
 				}
 			},
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -12,32 +12,32 @@
 // serve it best.
 type queue struct {
 	classes [core.PriorityCount][]*Ticket
-	// virtual is the start tag of the last ticket started.
-	virtual float64
-	work    core.Work
-	numbers uint64
-	count   int
+	// virtualTime is the start tag of the last ticket started.
+	virtualTime float64
+	work        core.Work
+	lastSeq     uint64
+	count       int
 }
 
 func (qu *queue) push(ti *Ticket) {
-	qu.numbers++
-	ti.number = qu.numbers
+	qu.lastSeq++
+	ti.seq = qu.lastSeq
 	qu.work += ti.Work
 	qu.count++
 	class := qu.classes[ti.Priority]
-	at, _ := slices.BinarySearchFunc(class, ti, compareStart)
+	at, _ := slices.BinarySearchFunc(class, ti, compareOrder)
 	qu.classes[ti.Priority] = slices.Insert(class, at, ti)
 }
 
-func compareStart(one, two *Ticket) int {
+func compareOrder(one, two *Ticket) int {
 	switch {
-	case one.start < two.start:
+	case one.startTag < two.startTag:
 		return -1
-	case one.start > two.start:
+	case one.startTag > two.startTag:
 		return 1
-	case one.number < two.number:
+	case one.seq < two.seq:
 		return -1
-	case one.number > two.number:
+	case one.seq > two.seq:
 		return 1
 	}
 	return 0
@@ -45,7 +45,7 @@
 
 func (qu *queue) remove(ti *Ticket) {
 	class := qu.classes[ti.Priority]
-	at, found := slices.BinarySearchFunc(class, ti, compareStart)
+	at, found := slices.BinarySearchFunc(class, ti, compareOrder)
 	if !found {
 		return
 	}
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// ahead sums the work that would go before a newcomer.
-func (qu *queue) ahead(ti *Ticket) core.Work {
+// workAhead sums the work that would go before a newcomer.
+func (qu *queue) workAhead(ti *Ticket) core.Work {
 	sum := qu.workFrom(ti.Priority + 1)
 	for _, other := range qu.classes[ti.Priority] {
-		if other.start <= ti.start {
+		if other.startTag <= ti.startTag {
 			sum += other.Work
 		}
 	}
@@ -99,7 +99,7 @@
 	var oldest *Ticket
 	for _, class := range qu.classes {
 		for _, ti := range class {
-			if now.Sub(ti.since) > maxWait && may(ti.account) && (oldest == nil || ti.since.Before(oldest.since)) {
+			if now.Sub(ti.queuedAt) > maxOvertaken && may(ti.account) && (oldest == nil || ti.queuedAt.Before(oldest.queuedAt)) {
 				oldest = ti
 			}
 		}
@@ -107,34 +107,34 @@
 	return oldest
 }
 
-// worse finds the waiting ticket that should make room for a newcomer: of the
+// victimFor finds the waiting ticket that should make room for a newcomer: of the
 // lowest priority below the newcomer's, else, within its priority, the last of
 // the customer with most waiting for its share, if that is more than the
 // newcomer's customer would have.
-func (qu *queue) worse(ti *Ticket) *Ticket {
+func (qu *queue) victimFor(ti *Ticket) *Ticket {
 	for pr := range ti.Priority {
-		if victim := greediest(qu.classes[pr]); victim != nil {
+		if victim := largestBacklog(qu.classes[pr]); victim != nil {
 			return victim
 		}
 	}
-	victim := greediest(qu.classes[ti.Priority])
+	victim := largestBacklog(qu.classes[ti.Priority])
 	if victim == nil || victim.account == ti.account {
 		return nil
 	}
-	mine := float64(ti.account.waiting+ti.Work) / ti.account.weight
-	if float64(victim.account.waiting)/victim.account.weight <= mine {
+	own := float64(ti.account.queuedWork+ti.Work) / ti.account.weight
+	if float64(victim.account.queuedWork)/victim.account.weight <= own {
 		return nil
 	}
 	return victim
 }
 
-func greediest(class []*Ticket) *Ticket {
+func largestBacklog(class []*Ticket) *Ticket {
 	var found *Ticket
-	var most float64
+	var largest float64
 	for _, ti := range class {
-		greed := float64(ti.account.waiting) / ti.account.weight
-		if greed >= most {
-			found, most = ti, greed
+		backlog := float64(ti.account.queuedWork) / ti.account.weight
+		if backlog >= largest {
+			found, largest = ti, backlog
 		}
 	}
 	return found
--- /dev/null
+++ b/core/admit/stats.go
@@ -0,0 +1,139 @@
+package admit
+
+import (
+	"time"
+
+	"almondrill/core"
+)
+
+// SetUntracked takes in how much the engine's own report shows beyond what this gate
+// has given it: work that came past the gate. It counts as load until the next
+// report.
+func (ga *Gate) SetUntracked(wo core.Work) {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	wo = max(0, wo)
+	ga.addLoad(wo - ga.untracked)
+	ga.untracked = wo
+	ga.admitCapWaiters()
+}
+
+// TrackedLoad is the work inside that came through this gate.
+func (ga *Gate) TrackedLoad() core.Work {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	return ga.load - ga.untracked
+}
+
+// Stats is a gate's state for reports.
+type Stats struct {
+	Load       core.Work
+	Mean       core.Work
+	Throughput core.Work
+	Running    int
+	Queued     int
+}
+
+// Stats reads the gate's state. Drain is the work a second finished lately.
+func (ga *Gate) Stats() Stats {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	ga.updateThroughput()
+	return Stats{
+		Load: ga.load, Mean: ga.Loads.Mean(ga.load), Throughput: core.Work(ga.throughput),
+		Running: ga.running, Queued: ga.queued,
+	}
+}
+
+const throughputInterval = 500 * time.Millisecond
+
+func (ga *Gate) updateThroughput() {
+	now := ga.Clock.Now()
+	past := now.Sub(ga.throughputAt)
+	if past < throughputInterval {
+		return
+	}
+	rate := float64(ga.finishedWork) / past.Seconds()
+	ga.throughput = (ga.throughput + rate) / 2
+	ga.finishedWork = 0
+	ga.throughputAt = now
+}
+
+// EstimateWait estimates how long a call of that priority would wait for a slot.
+func (ga *Gate) EstimateWait(pr core.Priority) time.Duration {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	ga.updateThroughput()
+	ahead := ga.queue.workFrom(pr)
+	if ahead == 0 || ga.throughput < 1 {
+		return 0
+	}
+	return time.Duration(float64(ahead) / ga.throughput * float64(time.Second))
+}
+
+// EstimatePrefill estimates how long prefilling that work takes at the rate at which
+// an endpoint like this one works.
+func (ga *Gate) EstimatePrefill(wo core.Work) time.Duration {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	if ga.throughput < 1 {
+		return 0
+	}
+	return time.Duration(float64(wo) / ga.throughput * float64(time.Second))
+}
+
+// LessLoaded names less loaded peers.
+func (ga *Gate) LessLoaded() []core.VMID {
+	ga.mu.Lock()
+	limit := ga.Loads.Mean(ga.load)
+	ga.mu.Unlock()
+	return ga.Loads.LessLoaded(limit, maxAlternatives, ga.Rand)
+}
+
+func (ga *Gate) loadCapRefusal(wo core.Work) *core.Refusal {
+	mean := ga.Loads.Mean(ga.load)
+	limit := core.Work(ga.limits.LoadFactor*float64(mean)) - wo
+	return &core.Refusal{
+		Outcome: core.NotRun, Reason: core.ReasonLoadCap, Step: "admit", Peer: string(ga.VM),
+		Detail:       "the endpoint is at its multiple of the pool's mean load",
+		Alternatives: ga.Loads.LessLoaded(max(limit, mean), maxAlternatives, ga.Rand),
+		RetryAfter:   minRetryAfter,
+	}
+}
+
+func (ga *Gate) queueFullRefusal(ti *Ticket) *core.Refusal {
+	re := &core.Refusal{
+		Outcome: core.NotRun, Reason: core.ReasonQueueFull, Step: "admit", Peer: string(ga.VM),
+		Detail:       "the endpoint's queue is full",
+		Alternatives: ga.Loads.LessLoaded(ga.load, maxAlternatives, ga.Rand),
+		RetryAfter:   ga.retryAfter(),
+	}
+	if float64(ti.account.queuedWork)*ga.activeWeight > float64(ga.queue.work)*ti.account.weight {
+		re.Reason = core.ReasonShareExceeded
+		re.Detail = "the queue is full and the customer is over its share of it"
+	}
+	return re
+}
+
+// retryAfter is when about half the queue will have been worked off.
+func (ga *Gate) retryAfter() time.Duration {
+	if ga.throughput < 1 {
+		return time.Second
+	}
+	half := float64(ga.queue.work) / 2 / ga.throughput
+	return min(maxRetryAfter, max(minRetryAfter, time.Duration(half*float64(time.Second))))
+}
+
+// Load is the work inside now.
+func (ga *Gate) Load() core.Work {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	return ga.load
+}
+
+// LoadCapRefusal is the refusal of a ticket that found no room under the cap.
+func (ga *Gate) LoadCapRefusal(ti *Ticket) *core.Refusal {
+	ga.mu.Lock()
+	defer ga.mu.Unlock()
+	return ga.loadCapRefusal(ti.Work)
+}
--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -205,12 +205,12 @@
 	if gr := sn.Config.Group(ca.Pool); he != nil && gr != nil {
 		// Waiting for the context may take as long as making it anew elsewhere.
 		saved := min(ca.Prompt, he.Tokens)
-		ti.Patience = time.Duration(gr.ReuseBias * float64(sl.gate.PrefillTime(core.WorkOf(saved, 0))))
+		ti.WaitLimit = time.Duration(gr.ReuseBias * float64(sl.gate.EstimatePrefill(core.WorkOf(saved, 0))))
 	}
 	if re := ag.pass(ctx, sl, ti); re != nil {
 		return core.Usage{}, re
 	}
-	defer sl.gate.Leave(ti)
+	defer sl.gate.Release(ti)
 	if ru != nil {
 		if re := ru.Claim(ctx); re != nil {
 			return core.Usage{}, re
@@ -262,8 +262,8 @@
 	case re = <-ti.Ready():
 		return re
 	case <-late:
-		if sl.gate.GiveUp(ti) {
-			return sl.gate.RefuseCap(ti)
+		if sl.gate.WithdrawCapWait(ti) {
+			return sl.gate.LoadCapRefusal(ti)
 		}
 		// It got under the cap and now waits for a slot.
 		select {
@@ -278,7 +278,7 @@
 		if re = <-ti.Ready(); re != nil {
 			return re
 		}
-		sl.gate.Leave(ti)
+		sl.gate.Release(ti)
 	}
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return ag.refuse(core.ReasonDeadline, "queue", "the deadline passed while waiting for a slot")
@@ -291,9 +291,9 @@
 func (ag *Agent) patience(ctx context.Context, ti *admit.Ticket) (<-chan struct{}, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	late := make(chan struct{})
-	if ti.Patience > 0 {
+	if ti.WaitLimit > 0 {
 		go func() {
-			if ag.Clock.Sleep(ctx, ti.Patience) == nil {
+			if ag.Clock.Sleep(ctx, ti.WaitLimit) == nil {
 				close(late)
 			}
 		}()
@@ -311,7 +311,7 @@
 // reloading refuses a call while the endpoint loads another model or version.
 func (ag *Agent) reloading(sl *Slot) *core.Refusal {
 	re := ag.refuse(core.ReasonReloading, "enter", "the engine is loading another model or version")
-	re.Alternatives = sl.gate.Less()
+	re.Alternatives = sl.gate.LessLoaded()
 	return re
 }
 
--- a/core/agent/control.go
+++ b/core/agent/control.go
@@ -92,9 +92,9 @@
 	for _, sl := range ag.Slots {
 		if sl.Pool == own.Pool {
 			held = held && sl.Held()
-			st := sl.gate.Standing()
+			st := sl.gate.Stats()
 			own.Load += st.Load
-			own.Throughput += st.Drain
+			own.Throughput += st.Throughput
 			count++
 		}
 	}
--- a/core/agent/place.go
+++ b/core/agent/place.go
@@ -81,10 +81,10 @@
 // engines have queues, moving gains nothing and loses the context. ReuseBias
 // above 1 stays longer.
 func (ag *Agent) tooBusy(gr *decl.Group, sl *Slot, ca *core.Call) *core.Refusal {
-	if sl.gate.WaitFor(ca.Priority) == 0 {
+	if sl.gate.EstimateWait(ca.Priority) == 0 {
 		return nil
 	}
-	less := sl.gate.Less()
+	less := sl.gate.LessLoaded()
 	if len(less) == 0 {
 		return nil
 	}
@@ -109,7 +109,7 @@
 	if !fresh {
 		return true
 	}
-	st := sl.gate.Standing()
+	st := sl.gate.Stats()
 	limit := max(float64(gr.FloorWork), gr.LoadFactor*float64(st.Mean))
 	saved := gr.ReuseBias * float64(core.WorkOf(ca.Prompt, 0))
 	return float64(load) <= limit && float64(load) <= float64(st.Load)+saved+limit/2
--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -94,7 +94,7 @@
 		b.ReportAllocs()
 		for n := 0; b.Loop(); n++ {
 			ti := &tickets[n%len(tickets)]
-			ga.Leave(ti)
+			ga.Release(ti)
 			*ti = admit.Ticket{Customer: names[n%len(names)], Weight: 1, Priority: core.PriorityNormal, Work: 300}
 			if run, re := ga.Offer(ti); !run {
 				b.Fatal(re)
--- a/io/back/follow.go
+++ b/io/back/follow.go
@@ -111,7 +111,7 @@
 // load compares the engine's report with the most that the gate has had inside
 // lately, since the report lags: only what is beyond that came past the gate.
 func (fo *Follower) load(ctx context.Context) error {
-	fo.samples = append(fo.samples, fo.Gate.Given())
+	fo.samples = append(fo.samples, fo.Gate.TrackedLoad())
 	if len(fo.samples) > samplesKept {
 		fo.samples = fo.samples[1:]
 	}
@@ -119,7 +119,7 @@
 	if err := fo.get(ctx, "/load", &report); err != nil {
 		return err
 	}
-	fo.Gate.Beyond(report.Work - max(fo.Gate.Given(), slices.Max(fo.samples)))
+	fo.Gate.SetUntracked(report.Work - max(fo.Gate.TrackedLoad(), slices.Max(fo.samples)))
 	return nil
 }
 
--- a/io/back/follow_test.go
+++ b/io/back/follow_test.go
@@ -109,8 +109,8 @@
 		}
 		fw.round(t)
 	}
-	if fw.gate.Given() != 0 {
-		t.Errorf("%d counted as given", fw.gate.Given())
+	if fw.gate.TrackedLoad() != 0 {
+		t.Errorf("%d counted as given", fw.gate.TrackedLoad())
 	}
 }
 
@@ -135,7 +135,7 @@
 	if fw.gate.Load() != ti.Work {
 		t.Errorf("load %d while it runs, of %d", fw.gate.Load(), ti.Work)
 	}
-	fw.gate.Leave(ti)
+	fw.gate.Release(ti)
 	cancel()
 	for fw.engine.Working() != 0 {
 		time.Sleep(time.Millisecond)
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -139,8 +139,8 @@
 		return func() int64 {
 			var total int64
 			for _, sl := range pr.agent.Slots {
-				now := sl.Gate().Standing()
-				total += of(int64(now.Running), int64(now.Waiting), int64(now.Load))
+				now := sl.Gate().Stats()
+				total += of(int64(now.Running), int64(now.Queued), int64(now.Load))
 			}
 			return total
 		}
