--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -31,7 +31,7 @@
 	"almondrill/core"
 	"almondrill/core/admit"
 	"almondrill/core/board"
-	"almondrill/core/chats"
+	"almondrill/core/ctxdir"
 	"almondrill/core/decl"
 	"almondrill/core/loads"
 	"almondrill/core/ring"
@@ -78,7 +78,7 @@
 	Self        core.VMID
 	Incarnation core.Incarnation
 	Slots       []*Slot
-	Book        *chats.Book
+	Book        *ctxdir.Directory
 	Keys        Keys
 	Peers       core.Peers
 	// Heard, if set, is told of a peer's revision.
@@ -177,7 +177,7 @@
 }
 
 // keyed runs the call under its idempotency key, where it has one.
-func (ag *Agent) keyed(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *chats.Held, si core.Sink) (core.Usage, error) {
+func (ag *Agent) keyed(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *ctxdir.CachedContext, si core.Sink) (core.Usage, error) {
 	if ca.Key == "" || ag.Keys == nil {
 		return ag.admitted(ctx, sn, sl, ca, he, si, nil)
 	}
@@ -195,7 +195,7 @@
 }
 
 // admitted waits for a slot, makes the claim and calls the endpoint.
-func (ag *Agent) admitted(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *chats.Held, si core.Sink, ru Run) (core.Usage, error) {
+func (ag *Agent) admitted(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *ctxdir.CachedContext, si core.Sink, ru Run) (core.Usage, error) {
 	ti := &admit.Ticket{
 		Customer: ca.Customer,
 		Weight:   sn.Config.Share(ca.Customer, ca.Pool),
@@ -242,7 +242,7 @@
 	return context.WithDeadline(kept, ca.Deadline)
 }
 
-func workOf(ca *core.Call, he *chats.Held) core.Work {
+func workOf(ca *core.Call, he *ctxdir.CachedContext) core.Work {
 	uncached := ca.Prompt
 	if he != nil {
 		uncached = max(0, uncached-he.Tokens)
--- a/core/agent/hand.go
+++ b/core/agent/hand.go
@@ -9,7 +9,7 @@
 
 	"almondrill/core"
 	"almondrill/core/board"
-	"almondrill/core/chats"
+	"almondrill/core/ctxdir"
 	"almondrill/core/pick"
 	"almondrill/core/ring"
 )
@@ -120,8 +120,8 @@
 	var moved, done, refused atomic.Int64
 	var moving sync.WaitGroup
 	slots := make(chan struct{}, handAtOnce)
-	for _, he := range ag.Book.Holdings(mostHanded) {
-		if !he.Kept().After(since) || ctx.Err() != nil || core.Bytes(moved.Load()) >= most {
+	for _, he := range ag.Book.Cached(mostHanded) {
+		if !he.LastUsed().After(since) || ctx.Err() != nil || core.Bytes(moved.Load()) >= most {
 			break
 		}
 		slots <- struct{}{}
@@ -141,7 +141,7 @@
 }
 
 // handOne moves one context, from the own engine as it is read by the other.
-func (ag *Agent) handOne(ctx context.Context, sn *board.Snapshot, he *chats.Held) (int64, error) {
+func (ag *Agent) handOne(ctx context.Context, sn *board.Snapshot, he *ctxdir.CachedContext) (int64, error) {
 	home := ag.nextHome(sn, &he.Placement)
 	ca := ag.cacheOf(he.Endpoint)
 	if home == "" || ca == nil {
@@ -201,6 +201,6 @@
 		return core.AsRefusal(err, "take", string(sl.ID))
 	}
 	pl.VM = ag.Self
-	ag.keep(ag.Board.Snapshot(), key, chats.Held{Endpoint: sl.ID, Tokens: ha.Tokens, Placement: pl})
+	ag.keep(ag.Board.Snapshot(), key, ctxdir.CachedContext{Endpoint: sl.ID, Tokens: ha.Tokens, Placement: pl})
 	return nil
 }
--- a/core/agent/place.go
+++ b/core/agent/place.go
@@ -5,7 +5,7 @@
 
 	"almondrill/core"
 	"almondrill/core/board"
-	"almondrill/core/chats"
+	"almondrill/core/ctxdir"
 	"almondrill/core/decl"
 	"almondrill/core/pick"
 	"almondrill/core/ring"
@@ -14,15 +14,15 @@
 // rehome tells a chat's new home where its context is, after the pool changed: a
 // VM that joins becomes the home of chats that it has never seen.
 func (ag *Agent) rehome(sn *board.Snapshot, id core.PoolID) {
-	for _, he := range ag.Book.Holdings(mostRehomed) {
+	for _, he := range ag.Book.Cached(mostRehomed) {
 		pl := he.Placement
 		if pl.Pool != id {
 			continue
 		}
 		key := ring.Key(pl.Customer, pl.Pool, pl.Chat)
 		home := ag.home(sn, id, key)
-		if home != "" && home != ag.Self && home != he.Told {
-			ag.Book.SetTold(key, home)
+		if home != "" && home != ag.Self && home != he.NotifiedHome {
+			ag.Book.SetNotified(key, home)
 			ag.places.add(home, pl)
 		}
 	}
@@ -33,8 +33,8 @@
 
 // choose takes the endpoint of the pool that holds the chat's context, else the
 // least loaded.
-func (ag *Agent) choose(po core.PoolID, key uint64) (*Slot, *chats.Held) {
-	he, here := ag.Book.Held(key)
+func (ag *Agent) choose(po core.PoolID, key uint64) (*Slot, *ctxdir.CachedContext) {
+	he, here := ag.Book.Lookup(key)
 	var best *Slot
 	var least core.Work
 	for _, sl := range ag.Slots {
@@ -56,16 +56,16 @@
 }
 
 // pointElsewhere refuses a call whose chat is better served by another agent.
-func (ag *Agent) pointElsewhere(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, key uint64, he *chats.Held) *core.Refusal {
+func (ag *Agent) pointElsewhere(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, key uint64, he *ctxdir.CachedContext) *core.Refusal {
 	if ca.NoRedirect {
 		return nil
 	}
 	if he != nil && he.Tokens*4 >= ca.Prompt*3 {
 		return ag.tooBusy(gr, sl, ca)
 	}
-	if vm, away := ag.Book.Away(key); away {
+	if vm, away := ag.Book.Pointer(key); away {
 		if vm == ca.StaleHolder || !ag.worthGoing(sn, gr, sl, ca, vm) {
-			ag.Book.Unpoint(key, vm)
+			ag.Book.RemovePointer(key, vm)
 			return nil
 		}
 		return ag.pointTo(vm, "another agent has the chat's context")
@@ -135,13 +135,13 @@
 		tokens = us.Prompt + us.Output
 	}
 	pl := core.Placement{Customer: ca.Customer, Pool: ca.Pool, Chat: ca.Chat, VM: ag.Self}
-	ag.keep(sn, key, chats.Held{Endpoint: sl.ID, Tokens: tokens, Placement: pl})
+	ag.keep(sn, key, ctxdir.CachedContext{Endpoint: sl.ID, Tokens: tokens, Placement: pl})
 }
 
 // keep notes a context held here and tells the chat's home, unless that knows.
-func (ag *Agent) keep(sn *board.Snapshot, key uint64, he chats.Held) {
-	_, known := ag.Book.Held(key)
-	ag.Book.Keep(key, he)
+func (ag *Agent) keep(sn *board.Snapshot, key uint64, he ctxdir.CachedContext) {
+	_, known := ag.Book.Lookup(key)
+	ag.Book.Add(key, he)
 	if known || ag.onWalk(sn, he.Placement.Pool, key) {
 		return
 	}
@@ -163,9 +163,9 @@
 		key := ring.Key(pl.Customer, pl.Pool, pl.Chat)
 		switch {
 		case pl.Withdrawn:
-			ag.Book.Unpoint(key, pl.VM)
+			ag.Book.RemovePointer(key, pl.VM)
 		case pl.VM != ag.Self:
-			ag.Book.Point(key, pl)
+			ag.Book.AddPointer(key, pl)
 		}
 	}
 }
--- a/core/chats/chats_test.go
+++ b/core/ctxdir/chats_test.go
@@ -1,4 +1,4 @@
-package chats_test
+package ctxdir_test
 
 import (
 	"testing"
@@ -6,35 +6,35 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/core/chats"
+	"almondrill/core/ctxdir"
 	"almondrill/io/clock"
 )
 
-func book() *chats.Book {
-	return &chats.Book{Clock: clock.Wall{}, MaxHeld: 3, MaxAway: 3, KeepFor: time.Hour}
+func directory() *ctxdir.Directory {
+	return &ctxdir.Directory{Clock: clock.Wall{}, MaxCached: 3, MaxPointers: 3, TTL: time.Hour}
 }
 
 // An engine evicts chats, and some of its events are lost on the way. The gap is
 // noticed, and the listing that follows drops what is no longer cached.
 func TestGapInEventsForcesResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bo := book()
+		di := directory()
 		for key := range uint64(3) {
-			bo.Keep(key+1, chats.Held{Endpoint: "e"})
+			di.Add(key+1, ctxdir.CachedContext{Endpoint: "e"})
 		}
-		if !bo.Evicted("e", 1, 1) {
+		if !di.ApplyEviction("e", 1, 1) {
 			t.Error("the first event counts as a gap")
 		}
-		if bo.Evicted("e", 3, 0) {
+		if di.ApplyEviction("e", 3, 0) {
 			t.Error("a gap went unnoticed")
 		}
-		bo.Resynced("e", 5, map[uint64]bool{3: true})
-		if !bo.Evicted("e", 4, 3) {
+		di.Resync("e", 5, map[uint64]bool{3: true})
+		if !di.ApplyEviction("e", 4, 3) {
 			t.Error("a late event counts as a gap")
 		}
-		_, one := bo.Held(1)
-		_, two := bo.Held(2)
-		_, three := bo.Held(3)
+		_, one := di.Lookup(1)
+		_, two := di.Lookup(2)
+		_, three := di.Lookup(3)
 		if one || two || !three {
 			t.Errorf("held: %v %v %v, want only the third", one, two, three)
 		}
@@ -43,24 +43,24 @@
 
 // The tables are bounded and entries age out; a chat that came home needs no
 // pointer any more.
-func TestBookIsBoundedAndForgets(t *testing.T) {
+func TestDirectoryIsBoundedAndExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bo := book()
+		di := directory()
 		for key := range uint64(10) {
-			bo.Keep(key, chats.Held{Endpoint: "e"})
-			bo.Point(key+100, core.Placement{VM: "vm"})
+			di.Add(key, ctxdir.CachedContext{Endpoint: "e"})
+			di.AddPointer(key+100, core.Placement{VM: "vm"})
 		}
-		if held, away, _ := bo.Sizes(); held != 3 || away != 3 {
+		if held, away, _ := di.Sizes(); held != 3 || away != 3 {
 			t.Errorf("%d held, %d pointers", held, away)
 		}
-		bo.Point(9, core.Placement{VM: "vm"})
-		bo.Keep(9, chats.Held{Endpoint: "e"})
-		if _, away := bo.Away(9); away {
+		di.AddPointer(9, core.Placement{VM: "vm"})
+		di.Add(9, ctxdir.CachedContext{Endpoint: "e"})
+		if _, away := di.Pointer(9); away {
 			t.Error("a chat that is here points elsewhere")
 		}
 		time.Sleep(2 * time.Hour)
-		_, held := bo.Held(9)
-		_, away := bo.Away(109)
+		_, held := di.Lookup(9)
+		_, away := di.Pointer(109)
 		if held || away {
 			t.Error("old entries are used")
 		}
--- a/core/trial/leave_test.go
+++ b/core/trial/leave_test.go
@@ -86,7 +86,7 @@
 		st.fl.Leave(leaver, 1<<20)
 		time.Sleep(5 * time.Second)
 		for _, me := range st.fl.LiveAgents() {
-			if vm, known := me.Agent.Book.Away(ring.Key("c", poolID, "chat")); known && vm == holder.ID {
+			if vm, known := me.Agent.Book.Pointer(ring.Key("c", poolID, "chat")); known && vm == holder.ID {
 				return
 			}
 		}
--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -11,8 +11,8 @@
 	"almondrill/core"
 	"almondrill/core/admit"
 	"almondrill/core/board"
-	"almondrill/core/chats"
 	"almondrill/core/claim"
+	"almondrill/core/ctxdir"
 	"almondrill/core/decl"
 	"almondrill/core/loads"
 	"almondrill/core/pick"
@@ -198,10 +198,10 @@
 }
 
 func heldChats(count int) any {
-	bo := &chats.Book{Clock: clock.Wall{}, MaxHeld: count, MaxAway: 1, KeepFor: time.Hour}
+	bo := &ctxdir.Directory{Clock: clock.Wall{}, MaxCached: count, MaxPointers: 1, TTL: time.Hour}
 	for n := range count {
 		pl := core.Placement{Customer: "customer-17", Pool: poolID, Chat: core.ChatID(fmt.Sprint("chat-", n)), VM: "agent-17"}
-		bo.Keep(ring.Key(pl.Customer, pl.Pool, pl.Chat), chats.Held{Endpoint: "engine", Tokens: 1000, Placement: pl})
+		bo.Add(ring.Key(pl.Customer, pl.Pool, pl.Chat), ctxdir.CachedContext{Endpoint: "engine", Tokens: 1000, Placement: pl})
 	}
 	return bo
 }
--- a/io/back/follow.go
+++ b/io/back/follow.go
@@ -12,7 +12,7 @@
 
 	"almondrill/core"
 	"almondrill/core/admit"
-	"almondrill/core/chats"
+	"almondrill/core/ctxdir"
 )
 
 const (
@@ -28,7 +28,7 @@
 type Follower struct {
 	Endpoint *Endpoint
 	Clock    core.Clock
-	Book     *chats.Book
+	Book     *ctxdir.Directory
 	Gate     *admit.Gate
 	// Failed, if set, is told when the engine stops answering, once each time.
 	Failed func(err error)
@@ -81,7 +81,7 @@
 		if ev.Kind == "Evicted" {
 			key, _ = strconv.ParseUint(ev.Key, 16, 64)
 		}
-		if !fo.Book.Evicted(fo.Endpoint.ID, ev.Seq, key) {
+		if !fo.Book.ApplyEviction(fo.Endpoint.ID, ev.Seq, key) {
 			return fo.resync(ctx)
 		}
 	}
@@ -102,7 +102,7 @@
 			keys[key] = true
 		}
 	}
-	fo.Book.Resynced(fo.Endpoint.ID, listing.Seq, keys)
+	fo.Book.Resync(fo.Endpoint.ID, listing.Seq, keys)
 	fo.seq = max(fo.seq, listing.Seq)
 	fo.synced = true
 	return nil
--- a/io/back/follow_test.go
+++ b/io/back/follow_test.go
@@ -11,7 +11,7 @@
 
 	"almondrill/core"
 	"almondrill/core/admit"
-	"almondrill/core/chats"
+	"almondrill/core/ctxdir"
 	"almondrill/core/decl"
 	"almondrill/core/loads"
 	"almondrill/io/back"
@@ -68,7 +68,7 @@
 	ga.SetLimits(decl.Limits{LoadFactor: 1.25, FloorWork: 1e6, Slots: 8, QueueCalls: 8, Headroom: decl.DefaultHeadroom})
 	return &followed{clock: cl, engine: en, gate: ga, url: server.URL, fo: &back.Follower{
 		Endpoint: &back.Endpoint{ID: "engine", URL: server.URL, Engine: true}, Clock: cl, Gate: ga,
-		Book: &chats.Book{Clock: cl, MaxHeld: 10, MaxAway: 10, KeepFor: time.Hour},
+		Book: &ctxdir.Directory{Clock: cl, MaxCached: 10, MaxPointers: 10, TTL: time.Hour},
 	}}
 }
 
--- a/io/demo/leave_test.go
+++ b/io/demo/leave_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	leaver := fl.Process("engine-00")
-	holdings := leaver.Agent().Book.Holdings(100)
+	holdings := leaver.Agent().Book.Cached(100)
 	fl.Standins[0].SetFaults(fa)
 	if err := leaver.Stop(); err != nil {
 		t.Fatal(err)
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -9,8 +9,8 @@
 
 	"almondrill/core"
 	"almondrill/core/agent"
-	"almondrill/core/chats"
 	"almondrill/core/claim"
+	"almondrill/core/ctxdir"
 	"almondrill/io/back"
 	"almondrill/io/conf"
 	"almondrill/io/front"
@@ -42,7 +42,7 @@
 	se := pr.Settings
 	pr.agent = &agent.Agent{
 		Clock: pr.clock, Rand: pr.rand, Board: pr.board, Self: se.Name, Incarnation: pr.incarnation,
-		Book:  &chats.Book{Clock: pr.clock, MaxHeld: se.MaxChats, MaxAway: se.MaxChats, KeepFor: se.KeepChats},
+		Book:  &ctxdir.Directory{Clock: pr.clock, MaxCached: se.MaxChats, MaxPointers: se.MaxChats, TTL: se.KeepChats},
 		Peers: pr.peers, Sending: pr.meter.Allow, Heard: pr.spreader.Heard,
 	}
 	var endpoints []*back.Endpoint
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -13,8 +13,8 @@
 	"almondrill/core"
 	"almondrill/core/agent"
 	"almondrill/core/board"
-	"almondrill/core/chats"
 	"almondrill/core/claim"
+	"almondrill/core/ctxdir"
 	"almondrill/core/decl"
 	"almondrill/core/meter"
 	"almondrill/core/order"
@@ -196,7 +196,7 @@
 	me.Agent = &agent.Agent{
 		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Self: me.ID, Incarnation: me.incarnation,
 		Slots: []*agent.Slot{{ID: core.EndpointID(name), Pool: fl.Pool, Endpoint: en}},
-		Book:  &chats.Book{Clock: fl.Clock, MaxHeld: 20000, MaxAway: 20000, KeepFor: time.Hour},
+		Book:  &ctxdir.Directory{Clock: fl.Clock, MaxCached: 20000, MaxPointers: 20000, TTL: time.Hour},
 		Keys:  me.Keys, Peers: port{fl.Net, me.ID}, Sending: me.Meter.Allow, Heard: me.Spreader.Heard,
 	}
 	me.Agent.Init()
@@ -206,7 +206,7 @@
 			ID: sl.ID, Pool: sl.Pool, Engine: en, Hold: sl.Hold, Release: sl.Release,
 		})
 	}
-	en.evicted = func(key uint64) { me.Agent.Book.Evicted(core.EndpointID(name), en.nextEvent(), key) }
+	en.evicted = func(key uint64) { me.Agent.Book.ApplyEviction(core.EndpointID(name), en.nextEvent(), key) }
 	me.Board.Published = me.Agent.Adopt
 	fl.run(me)
 	go func() { _ = me.Agent.Run(me.alive) }()
