--- a/core/board/board.go
+++ b/core/board/board.go
@@ -288,7 +288,7 @@
 		}
 	}
 	for _, po := range sn.Pools {
-		po.Even = ring.Even(po.Ring)
+		po.Even = ring.UniformWeights(po.Ring)
 	}
 	bo.snap.Store(sn)
 	if bo.Published != nil {
--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -53,9 +53,9 @@
 
 // Best is the index of the key's home among members, -1 if there is none. With
 // even set, all weights are equal, the common case, and no logarithm is needed.
-func Best(members []Member, key uint64, even bool) int {
-	if !even {
-		return Next(members, key, func(int) bool { return false })
+func Best(members []Member, key uint64, uniform bool) int {
+	if !uniform {
+		return BestExcept(members, key, func(int) bool { return false })
 	}
 	best := -1
 	var high uint64
@@ -67,8 +67,8 @@
 	return best
 }
 
-// Next is the member with the highest score among those that skip passes over.
-func Next(members []Member, key uint64, skip func(ix int) bool) int {
+// BestExcept is the member with the highest score among those that skip passes over.
+func BestExcept(members []Member, key uint64, skip func(ix int) bool) int {
 	best := -1
 	var high float64
 	for ix := range members {
@@ -82,8 +82,8 @@
 	return best
 }
 
-// Even tells whether all weights are equal.
-func Even(members []Member) bool {
+// UniformWeights tells whether all weights are equal.
+func UniformWeights(members []Member) bool {
 	for ix := 1; ix < len(members); ix++ {
 		if members[ix].Weight != members[0].Weight {
 			return false
