--- a/core/agent/place.go
+++ b/core/agent/place.go
@@ -154,7 +154,7 @@
 // the chat returns, so that its home need not know.
 func (ag *Agent) onWalk(sn *board.Snapshot, id core.PoolID, key uint64) bool {
 	po := sn.Pools[id]
-	return po != nil && pick.OnWalk(po, key, ag.Self)
+	return po != nil && pick.IsPreferred(po, key, ag.Self)
 }
 
 // Placed takes in placements sent to this agent as the chats' home.
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -33,11 +33,11 @@
 	"almondrill/core/ring"
 )
 
-// walk is how far a refused chat goes down its rendezvous order before it takes
+// preferredWalk is how far a refused chat goes down its rendezvous order before it takes
 // a less loaded member that the refusal names. The order is the chat's own, so
 // its next turns meet the same few members and find context there; the named
 // ones are random. docs/design/returning-chats.md has the figures for 0, 2 and 4.
-const walk = 2
+const preferredWalk = 2
 
 // maxTried bounds the attempts that a Search remembers.
 const maxTried = 16
@@ -52,9 +52,9 @@
 	Zone core.Zone
 	Rand core.Rand
 
-	tried  [maxTried]int32
-	count  int
-	walked int
+	tried       [maxTried]int32
+	triedCount  int
+	walkedSteps int
 }
 
 // First is the member to try first, -1 if the pool is empty.
@@ -63,14 +63,14 @@
 		return -1
 	}
 	if se.Pool.Group != nil && se.Pool.Group.Service {
-		return se.note(se.nearby())
+		return se.markTried(se.nearby())
 	}
 	if se.Hint != "" {
 		if ix := se.Pool.Index(se.Hint); ix >= 0 {
-			return se.note(ix)
+			return se.markTried(ix)
 		}
 	}
-	return se.note(se.home())
+	return se.markTried(se.home())
 }
 
 // Home is the chat's home as this process sees it, -1 if the pool is empty.
@@ -87,16 +87,16 @@
 func HomeWithout(po *board.Pool, key uint64, vm core.VMID) int {
 	se := Search{Pool: po, Key: key}
 	if ix := po.Index(vm); ix >= 0 {
-		se.note(ix)
+		se.markTried(ix)
 	}
-	return se.nextHome()
+	return se.nextInOrder()
 }
 
-// OnWalk tells whether the VM is among the members that a chat's calls try first.
-func OnWalk(po *board.Pool, key uint64, vm core.VMID) bool {
+// IsPreferred tells whether the VM is among the members that a chat's calls try first.
+func IsPreferred(po *board.Pool, key uint64, vm core.VMID) bool {
 	se := Search{Pool: po, Key: key}
-	for range walk + 1 {
-		ix := se.note(se.nextHome())
+	for range preferredWalk + 1 {
+		ix := se.markTried(se.nextInOrder())
 		if ix < 0 {
 			return false
 		}
@@ -115,20 +115,20 @@
 			return ring.Best(po.Ring, se.Key, po.Even)
 		}
 	}
-	return se.nextHome()
+	return se.nextInOrder()
 }
 
-// nextHome walks the rendezvous order past tried members and those of other
+// nextInOrder walks the rendezvous order past tried members and those of other
 // regions, and past those whose Allowance leaves this key out, unless that leaves
 // nobody: when a whole pool has come back, all of it is being readmitted.
-func (se *Search) nextHome() int {
-	if best := se.nextOf(true); best >= 0 {
+func (se *Search) nextInOrder() int {
+	if best := se.bestUntried(true); best >= 0 {
 		return best
 	}
-	return se.nextOf(false)
+	return se.bestUntried(false)
 }
 
-func (se *Search) nextOf(heedAllowance bool) int {
+func (se *Search) bestUntried(respectAllowance bool) int {
 	po := se.Pool
 	best := -1
 	var high float64
@@ -140,7 +140,7 @@
 			isNear = true
 			near++
 		}
-		if se.was(ix) || (heedAllowance && !allowed(&po.Members[ix], po.Ring[ix].Hash, se.Key)) {
+		if se.wasTried(ix) || (respectAllowance && !withinAllowance(&po.Members[ix], po.Ring[ix].Hash, se.Key)) {
 			continue
 		}
 		score := ring.Score(po.Ring[ix], se.Key)
@@ -151,9 +151,9 @@
 	return best
 }
 
-// allowed draws, from the key and the member alone, whether the key is within
+// withinAllowance draws, from the key and the member alone, whether the key is within
 // the member's Allowance, so that all routers decide alike.
-func allowed(me *board.Member, hash, key uint64) bool {
+func withinAllowance(me *board.Member, hash, key uint64) bool {
 	if me.Allowance >= 1 {
 		return true
 	}
@@ -162,40 +162,40 @@
 	return float64(ring.Mix(key^salt, hash)>>32) < me.Allowance*top
 }
 
-// After is the member to try after a refusal, -1 if there is no other.
-func (se *Search) After(re *core.Refusal) int {
+// Next is the member to try after a refusal, -1 if there is no other.
+func (se *Search) Next(re *core.Refusal) int {
 	if re.Reason == core.ReasonHeldElsewhere && len(re.Alternatives) > 0 {
-		if ix := se.Pool.Index(re.Alternatives[0]); ix >= 0 && !se.was(ix) {
-			return se.note(ix)
+		if ix := se.Pool.Index(re.Alternatives[0]); ix >= 0 && !se.wasTried(ix) {
+			return se.markTried(ix)
 		}
 	}
 	service := se.Pool.Group != nil && se.Pool.Group.Service
-	if !service && se.walked < walk {
-		se.walked++
-		return se.note(se.nextHome())
+	if !service && se.walkedSteps < preferredWalk {
+		se.walkedSteps++
+		return se.markTried(se.nextInOrder())
 	}
-	if ix := se.lighter(re.Alternatives); ix >= 0 {
-		return se.note(ix)
+	if ix := se.lessLoaded(re.Alternatives); ix >= 0 {
+		return se.markTried(ix)
 	}
 	if service {
-		return se.note(se.nearby())
+		return se.markTried(se.nearby())
 	}
-	return se.note(se.nextHome())
+	return se.markTried(se.nextInOrder())
 }
 
 // Untried tells whether the VM is in the pool and was not tried so far.
 func (se *Search) Untried(vm core.VMID) bool {
 	ix := se.Pool.Index(vm)
-	return ix >= 0 && !se.was(ix)
+	return ix >= 0 && !se.wasTried(ix)
 }
 
-// lighter takes the less loaded of the first two untried names. The refusing
+// lessLoaded takes the less loaded of the first two untried names. The refusing
 // agent has drawn the names at random, so this is a power of two choices.
-func (se *Search) lighter(names []core.VMID) int {
+func (se *Search) lessLoaded(names []core.VMID) int {
 	one := -1
 	for _, vm := range names {
 		ix := se.Pool.Index(vm)
-		if ix < 0 || se.was(ix) {
+		if ix < 0 || se.wasTried(ix) {
 			continue
 		}
 		if one < 0 {
@@ -230,7 +230,7 @@
 func (se *Search) draw(within func(ix int) bool) int {
 	found, seen := -1, 0
 	for ix := range se.Pool.Members {
-		if se.was(ix) || !within(ix) {
+		if se.wasTried(ix) || !within(ix) {
 			continue
 		}
 		seen++
@@ -247,12 +247,12 @@
 
 func (se *Search) load(ix int) core.Work { return se.Pool.Members[ix].Load.Get() }
 
-func (se *Search) was(ix int) bool { return slices.Contains(se.tried[:se.count], int32(ix)) }
+func (se *Search) wasTried(ix int) bool { return slices.Contains(se.tried[:se.triedCount], int32(ix)) }
 
-func (se *Search) note(ix int) int {
-	if ix >= 0 && se.count < maxTried {
-		se.tried[se.count] = int32(ix)
-		se.count++
+func (se *Search) markTried(ix int) int {
+	if ix >= 0 && se.triedCount < maxTried {
+		se.tried[se.triedCount] = int32(ix)
+		se.triedCount++
 	}
 	return ix
 }
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -28,7 +28,7 @@
 // being readmitted, each taking a tenth of its chats. A chat that none of them
 // would take must still be served, not refused (the router's history test, seed
 // 1, met this as an index of -1).
-func TestReadmissionLeavesNobodyOut(t *testing.T) {
+func TestReadmittedPoolServesEveryChat(t *testing.T) {
 	po := pool(4, 0.1)
 	for key := range uint64(1000) {
 		se := pick.Search{Pool: po, Key: key, Rand: clock.NewRand(1)}
@@ -39,7 +39,7 @@
 }
 
 // A member that is being readmitted gets about its part of its chats.
-func TestReadmittedMemberGetsItsPart(t *testing.T) {
+func TestReadmittedMemberGetsItsAllowance(t *testing.T) {
 	po := pool(10, 1)
 	po.Members[3].Allowance, po.Ramping = 0.2, true
 	full, part := 0, 0
@@ -58,7 +58,7 @@
 }
 
 // Routers whose lists differ in one VM agree on every chat but that VM's.
-func TestDifferingListsMostlyAgree(t *testing.T) {
+func TestDifferingListsDisagreeOnlyOnMissingMember(t *testing.T) {
 	all := pool(20, 1).Ring
 	for key := range uint64(5000) {
 		mixed := ring.Mix(key, 2)
@@ -71,12 +71,12 @@
 
 // A refused chat walks its own order, so that its next turn meets the same two,
 // and only then takes a name from the refusal.
-func TestWalkBeforeNames(t *testing.T) {
+func TestWalkPrecedesAlternatives(t *testing.T) {
 	po := pool(12, 1)
 	search := func(names ...core.VMID) []int {
 		refusal := &core.Refusal{Reason: core.ReasonLoadCap, Alternatives: names}
 		se := pick.Search{Pool: po, Key: 99, Rand: clock.NewRand(1)}
-		return []int{se.First(), se.After(refusal), se.After(refusal), se.After(refusal)}
+		return []int{se.First(), se.Next(refusal), se.Next(refusal), se.Next(refusal)}
 	}
 	walked := search()
 	var named int
--- a/core/router/router.go
+++ b/core/router/router.go
@@ -255,7 +255,7 @@
 	}
 	if re.Reason != core.ReasonHeldElsewhere {
 		ca.NoRedirect = true
-		return at.se.After(re)
+		return at.se.Next(re)
 	}
 	if re.Step == stepClaim && len(re.Alternatives) > 0 {
 		// The key is claimed there: only that agent knows the outcome.
@@ -274,7 +274,7 @@
 		ca.NoRedirect = true
 		return ix
 	}
-	return at.se.After(re)
+	return at.se.Next(re)
 }
 
 // stepClaim is the step of refusals that concern the idempotency key.
