--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	reserve        = 10
-	customerCredit = 3
-	firstBackoff   = 10 * time.Millisecond
-	maxBackoff     = time.Second
+	reserve         = 10
+	customerReserve = 3
+	firstBackoff    = 10 * time.Millisecond
+	maxBackoff      = time.Second
 )
 
 // Budget counts first attempts and retries. Set Ratio before use.
@@ -38,29 +38,29 @@
 	Ratio float64
 
 	mu        sync.Mutex // guards all below
-	all       float64
+	total     float64
 	customers map[core.CustomerID]float64
 	started   bool
 }
 
-// First counts a first attempt.
-func (bu *Budget) First(cu core.CustomerID) {
+// RecordFirst counts a first attempt.
+func (bu *Budget) RecordFirst(cu core.CustomerID) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.start()
-	bu.all = min(reserve, bu.all+bu.Ratio)
-	bu.customers[cu] = min(customerCredit, bu.credit(cu)+bu.Ratio)
+	bu.total = min(reserve, bu.total+bu.Ratio)
+	bu.customers[cu] = min(customerReserve, bu.credit(cu)+bu.Ratio)
 }
 
-// Retry takes one retry from the budget, if there is one.
-func (bu *Budget) Retry(cu core.CustomerID) bool {
+// TryRetry takes one retry from the budget, if there is one.
+func (bu *Budget) TryRetry(cu core.CustomerID) bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.start()
-	if bu.all < 1 || bu.credit(cu) < 1 {
+	if bu.total < 1 || bu.credit(cu) < 1 {
 		return false
 	}
-	bu.all--
+	bu.total--
 	bu.customers[cu] = bu.credit(cu) - 1
 	return true
 }
@@ -70,7 +70,7 @@
 		return
 	}
 	bu.started = true
-	bu.all = reserve
+	bu.total = reserve
 	bu.customers = map[core.CustomerID]float64{}
 }
 
@@ -78,7 +78,7 @@
 	if credit, known := bu.customers[cu]; known {
 		return credit
 	}
-	return customerCredit
+	return customerReserve
 }
 
 // Backoff is the wait before retry number n, from 1: it doubles, and is drawn
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -19,12 +19,12 @@
 		for range rapid.IntRange(1, 400).Draw(rt, "calls") {
 			cu := core.CustomerID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "customer"))
 			if rapid.Bool().Draw(rt, "first") {
-				bu.First(cu)
+				bu.RecordFirst(cu)
 				firsts[cu]++
 				allFirsts++
 				continue
 			}
-			if bu.Retry(cu) {
+			if bu.TryRetry(cu) {
 				retries[cu]++
 				allRetries++
 			}
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -24,65 +24,65 @@
 }
 
 const (
-	// steps is how many counters a span is divided into.
-	steps = 20
-	// usedRatio and usedSlack are the parts of the bound that are used. A router
+	// stepsPerSpan is how many counters a span is divided into.
+	stepsPerSpan = 20
+	// ratioMargin and usedSlack are the parts of the bound that are used. A router
 	// that was restarted has forgotten what it spent, and requests on their way
 	// are counted later at the endpoint than here.
-	usedRatio = 0.8
-	usedSlack = 0.5
+	ratioMargin = 0.8
+	slackMargin = 0.5
 )
 
 // counts holds a ring of steps+1 counters: the oldest is still partly in the span.
 type counts struct {
-	first, extra [steps + 1]int
-	at           int64 // number of the newest step
+	first, extra [stepsPerSpan + 1]int
+	step         int64 // number of the newest step
 }
 
-// First counts a request's first attempt.
-func (wi *Window) First(now time.Time, po core.PoolID) {
+// RecordFirst counts a request's first attempt.
+func (wi *Window) RecordFirst(now time.Time, po core.PoolID) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	co := wi.of(now, po)
-	co.first[co.at%(steps+1)]++
+	co := wi.countsAt(now, po)
+	co.first[co.step%(stepsPerSpan+1)]++
 }
 
-// Take takes one further attempt from the bound, if there is one.
-func (wi *Window) Take(now time.Time, po core.PoolID) bool {
+// TryExtra takes one further attempt from the bound, if there is one.
+func (wi *Window) TryExtra(now time.Time, po core.PoolID) bool {
 	routers := max(1, wi.Routers()) // before the lock, which is held for no one else's
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	co := wi.of(now, po)
+	co := wi.countsAt(now, po)
 	var first, extra int
 	for ix := range co.first {
 		first += co.first[ix]
 		extra += co.extra[ix]
 	}
-	bound := usedRatio*wi.Ratio*float64(first) + usedSlack*wi.Slack/float64(routers)
+	bound := ratioMargin*wi.Ratio*float64(first) + slackMargin*wi.Slack/float64(routers)
 	if float64(extra+1) > bound {
 		return false
 	}
-	co.extra[co.at%(steps+1)]++
+	co.extra[co.step%(stepsPerSpan+1)]++
 	return true
 }
 
-func (wi *Window) of(now time.Time, po core.PoolID) *counts {
+func (wi *Window) countsAt(now time.Time, po core.PoolID) *counts {
 	if wi.pools == nil {
 		wi.pools = map[core.PoolID]*counts{}
 	}
-	step := now.UnixNano() / int64(wi.Span/steps)
+	step := now.UnixNano() / int64(wi.Span/stepsPerSpan)
 	co := wi.pools[po]
 	if co == nil {
-		co = &counts{at: step}
+		co = &counts{step: step}
 		wi.pools[po] = co
 	}
-	if step-co.at > steps {
-		*co = counts{at: step}
+	if step-co.step > stepsPerSpan {
+		*co = counts{step: step}
 	}
-	for co.at < step {
-		co.at++
-		co.first[co.at%(steps+1)] = 0
-		co.extra[co.at%(steps+1)] = 0
+	for co.step < step {
+		co.step++
+		co.first[co.step%(stepsPerSpan+1)] = 0
+		co.extra[co.step%(stepsPerSpan+1)] = 0
 	}
 	return co
 }
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -16,10 +16,10 @@
 // nothing to each other of what they spend.
 func TestFleetStaysWithinTheBound(t *testing.T) {
 	const (
-		span    = 10 * time.Second
-		ratio   = 0.2
-		slack   = 54.0
-		running = 40 * time.Second
+		span     = 10 * time.Second
+		ratio    = 0.2
+		slack    = 54.0
+		duration = 40 * time.Second
 	)
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.IntRange(1, 9).Draw(rt, "routers")
@@ -35,14 +35,14 @@
 		rate := rapid.IntRange(1, 200).Draw(rt, "rate")
 		burst := time.Duration(rapid.IntRange(0, 30).Draw(rt, "burst")) * time.Second
 		begin := time.Unix(1_700_000_000, 0)
-		for at := time.Duration(0); at < running; at += time.Second / time.Duration(rate) {
+		for at := time.Duration(0); at < duration; at += time.Second / time.Duration(rate) {
 			wi := windows[len(events)%routers]
 			now := begin.Add(at)
 			if at < burst || at > burst+5*time.Second {
-				wi.First(now, "pool")
+				wi.RecordFirst(now, "pool")
 				events = append(events, event{at, false})
 			}
-			if wi.Take(now, "pool") {
+			if wi.TryExtra(now, "pool") {
 				events = append(events, event{at, true})
 			}
 		}
@@ -76,7 +76,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	taken := func(po core.PoolID) int {
 		count := 0
-		for wi.Take(now, po) {
+		for wi.TryExtra(now, po) {
 			count++
 		}
 		return count
--- a/core/router/router.go
+++ b/core/router/router.go
@@ -95,7 +95,7 @@
 	if po == nil || len(po.Members) == 0 {
 		return nil, ro.refuse(core.ReasonNoEndpoint, "pick", string(rq.Group.ID), "the pool has no live endpoint")
 	}
-	ro.Budget.First(rq.Call.Customer)
+	ro.Budget.RecordFirst(rq.Call.Customer)
 	at := &attempts{ro: ro, rq: rq, pool: po, se: pick.Search{
 		Pool: po, Hint: rq.Hint, Zone: ro.Zone, Rand: ro.Rand,
 		Key: ring.Key(rq.Call.Customer, rq.Group.ID, rq.Call.Chat),
@@ -225,7 +225,7 @@
 	if !at.rq.Call.MayRepeat || !temporary(re) {
 		return false
 	}
-	if at.ro.Budget.Retry(at.rq.Call.Customer) {
+	if at.ro.Budget.TryRetry(at.rq.Call.Customer) {
 		return true
 	}
 	if at.ro.Exhausted != nil {
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -79,7 +79,7 @@
 
 // serve makes attempts until one ends the request.
 func (rq *request) serve(ctx context.Context) {
-	rq.re.Budget.First(rq.began, rq.pool)
+	rq.re.Budget.RecordFirst(rq.began, rq.pool)
 	defer rq.releaseReserved()
 	header := rq.forwardedHeader()
 	for dials := 0; ; dials++ {
@@ -131,7 +131,7 @@
 		return rf
 	}
 	rq.ticket = tk
-	if rq.sends > 0 && !rq.re.Budget.Take(time.Now(), rq.pool) {
+	if rq.sends > 0 && !rq.re.Budget.TryExtra(time.Now(), rq.pool) {
 		tk.Done(time.Now(), place.Neutral)
 		rq.re.Stats.Refuse(core.ReasonRetryBudget)
 		return rq.notRun(core.ReasonRetryBudget, "retry", "the budget of further attempts is spent")
--- a/io/relay/stall.go
+++ b/io/relay/stall.go
@@ -110,7 +110,7 @@
 	if rf != nil {
 		return nil
 	}
-	if !rq.re.Budget.Take(now, rq.pool) {
+	if !rq.re.Budget.TryExtra(now, rq.pool) {
 		tk.Done(now, place.Neutral)
 		return nil
 	}
