--- a/core/gauge/gauge.go
+++ b/core/gauge/gauge.go
@@ -160,11 +160,11 @@
 		wi = &quota.Window{}
 		ta.grants[endpoint] = wi
 	}
-	if !wi.Free(now, perSecond) {
+	if !wi.HasCapacity(now, perSecond) {
 		return false, wi.FreeAfter(now)
 	}
 	wi.Reserve()
-	wi.Send(now)
+	wi.MarkSent(now)
 	return true, 0
 }
 
--- a/core/place/cold.go
+++ b/core/place/cold.go
@@ -55,7 +55,7 @@
 	if rate <= 0 {
 		return true
 	}
-	return !now.Before(st.cold.deniedUntil) && st.cold.window.Free(now, pl.ColdLimits.grantRate(rate))
+	return !now.Before(st.cold.deniedUntil) && st.cold.window.HasCapacity(now, pl.ColdLimits.grantRate(rate))
 }
 
 // GrantLimit is how many requests a second all routers together may send to the ticket's
--- a/core/place/ticket.go
+++ b/core/place/ticket.go
@@ -75,7 +75,7 @@
 		return core.ReasonColdLimit // it was not granted
 	}
 	if tk.reserved {
-		st.cold.window.Send(now)
+		st.cold.window.MarkSent(now)
 		tk.reserved = false
 		tk.recordSent(now)
 	}
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -16,9 +16,9 @@
 
 import "time"
 
-// span is the time over which a Window counts. It exceeds a second by what lies between the
+// window is the time over which a Window counts. It exceeds a second by what lies between the
 // call of Send and the first byte on a busy VM.
-const span = time.Second + 50*time.Millisecond
+const window = time.Second + 50*time.Millisecond
 
 // Window counts requests. The zero value is empty. It is not safe for concurrent use.
 type Window struct {
@@ -26,16 +26,16 @@
 	reserved int
 }
 
-// Free tells whether one more is within the limit, in requests a second.
-func (wi *Window) Free(now time.Time, limit int) bool {
-	return wi.recent(now)+wi.reserved < limit
+// HasCapacity tells whether one more is within the limit, in requests a second.
+func (wi *Window) HasCapacity(now time.Time, limit int) bool {
+	return wi.countRecent(now)+wi.reserved < limit
 }
 
 // Reserve keeps a place for one that Send or Cancel follows.
 func (wi *Window) Reserve() { wi.reserved++ }
 
-// Send turns a reserved place into a request sent now.
-func (wi *Window) Send(now time.Time) {
+// MarkSent turns a reserved place into a request sent now.
+func (wi *Window) MarkSent(now time.Time) {
 	wi.reserved--
 	wi.sent = append(wi.sent, now)
 }
@@ -45,19 +45,19 @@
 
 // FreeAfter is how long until what was sent first no longer counts.
 func (wi *Window) FreeAfter(now time.Time) time.Duration {
-	if wi.recent(now) == 0 {
+	if wi.countRecent(now) == 0 {
 		return 0
 	}
-	return span - now.Sub(wi.sent[0])
+	return window - now.Sub(wi.sent[0])
 }
 
 // Empty tells whether nothing counts.
-func (wi *Window) Empty(now time.Time) bool { return wi.reserved == 0 && wi.recent(now) == 0 }
+func (wi *Window) Empty(now time.Time) bool { return wi.reserved == 0 && wi.countRecent(now) == 0 }
 
-// recent drops what was sent too long ago and counts the rest.
-func (wi *Window) recent(now time.Time) int {
+// countRecent drops what was sent too long ago and counts the rest.
+func (wi *Window) countRecent(now time.Time) int {
 	first := 0
-	for first < len(wi.sent) && now.Sub(wi.sent[first]) > span {
+	for first < len(wi.sent) && now.Sub(wi.sent[first]) > window {
 		first++
 	}
 	wi.sent = wi.sent[first:]
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -32,7 +32,7 @@
 		reserved, now := 0, begin
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 120).Draw(rt, "ms")) * time.Millisecond)
-			if wi.Free(now, limit) {
+			if wi.HasCapacity(now, limit) {
 				wi.Reserve()
 				reserved++
 			}
@@ -44,7 +44,7 @@
 				wi.Cancel()
 				continue
 			}
-			wi.Send(now)
+			wi.MarkSent(now)
 			sent = append(sent, now)
 			within := 0
 			for _, at := range sent {
