--- a/core/route/route.go
+++ b/core/route/route.go
@@ -58,14 +58,14 @@
 	Kind   Kind
 	// Timeout is the longest time that a caller is kept waiting for the whole
 	// answer, Goal the time to its beginning for which it is on time.
-	Timeout time.Duration
-	Goal    time.Duration
+	Timeout       time.Duration
+	FirstByteGoal time.Duration
 	// GapGoal is the longest pause between events of an answer that is on time.
 	GapGoal time.Duration
 	// Rank orders routes by urgency; 0 is most urgent.
 	Rank int
 	// Split divides the requests among pools by weight.
-	Split []Share
+	Split []PoolShare
 	// MaxAttempts bounds how many endpoints one request is sent to.
 	MaxAttempts int
 	// Public routes need no customer.
@@ -74,12 +74,12 @@
 	Sticky bool
 	// Resumable streams may go on at another endpoint behind their last event.
 	Resumable bool
-	// Homes are the regions to whose endpoints its requests may go; none is all.
-	Homes []core.Region
+	// HomeRegions are the regions to whose endpoints its requests may go; none is all.
+	HomeRegions []core.Region
 }
 
-// Share is a pool's part of a route.
-type Share struct {
+// PoolShare is a pool's part of a route.
+type PoolShare struct {
 	Pool   core.PoolID
 	Weight float64
 }
@@ -113,25 +113,25 @@
 	// of them runs at a time (0: its registration says).
 	Engine bool
 	Slots  int
-	// Memory is what an engine keeps of contexts.
-	Memory core.Tokens
-	// FetchPerMs is how many kept tokens one of them takes over from another in a
+	// CacheTokens is what an engine keeps of contexts.
+	CacheTokens core.Tokens
+	// FetchTokensPerMs is how many kept tokens one of them takes over from another in a
 	// millisecond; 0 if they cannot.
-	FetchPerMs float64
-	// ColdFor is how long an endpoint is cold after its start, and ColdRate how many requests
+	FetchTokensPerMs float64
+	// ColdDuration is how long an endpoint is cold after its start, and ColdRate how many requests
 	// a second it tolerates then; 0 if none is declared.
-	ColdFor  time.Duration
-	ColdRate float64
+	ColdDuration time.Duration
+	ColdRate     float64
 }
 
 // Customer owns keys.
 type Customer struct {
 	ID core.CustomerID
 	// Rank, where Ranked, goes before the route's.
-	Rank   int
-	Ranked bool
-	// Homes are the regions to whose endpoints its requests may go; none is all.
-	Homes []core.Region
+	Rank    int
+	HasRank bool
+	// HomeRegions are the regions to whose endpoints its requests may go; none is all.
+	HomeRegions []core.Region
 }
 
 // Limits bound what a caller may send and how long it may take.
@@ -149,27 +149,27 @@
 	Pools     []Pool
 	Customers []Customer
 	// Keys names the customer of each key. Keyed is set if requests need one.
-	Keys   map[string]core.CustomerID
-	Keyed  bool
-	Limits Limits
+	Keys        map[string]core.CustomerID
+	KeyRequired bool
+	Limits      Limits
 }
 
 // Table is a Document compiled for traffic.
 type Table struct {
-	Version   Version
-	Limits    Limits
-	Keyed     bool
-	hosts     map[string][]*Route
-	pools     map[core.PoolID]*Pool
-	customers map[core.CustomerID]*Customer
-	keys      map[string]core.CustomerID
+	Version     Version
+	Limits      Limits
+	KeyRequired bool
+	hosts       map[string][]*Route
+	pools       map[core.PoolID]*Pool
+	customers   map[core.CustomerID]*Customer
+	keys        map[string]core.CustomerID
 }
 
 // Compile checks a document and makes its Table. The error lists everything that
 // is wrong.
 func Compile(doc *Document) (*Table, error) {
 	ta := &Table{
-		Version: doc.Version, Limits: doc.Limits, Keyed: doc.Keyed, keys: doc.Keys,
+		Version: doc.Version, Limits: doc.Limits, KeyRequired: doc.KeyRequired, keys: doc.Keys,
 		hosts: map[string][]*Route{}, pools: map[core.PoolID]*Pool{}, customers: map[core.CustomerID]*Customer{},
 	}
 	for ix := range doc.Pools {
@@ -219,17 +219,17 @@
 	return ""
 }
 
-// HomesOf are the regions to whose endpoints a request may go: where its route and its customer,
+// HomeRegionsOf are the regions to whose endpoints a request may go: where its route and its customer,
 // which may be nil, both have homes, both bind. all is set if it may go to any.
-func HomesOf(ro *Route, cu *Customer) (homes []core.Region, all bool) {
+func HomeRegionsOf(ro *Route, cu *Customer) (homes []core.Region, all bool) {
 	switch {
-	case cu == nil || len(cu.Homes) == 0:
-		return ro.Homes, len(ro.Homes) == 0
-	case len(ro.Homes) == 0:
-		return cu.Homes, false
+	case cu == nil || len(cu.HomeRegions) == 0:
+		return ro.HomeRegions, len(ro.HomeRegions) == 0
+	case len(ro.HomeRegions) == 0:
+		return cu.HomeRegions, false
 	}
-	for _, region := range ro.Homes {
-		if slices.Contains(cu.Homes, region) {
+	for _, region := range ro.HomeRegions {
+		if slices.Contains(cu.HomeRegions, region) {
 			homes = append(homes, region)
 		}
 	}
@@ -252,8 +252,8 @@
 // Pool is the pool of that name, nil if there is none.
 func (ta *Table) Pool(id core.PoolID) *Pool { return ta.pools[id] }
 
-// ByKey is the customer that holds the key, nil if none does.
-func (ta *Table) ByKey(key string) *Customer {
+// CustomerByKey is the customer that holds the key, nil if none does.
+func (ta *Table) CustomerByKey(key string) *Customer {
 	id, known := ta.keys[key]
 	if !known {
 		return nil
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -21,7 +21,7 @@
 			ro.Host = "a.example"
 		}
 		if ro.Split == nil {
-			ro.Split = []route.Share{{Pool: "chat", Weight: 1}}
+			ro.Split = []route.PoolShare{{Pool: "chat", Weight: 1}}
 		}
 	}
 	return &route.Document{Version: 7, Routes: routes, Pools: []route.Pool{{ID: "chat"}, {ID: "lookup"}}}
@@ -98,7 +98,7 @@
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
-	ta := compile(t, document(route.Route{Name: "r", Prefix: "/", Split: []route.Share{
+	ta := compile(t, document(route.Route{Name: "r", Prefix: "/", Split: []route.PoolShare{
 		{Pool: "chat", Weight: 90}, {Pool: "lookup", Weight: 10},
 	}}))
 	ro := ta.Find("a.example", "/x")
@@ -109,10 +109,10 @@
 	}
 }
 
-func TestCompileSaysAllThatIsWrong(t *testing.T) {
+func TestCompileListsAllProblems(t *testing.T) {
 	doc := document(
 		route.Route{Name: "open", Prefix: "/a"},
-		route.Route{Name: "lost", Prefix: "/b/", Split: []route.Share{{Pool: "nowhere", Weight: 1}}},
+		route.Route{Name: "lost", Prefix: "/b/", Split: []route.PoolShare{{Pool: "nowhere", Weight: 1}}},
 		route.Route{Name: "fine", Prefix: "/c/"},
 	)
 	doc.Routes[2].Timeout = 0
@@ -129,24 +129,24 @@
 
 func TestKeysAndRanks(t *testing.T) {
 	doc := document(route.Route{Name: "r", Prefix: "/"})
-	doc.Keyed = true
-	doc.Customers = []route.Customer{{ID: "herb", Rank: 2, Ranked: true}}
+	doc.KeyRequired = true
+	doc.Customers = []route.Customer{{ID: "herb", Rank: 2, HasRank: true}}
 	doc.Keys = map[string]core.CustomerID{"k1": "herb", "k2": "unlisted"}
 	ta := compile(t, doc)
-	if cu := ta.ByKey("k1"); cu == nil || cu.ID != "herb" || cu.Rank != 2 {
+	if cu := ta.CustomerByKey("k1"); cu == nil || cu.ID != "herb" || cu.Rank != 2 {
 		t.Errorf("k1: %+v", cu)
 	}
-	if cu := ta.ByKey("k2"); cu == nil || cu.ID != "unlisted" || cu.Ranked {
+	if cu := ta.CustomerByKey("k2"); cu == nil || cu.ID != "unlisted" || cu.HasRank {
 		t.Errorf("k2: %+v", cu)
 	}
-	if cu := ta.ByKey(""); cu != nil {
+	if cu := ta.CustomerByKey(""); cu != nil {
 		t.Errorf("no key: %+v", cu)
 	}
 }
 
 // Guards against a request that leaves the home regions of its route or of its customer: where
 // both have some, both bind, also where they have none in common.
-func TestHomesOfRouteAndCustomerBothBind(t *testing.T) {
+func TestHomeRegionsOfRouteAndCustomerBothBind(t *testing.T) {
 	for _, on := range []struct {
 		route, customer []core.Region
 		want            []core.Region
@@ -158,12 +158,12 @@
 		{[]core.Region{"n", "w"}, []core.Region{"s", "n"}, []core.Region{"n"}, false},
 		{[]core.Region{"n"}, []core.Region{"s"}, nil, false},
 	} {
-		homes, all := route.HomesOf(&route.Route{Homes: on.route}, &route.Customer{Homes: on.customer})
+		homes, all := route.HomeRegionsOf(&route.Route{HomeRegions: on.route}, &route.Customer{HomeRegions: on.customer})
 		if !slices.Equal(homes, on.want) || all != on.all {
 			t.Errorf("route %v, customer %v: %v, all %v", on.route, on.customer, homes, all)
 		}
 	}
-	if homes, all := route.HomesOf(&route.Route{Homes: []core.Region{"n"}}, nil); len(homes) != 1 || all {
+	if homes, all := route.HomeRegionsOf(&route.Route{HomeRegions: []core.Region{"n"}}, nil); len(homes) != 1 || all {
 		t.Errorf("without a customer: %v, all %v", homes, all)
 	}
 }
--- a/io/relay/grants_test.go
+++ b/io/relay/grants_test.go
@@ -31,7 +31,7 @@
 	return gr.asked[endpoint] <= gr.perEndpoint, time.Minute
 }
 
-var coldPool = route.Pool{ID: "pool", Engine: true, ColdFor: time.Minute, ColdRate: 100}
+var coldPool = route.Pool{ID: "pool", Engine: true, ColdDuration: time.Minute, ColdRate: 100}
 
 // makeCold makes an endpoint of a fleet cold.
 func (fl *fleet) makeCold(ix int) {
--- a/io/relay/harness_test.go
+++ b/io/relay/harness_test.go
@@ -198,10 +198,10 @@
 		ro.Timeout = 3 * time.Second
 	}
 	ro.MaxAttempts = max(1, ro.MaxAttempts)
-	ro.Split = []route.Share{{Pool: "pool", Weight: 1}}
+	ro.Split = []route.PoolShare{{Pool: "pool", Weight: 1}}
 	ta, err := route.Compile(&route.Document{
 		Version: 1, Routes: []route.Route{ro}, Pools: []route.Pool{po},
-		Keyed: true, Keys: map[string]core.CustomerID{"k": "herb"}, Limits: route.Limits{MaxBody: 1 << 20},
+		KeyRequired: true, Keys: map[string]core.CustomerID{"k": "herb"}, Limits: route.Limits{MaxBody: 1 << 20},
 	})
 	if err != nil {
 		fl.t.Fatal(err)
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -206,10 +206,10 @@
 	if rq.route == nil {
 		return rq.unknownTarget(core.ReasonUnknownModel, http.StatusNotFound, "no route for "+rq.hr.Host+rq.hr.URL.Path)
 	}
-	if rq.route.Public || !rq.table.Keyed {
+	if rq.route.Public || !rq.table.KeyRequired {
 		return nil
 	}
-	rq.customer = rq.table.ByKey(rq.hr.Header.Get(rq.re.Dialect.Key))
+	rq.customer = rq.table.CustomerByKey(rq.hr.Header.Get(rq.re.Dialect.Key))
 	if rq.customer == nil {
 		return rq.unknownTarget(core.ReasonBadKey, http.StatusUnauthorized, "no customer has this key")
 	}
@@ -341,7 +341,7 @@
 	}
 	if rq.route.Sticky {
 		rank := rq.route.Rank
-		if rq.customer != nil && rq.customer.Ranked {
+		if rq.customer != nil && rq.customer.HasRank {
 			rank = rq.customer.Rank
 		}
 		hd.Set(di.Rank, strconv.Itoa(min(max(0, rank), di.MaxRank)))
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -188,14 +188,14 @@
 	if rq.customer != nil {
 		as.Customer = rq.customer.ID
 	}
-	homes, all := route.HomesOf(rq.route, rq.customer)
+	homes, all := route.HomeRegionsOf(rq.route, rq.customer)
 	as.HomeRegions, as.RegionBound = homes, !all
 	if po := rq.table.Pool(rq.pool); po != nil {
 		as.MaxConns = po.MaxConns
 		as.Engine = po.Engine
-		as.EngineMemory = po.Memory
-		as.FetchTokensPerMs = po.FetchPerMs
-		as.ColdDuration, as.ColdRate = po.ColdFor, po.ColdRate
+		as.EngineMemory = po.CacheTokens
+		as.FetchTokensPerMs = po.FetchTokensPerMs
+		as.ColdDuration, as.ColdRate = po.ColdDuration, po.ColdRate
 	}
 	return as
 }
