--- a/core/place/backoff.go
+++ b/core/place/backoff.go
@@ -6,18 +6,18 @@
 	"almondrill/core"
 )
 
-// Load pattern: endpoints turn requests away at once, and ask for none for some seconds. Without
-// calls of its own such an endpoint looks the least loaded, draws the next requests and turns them
-// away too, while the others have room. Therefore it is left out for as long as it asked.
+// Load pattern: endpoints reject requests at once, and ask for none for some seconds. Without calls
+// such an endpoint looks the least loaded, attracts the next requests and rejects them too, while
+// the others have capacity. Therefore it is excluded for as long as it asked.
 
-// RecordBackoff tells that the endpoint wants no requests from this router for that long. It returns false
-// if that was known.
+// RecordBackoff records that the endpoint accepts no requests from this router for the duration. It
+// returns false if that was known.
 func (tk *Ticket) RecordBackoff(now time.Time, lasts time.Duration) bool {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
 	st := tk.st
 	if current := tk.pl.byID[st.ID]; current != nil {
-		st = current // it has registered again since the call was placed
+		st = current // the endpoint has registered again since the call was placed
 	}
 	known := now.Before(st.backoffUntil)
 	if until := now.Add(lasts); until.After(st.backoffUntil) {
@@ -28,9 +28,9 @@
 	return !known
 }
 
-// rememberBackoff remembers until when an endpoint wants no requests, so that it holds also when the
-// endpoint is removed and registers again. It holds for a later start too: the registration may
-// come late, so that it was that start which asked.
+// rememberBackoff keeps until when an endpoint accepts no requests, so that this also holds after
+// the endpoint is removed and registers again. It applies to a later incarnation too: its
+// registration may arrive late, so that the later incarnation may be the one that asked.
 func (pl *Placer) rememberBackoff(now time.Time, endpoint core.EndpointID, until time.Time) {
 	for other, ends := range pl.backoffs {
 		if !now.Before(ends) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// backsOff tells whether the endpoint wants no requests now, and counts it.
+// backsOff reports whether the endpoint accepts no requests now, and counts it.
 func (ch *choice) backsOff(st *state) bool {
 	if st.fastPath || !ch.now.Before(st.backoffUntil) {
 		return false
--- a/core/place/choice.go
+++ b/core/place/choice.go
@@ -6,35 +6,35 @@
 	"almondrill/core"
 )
 
-// choice is what one Pick weighs the endpoints with.
+// choice is the data that one Pick weighs endpoints by.
 type choice struct {
 	poolStats
 	now      time.Time
 	rq       *Request
 	prefixes []uint64
-	// chatKey is by what homes are found; members are all of the pool to which the request may go,
-	// also leaving ones.
+	// chatKey determines the homes. members are all endpoints of the pool to which the request may
+	// go, including draining ones.
 	chatKey uint64
 	members []*state
-	// homes are those of the endpoints that may be picked, first is that of all, and former
-	// where the home was before endpoints joined and left of late. A router that has no
-	// record of the prompt finds it there, as its peers sent it.
+	// homes are the best homes among usable endpoints, firstHome is the best of all that are not
+	// closed. formerHome is the home before recent changes of the pool: a router whose cache models
+	// lack the prompt finds it there, because its peers sent it there.
 	homes      homes
 	firstHome  *state
 	formerHome *state
-	// holder is the endpoint believed to hold most of the prompt, held how much; recorded
-	// and recordedHeld go by the own record alone.
+	// holder is the endpoint that is assumed to have most of the prompt cached, and heldTokens how
+	// much. ownHolder and ownHeldTokens are based on this router's cache models alone.
 	holder        *state
 	heldTokens    core.Tokens
 	ownHolder     *state
 	ownHeldTokens core.Tokens
-	// cheapestBase is the endpoint that costs least but for the prompt.
+	// cheapestBase is the endpoint with the least cost apart from the prompt.
 	cheapestBase candidate
-	// loadMsByCalls is loadMs by calls.
+	// loadMsByCalls is a table of loadMs by the number of calls.
 	loadMsByCalls [loadTableSize]float64
 }
 
-// candidate is the cheapest endpoint so far. Among equals each router draws its own.
+// candidate is the cheapest endpoint so far. Each router breaks ties at random.
 type candidate struct {
 	st   *state
 	cost float64
@@ -52,7 +52,7 @@
 	}
 }
 
-// newChoice finds out what the choice goes by.
+// newChoice collects the data for a choice.
 func (pl *Placer) newChoice(now time.Time, rq *Request, routers int) *choice {
 	pl.initMaps()
 	pl.reports.expire(now)
@@ -70,9 +70,9 @@
 	return ch
 }
 
-// findHolder finds the endpoint that probably holds most: by the own record, by
-// what peers told, or where the home was. A record of no more than the beginning,
-// which many prompts have, does not hide the others.
+// findHolder finds the endpoint that probably has most of the prompt cached: according to the cache
+// models, to moves reported by peers, or to the former home. A cache model that has only the shared
+// prefix, which many prompts have in common, does not hide the others.
 func (ch *choice) findHolder(pl *Placer) {
 	ch.ownHolder, ch.ownHeldTokens = ch.cacheHolder(pl)
 	ch.holder, ch.heldTokens = ch.ownHolder, ch.ownHeldTokens
@@ -88,7 +88,7 @@
 	}
 }
 
-// assumedCached is the part of the prompt that peers have probably sent there.
+// assumedCached returns the fraction of the context that peers have probably sent to the endpoint.
 func (ch *choice) assumedCached(st *state) float64 {
 	rank, home := ch.homes.rank(st)
 	if !home {
@@ -101,8 +101,8 @@
 	return part
 }
 
-// prefillAndFetch tells how many of the prompt's tokens the endpoint would have to read, and
-// how many it would fetch from the holder.
+// prefillAndFetch returns how many of the prompt's tokens the endpoint would prefill, and how many
+// it would fetch from the holder.
 func (ch *choice) prefillAndFetch(st *state) (prefill, fetched core.Tokens) {
 	uncached := st.uncached(ch.rq.Parts, ch.prefixes, ch.assumedCached(st))
 	if ch.holder == nil || ch.holder == st {
@@ -111,7 +111,7 @@
 	return ch.splitFetch(uncached)
 }
 
-// splitFetch is reads for an endpoint that is not the holder and lacks that many tokens.
+// splitFetch is prefillAndFetch for an endpoint that is not the holder and lacks that many tokens.
 func (ch *choice) splitFetch(uncached core.Tokens) (prefill, fetched core.Tokens) {
 	known := promptTokens(ch.rq.Parts) - uncached
 	fetched = ch.heldTokens - known
@@ -121,13 +121,12 @@
 	return uncached - fetched, fetched
 }
 
-// fetchSource is the endpoint from which st is to take over what it lacks, nil if none is
-// known. One is named also where st is thought to hold all: only what is lacking is
-// fetched.
+// fetchSource returns the endpoint from which st should fetch what it lacks, nil if none is known.
+// A source is returned even if st is assumed to have everything: only missing tokens are fetched.
 //
-// The home of a chat is thought to hold the chat, which does not tell whether it holds
-// the beginning that other chats have too. Taken over from wherever this router has sent
-// that beginning, it is not read on each engine.
+// The home of a chat is assumed to have the chat cached, but it may lack the prefix that other
+// chats share. Fetched from any endpoint to which this router has sent it, the shared prefix is not
+// prefilled on each engine.
 func (ch *choice) fetchSource(st *state) *state {
 	if ch.holder != nil && ch.holder != st && ch.heldTokens >= minFetchTokens {
 		return ch.holder
@@ -139,11 +138,11 @@
 	return ch.ownHolder
 }
 
-// cheapest is the endpoint that costs least, and what it costs.
+// cheapest returns the cheapest endpoint and its cost.
 //
-// Homes, the holder and the endpoints that were sent the chat are weighed first. Others
-// hold no more than the beginning, so that one of them is weighed only if it may cost less:
-// the answer is that of weighing them all, which takes milliseconds among thousands.
+// Homes, the holder and the endpoints to which the chat was sent are weighed first. The others have
+// no more than the shared prefix cached, so that each is weighed only if it can be cheaper. The
+// result equals that of weighing all, which takes milliseconds for thousands of endpoints.
 func (pl *Placer) cheapest(ch *choice) (*state, float64) {
 	if !ch.rq.Engine {
 		return ch.cheapestBase.st, ch.cheapestBase.cost
@@ -176,7 +175,7 @@
 	return best.st, best.cost
 }
 
-// issueTicket counts the call at the endpoint and makes its ticket.
+// issueTicket counts the call at the endpoint and returns its ticket.
 func (pl *Placer) issueTicket(st *state, cost float64, ch *choice) *Ticket {
 	rq := ch.rq
 	prefill, fetched := ch.prefillAndFetch(st)
--- a/core/place/cold.go
+++ b/core/place/cold.go
@@ -6,51 +6,49 @@
 	"almondrill/core/quota"
 )
 
-// Load pattern: engines come back cold, a third of a pool at once, while callers ask for more
-// than the warm ones run. An engine that is cold takes few requests a second and crashes well
-// above that, so that one that is sent what is its share of the load takes the others with it.
-// Therefore all routers together send a cold endpoint no more than its limit, which the router
-// that keeps the endpoint's count grants request by request; what gets no grant goes elsewhere.
+// Load pattern: engines return cold, a third of a pool at once, while the load exceeds what the
+// warm ones can run. A cold engine tolerates few requests per second and crashes well above that,
+// so that engines that get their share of the load crash and overload the others. Therefore all
+// routers together send a cold endpoint no more than its limit. The router that owns the endpoint's
+// count grants each request; requests without a grant go elsewhere.
 
-// ColdLimits bound what endpoints get while they are cold, as multiples of what a pool
-// declares.
+// ColdLimits bounds the requests to cold endpoints, relative to the rate that a pool declares.
 type ColdLimits struct {
-	// Overrun and Slack bound the requests that reach an endpoint in any second: the declared
+	// Overrun and Slack bound the requests that reach an endpoint within any second: the declared
 	// rate times Overrun, plus Slack.
 	Overrun, Slack float64
 }
 
-// grantedFraction is the part of the bound that is granted, so that two keepers of a fleet that is cut
-// in two, or whose keepers change, stay within the whole.
+// grantedFraction is the fraction of the bound that is granted, so that two owners stay within the
+// whole bound together, as in a network partition or when the owner changes.
 const grantedFraction = 0.5
 
-// grantRate is how many requests a second all routers together send a cold endpoint whose pool
-// declares that rate: no more than the rate, which it tolerates, nor than a safe part of the
-// bound; one where the rate is below that.
+// grantRate returns how many requests per second all routers together may send to a cold endpoint
+// whose pool declares the rate: no more than the rate, which the endpoint tolerates, nor than a
+// safe fraction of the bound, and at least one.
 func (cl ColdLimits) grantRate(rate float64) int {
 	bound := rate*max(1, cl.Overrun) + cl.Slack
 	return max(1, int(min(rate, grantedFraction*bound)))
 }
 
-// coldState is what is believed of an endpoint's time after a start.
+// coldState is what is known of the time since an endpoint's start.
 type coldState struct {
-	// since is when it may have become cold without having said so: contact was lost and is
-	// back, or the evacuation of its zone has ended.
+	// since is when the endpoint may have become cold without announcing it: contact was lost and
+	// restored, or the evacuation of its zone ended.
 	since time.Time
-	// unreachable is set while it cannot be reached.
+	// unreachable is set while the endpoint cannot be reached.
 	unreachable bool
-	// window holds this router's own requests, and deniedUntil is until when no more are
-	// granted to it.
+	// window counts this router's own requests. The router gets no grants until deniedUntil.
 	window      quota.Window
 	deniedUntil time.Time
 }
 
-// isCold tells whether the endpoint is cold, of a pool whose endpoints are so for that long.
+// isCold reports whether the endpoint is cold, where lasts is how long endpoints of its pool are.
 func (st *state) isCold(now time.Time, lasts time.Duration) bool {
 	return now.Before(st.ColdUntil) || now.Before(st.cold.since.Add(lasts))
 }
 
-// withinColdLimit tells whether this router may ask to send a cold endpoint one more request now.
+// withinColdLimit reports whether this router may ask for a grant for one more request now.
 func (pl *Placer) withinColdLimit(now time.Time, st *state, rate float64) bool {
 	if rate <= 0 {
 		return true
@@ -58,9 +56,9 @@
 	return !now.Before(st.cold.deniedUntil) && st.cold.window.Free(now, pl.ColdLimits.grantRate(rate))
 }
 
-// GrantLimit is how many requests a second all routers together may send to the ticket's
-// endpoint, as it is cold; 0 if nothing limits them. Before the request is sent it has to be
-// granted as one of these.
+// GrantLimit returns how many requests per second all routers together may send to the ticket's
+// endpoint because it is cold, or 0 if there is no limit. If there is one, the request needs a
+// grant within it before it is sent.
 func (tk *Ticket) GrantLimit() int {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
@@ -70,7 +68,7 @@
 	return tk.pl.ColdLimits.grantRate(tk.request.ColdRate)
 }
 
-// Deny gives the ticket back, as its endpoint gets no more requests for that time.
+// Deny gives the ticket back, because its endpoint gets no more requests for the duration.
 func (tk *Ticket) Deny(now time.Time, after time.Duration) {
 	tk.pl.mu.Lock()
 	tk.st.cold.deniedUntil = now.Add(after)
--- a/core/place/cost.go
+++ b/core/place/cost.go
@@ -6,84 +6,86 @@
 	"almondrill/core"
 )
 
-// Time that a call costs an engine or its callers, in ms unless another unit is named.
+// Costs of a call to the engine or to its callers, in ms unless the name or comment says otherwise.
 const (
-	// prefillTokensPerMs is how many prompt tokens an engine reads in a millisecond, assumed of all.
+	// prefillTokensPerMs is how many prompt tokens an engine prefills per millisecond, assumed of
+	// all engines.
 	prefillTokensPerMs = 140.0
-	// runningCallMs is what one running call adds to the first token of the next.
+	// runningCallMs is what each running call adds to the time to first token of the next.
 	runningCallMs = 0.7
-	// crossZoneMs is the cost of leaving the zone: the way there and back, and the bytes.
+	// crossZoneMs is the cost of leaving the zone: the round trip and the transferred bytes.
 	crossZoneMs = 3.0
-	// prefillWeight weighs a token to read against the reader's own wait: the steps in which an
-	// engine reads delay every call that runs there.
+	// prefillWeight is the cost of prefill relative to its own duration: the steps in which an
+	// engine prefills delay every call that runs there.
 	prefillWeight = 6.0
-	// queueWeight weighs the wait for a place, one end of a call for each that is ahead.
+	// queueWeight weighs the wait for a slot, which takes the end of one call for each call ahead.
 	queueWeight = 0.3
 	// pressureMs is the cost of an engine with twice its pool's mean of calls. It grows with the
 	// square of the excess, so that chats that are cheap to move leave first. pressureFloor, in
-	// calls, is added to the mean: differences of a call or two mean nothing.
+	// calls, is added to the mean, since differences of one or two calls are insignificant.
 	pressureMs    = 25.0
 	pressureFloor = 2.0
-	// plainLoadMs is the cost of a plain endpoint whose places are all taken, so that calls
+	// plainLoadMs is the cost of a plain endpoint whose slots are all taken, so that calls are
 	// spread before they have to wait.
 	plainLoadMs = 10.0
 	coldMs      = 20.0
-	// failureMs is the cost of a failure rate of 1: more than reading the longest context anew.
+	// failureMs is the cost of a failure rate of 1: more than prefilling the longest context.
 	failureMs = 400.0
-	// unreachableMs is the cost of an endpoint that two peers could not reach: a trial takes up to the
-	// timeout of a connection.
+	// unreachableMs is the cost of an endpoint that two peers could not reach: a trial takes up to
+	// the connection timeout.
 	unreachableMs = 400.0
-	// fetchSetupMs is the cost of a fetch beside its transfer: setting it up, and the memory that the
-	// context takes on one more engine. fetchWeight counts the transfer at both engines.
+	// fetchSetupMs is the cost of a fetch apart from the transfer: the setup, and the memory that
+	// the context takes on a further engine. fetchWeight counts the transfer at both engines.
 	fetchSetupMs = 50.0
 	fetchWeight  = 2.0
 )
 
-// Where prompts are expected.
+// Where cached prompts are expected.
 const (
-	// homeCachedFraction is the part of a context assumed to be at its home, where peers send it too;
-	// each further home is less likely to have it by nextCached.
+	// homeCachedFraction is the fraction of a context that is assumed to be cached at its home,
+	// where peers send it too. For each further home it is multiplied by nextHomeFactor.
 	homeCachedFraction = 0.98
 	nextHomeFactor     = 0.6
-	// maxHomes is how many endpoints, in an order on which all routers agree, take the
-	// chats whose first home is under pressure.
+	// maxHomes is how many endpoints, in an order that all routers agree on, take the chats whose
+	// first home is under pressure.
 	maxHomes = 3
-	// minFetchTokens and leastBeginning are, in tokens, the least that is fetched of a context and
-	// of a beginning that chats share.
+	// minFetchTokens is the least number of tokens of a context that is worth a fetch,
+	// minPrefixTokens that of a shared prefix.
 	minFetchTokens  = 256
 	minPrefixTokens = 64
-	// settleTime is how long after an endpoint's coming prompts are still looked for
-	// where they were before: most return within it.
+	// settleTime is how long after an endpoint joins prompts are still expected where they were
+	// before: most chats return within it.
 	settleTime = 10 * time.Second
-	// startupWindow is how long after the first endpoint others still count as there from
-	// the start: all register within a few heartbeats when a deployment begins.
+	// startupWindow is the time after the first registration within which further endpoints count
+	// as present from the start: in a new deployment all register within a few heartbeats.
 	startupWindow = 4 * time.Second
 )
 
-// Room for calls.
+// Capacity for calls.
 const (
-	// staleCapFraction is the part of the cap that is used where an endpoint's calls are known from peers'
-	// messages only: the rest covers what they placed since. openPart bounds the mean that the cap
-	// goes by, as a part of the mean of the open endpoints: without it a pool whose larger part is
-	// evacuated refuses what the rest can run. Below capFloor calls the cap does not apply.
+	// staleCapFraction is the fraction of the load cap that is used if an endpoint's calls are
+	// known only from peers' messages: the rest covers the calls that peers placed since.
+	// minCapMeanFraction bounds the mean that the cap is based on, as a fraction of the mean of
+	// open endpoints: without it, a pool that is mostly evacuated refuses calls that the remaining
+	// endpoints can run. Below capFloor calls the cap does not apply.
 	staleCapFraction   = 0.9
 	minCapMeanFraction = 2.0 / 3
 	capFloor           = 3
-	// engineSlotFactor and plainRoom are how many calls an endpoint is given, running and waiting, as
-	// a multiple of its places.
+	// engineSlotFactor and plainSlotFactor are how many calls an endpoint is given, running and
+	// waiting, as a multiple of its slots.
 	engineSlotFactor = 2
 	plainSlotFactor  = 4
-	// rejectedPause is how long an endpoint that refused is passed over: about the time
-	// in which one of its calls ends.
+	// rejectedPause is how long an endpoint that rejected a call is skipped: about the time in
+	// which one of its calls ends.
 	rejectedPause = 150 * time.Millisecond
 )
 
-// loadTableSize is up to how many calls loadMs is worked out once a choice: few engines have
-// more.
+// loadTableSize is the number of calls up to which a choice computes loadMs in advance. Few engines
+// have more.
 const loadTableSize = 64
 
-// baseMs predicts, in ms, the wait for the first token there and what the call
-// costs others, but for reading its prompt.
+// baseMs predicts, in ms, the time to first token at the endpoint and the delay of other calls,
+// except for the prefill of the prompt.
 func (pl *Placer) baseMs(st *state, ch *choice) float64 {
 	calls := float64(st.ownCalls + st.scratch.peerCalls)
 	cost := failureMs * max(0, st.health.failureRate(ch.now)-ch.meanFailureRate)
@@ -107,13 +109,13 @@
 	return cost + float64(st.pendingPrefill)/prefillTokensPerMs + ch.loadMs(calls)
 }
 
-// loadMs is what the calls that an engine has cost one more, and it them, in ms.
+// loadMs returns what an engine's calls and one more call cost each other, in ms.
 func (ch *choice) loadMs(calls float64) float64 {
 	beyond := max(0, (calls+1)/(ch.capMean+pressureFloor)-1)
 	return runningCallMs*calls + pressureMs*beyond*beyond
 }
 
-// minBaseMs is a lower bound of base that needs a few ns.
+// minBaseMs is a lower bound of baseMs that takes a few ns to compute.
 func (ch *choice) minBaseMs(st *state) float64 {
 	if !ch.rq.Engine {
 		return 0
@@ -129,7 +131,7 @@
 	return cost + ch.loadMs(float64(calls))
 }
 
-// prefillMs is what reading and fetching costs, in ms.
+// prefillMs returns the cost of prefill and fetch, in ms.
 func (ch *choice) prefillMs(prefill, fetched core.Tokens) float64 {
 	cost := prefillWeight * float64(prefill) / prefillTokensPerMs
 	if fetched > 0 {
@@ -138,8 +140,8 @@
 	return cost
 }
 
-// minPrefillMs is what reading the prompt costs at least on an endpoint that is no home and
-// holds nothing of it beyond the beginning.
+// minPrefillMs returns the least cost of the prompt, in ms, on an endpoint that is not a home and
+// has at most the shared prefix cached.
 func (ch *choice) minPrefillMs() float64 {
 	all := promptTokens(ch.rq.Parts)
 	least := ch.prefillMs(ch.splitFetch(all))
--- a/core/place/export_test.go
+++ b/core/place/export_test.go
@@ -7,7 +7,7 @@
 	"almondrill/core"
 )
 
-// ChoiceStats is what a choice would go by, and what the cheapest endpoint costs in ms.
+// ChoiceStats holds the figures that a choice is based on, and the cost of the cheapest endpoint.
 type ChoiceStats struct {
 	Mean         float64
 	Usable, Full int
@@ -16,8 +16,8 @@
 	CostMs       float64
 }
 
-// WeighAll looks at all endpoints in full, whatever earlier choices found, and weighs each
-// that may be picked.
+// WeighAll checks all endpoints in full, whatever earlier choices found, and weighs each one that
+// is usable.
 func (pl *Placer) WeighAll(now time.Time, rq *Request) ChoiceStats {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -37,7 +37,7 @@
 	return cs
 }
 
-// InspectChoice is what a choice goes by, without a call being placed.
+// InspectChoice returns the figures of a choice without placing a call.
 func (pl *Placer) InspectChoice(now time.Time, rq *Request) ChoiceStats {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -51,8 +51,8 @@
 	return cs
 }
 
-// PeerCalls is how many calls of other routers an endpoint has, as they told; false if it is not
-// known.
+// PeerCalls returns how many calls of other routers at an endpoint were reported, and false if the
+// endpoint is unknown.
 func (pl *Placer) PeerCalls(now time.Time, id core.EndpointID) (int, bool) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -65,7 +65,7 @@
 	return st.peerCalls, true
 }
 
-// IndexEntries is how many parts are remembered to have been sent, of all endpoints.
+// IndexEntries returns how many parts the cache models of all endpoints contain.
 func (pl *Placer) IndexEntries() int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
--- a/core/place/health.go
+++ b/core/place/health.go
@@ -5,45 +5,43 @@
 	"time"
 )
 
-// health is how an endpoint's calls went of late, as this router saw it.
+// health describes the outcome of this router's recent calls to an endpoint.
 type health struct {
 	successes, failures float64
 	decayedAt           time.Time
-	// lastActivity is when anything last came from it, busySince when it last began to
-	// have calls in progress without a word.
+	// lastActivity is when data last arrived from the endpoint. silentSince is the start of the
+	// current period with calls in progress and no data.
 	lastActivity time.Time
 	silentSince  time.Time
-	// downUntil and backoff pace the trials of an endpoint that cannot be reached
-	// or is silent.
+	// downUntil and backoff pace the trials of an endpoint that is unreachable or silent.
 	downUntil time.Time
 	backoff   time.Duration
 	callMs    float64
-	// failureStreak counts the failures since the last call that ended well; failedUntil is until when
-	// no other call is to be failed.
+	// failureStreak counts the failures since the last successful call. Until failAllUntil, no
+	// further call is risked.
 	failureStreak int
 	failAllUntil  time.Time
 }
 
 const (
-	// failureHalfLife is how fast failures are forgiven: endpoints are restarted
-	// within seconds.
+	// failureHalfLife is how fast failures lose weight: endpoints are restarted within seconds.
 	failureHalfLife = 2 * time.Second
-	// priorSuccesses keeps a single failure from standing out.
+	// priorSuccesses keeps the weight of a single failure low.
 	priorSuccesses = 2.0
-	// negligibleFailures is what is left of a failure after 40 s, which weighs nothing in a choice.
+	// negligibleFailures is what remains of a failure after 40 s, which has no effect on a choice.
 	negligibleFailures = 1e-6
-	// silenceTimeout is how long an endpoint with calls in progress may send nothing
-	// at all before it is taken for dead: several times a step of a busy engine
-	// (200 ms), below the time at which callers give up (2 s).
+	// silenceTimeout is how long an endpoint with calls in progress may send nothing before it is
+	// considered dead: several times a step of a busy engine (200 ms), and less than the timeout of
+	// callers (2 s).
 	silenceTimeout = 900 * time.Millisecond
-	// minBackoff and mostBackoff pace trials of an endpoint that is down.
+	// minBackoff and maxBackoff pace the trials of an endpoint that is down.
 	minBackoff = 300 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// defaultCallMs is assumed of a pool of which no endpoint has answered yet.
+	// defaultCallMs is assumed for a pool in which no endpoint has responded yet.
 	defaultCallMs  = 40.0
 	durationWeight = 0.1
-	// failAllStreak is how many calls in a row have to fail before an endpoint is passed over,
-	// and failedFor for how long, until the next trial.
+	// failAllStreak is how many calls in a row must fail before an endpoint is skipped, and
+	// failAllPause how long it is skipped until the next trial.
 	failAllStreak = 2
 	failAllPause  = time.Second
 )
@@ -81,19 +79,19 @@
 	he.downUntil = time.Time{}
 }
 
-// looksDead tells whether the endpoint gets no call now: it is down and its next
-// trial is not due, or it has been silent with calls in progress.
+// looksDead reports whether the endpoint should get no call now: it is down and its next trial is
+// not due, or it has been silent with calls in progress.
 func (he *health) looksDead(now time.Time, calls int) bool {
 	if now.Before(he.downUntil) {
 		return true
 	}
 	if he.backoff > 0 && calls > 0 {
-		return true // a trial is under way
+		return true // a trial is in progress
 	}
 	return calls > 0 && !he.silentSince.IsZero() && now.Sub(he.silentSince) > silenceTimeout
 }
 
-// clean tells that there is nothing to avoid the endpoint for.
+// clean reports whether there is no sign of trouble.
 func (he *health) clean(now time.Time) bool {
 	return he.failures == 0 && he.failureStreak == 0 && he.backoff == 0 && !now.Before(he.downUntil)
 }
@@ -109,7 +107,7 @@
 	he.successes += 1 - bad
 }
 
-// recordFailure counts a call that the endpoint failed.
+// recordFailure records a call that the endpoint failed.
 func (he *health) recordFailure(now time.Time) {
 	he.recordOutcome(now, 1)
 	if he.failureStreak++; he.failureStreak >= failAllStreak {
@@ -117,24 +115,26 @@
 	}
 }
 
-// recordSuccess counts a call that ended well.
+// recordSuccess records a call that ended well.
 func (he *health) recordSuccess(now time.Time) {
 	he.recordOutcome(now, 0)
 	he.failureStreak = 0
 }
 
-// failsAll tells whether the endpoint has failed all that it was sent of late.
+// failsAll reports whether the endpoint failed all recent calls.
 func (he *health) failsAll(now time.Time) bool {
 	return he.failureStreak >= failAllStreak && now.Before(he.failAllUntil)
 }
 
-// recordDuration takes how long a call took, where typical is how long those of the pool take.
+// recordDuration updates the endpoint's mean duration of calls with one of ms; typical is that of
+// its pool.
 func (he *health) recordDuration(ms, typical float64) {
 	he.callMs = he.typicalMs(typical)
 	he.callMs += durationWeight * (ms - he.callMs)
 }
 
-// typicalMs is how long the endpoint's calls take; as those of its pool if it had none.
+// typicalMs returns how long the endpoint's calls take, or the given duration of its pool if it had
+// none.
 func (he *health) typicalMs(typical float64) float64 {
 	if he.callMs == 0 {
 		return typical
@@ -142,20 +142,20 @@
 	return he.callMs
 }
 
-// callDuration is how long the calls of a pool take. A router of hundreds before hundreds of endpoints
-// has none or few at each: what it sees of all of them is what it expects of one.
+// callDuration is the mean duration of a pool's calls. One router of hundreds has few calls or none
+// at each of hundreds of endpoints, so that it expects of each one the mean of all.
 type callDuration struct {
 	ms    float64
 	count int
 }
 
-// record takes how long a call took.
+// record updates the mean with the duration of one call.
 func (cd *callDuration) record(ms float64) {
 	cd.count++
 	cd.ms += max(durationWeight, 1/float64(cd.count)) * (ms - cd.ms)
 }
 
-// typicalMs is how long calls take, firstAnswerMs before any has ended.
+// typicalMs returns the mean duration, or defaultCallMs before any call has ended.
 func (cd *callDuration) typicalMs() float64 {
 	if cd == nil || cd.count == 0 {
 		return defaultCallMs
--- a/core/place/homes.go
+++ b/core/place/homes.go
@@ -5,16 +5,17 @@
 	"almondrill/core/ring"
 )
 
-// homes are the endpoints, in this order, on which all routers agree for a prompt,
-// without a word. Prompts that return together are named by all parts but the last, which
-// is the request's own. What several chats begin with is read once on each endpoint: kept
-// together on a few endpoints, such chats would bring these to the load cap.
+// homes are the best endpoints for a chat by rendezvous hashing, in order. All routers agree on
+// them without messages. Requests of a chat share all parts but the last, and these determine its
+// homes. A prefix that several chats share is prefilled once on each endpoint: if chats with a
+// common prefix were kept on a few endpoints, these would reach the load cap.
 type homes struct {
 	list  [maxHomes]*state
 	count int
 }
 
-// insert puts the endpoint in, if it scores higher than one of them or there is room.
+// insert adds the endpoint if it scores higher than one of the homes or there are fewer than
+// maxHomes.
 func (ho *homes) insert(st *state) {
 	at := ho.count
 	for at > 0 && ho.list[at-1].scratch.homeScore < st.scratch.homeScore {
@@ -28,7 +29,7 @@
 	ho.list[at] = st
 }
 
-// rank is the endpoint's place among the homes, from 0; false if it is none.
+// rank returns the endpoint's position among the homes, from 0, and false if it is none of them.
 func (ho *homes) rank(st *state) (int, bool) {
 	for ix := range ho.count {
 		if ho.list[ix] == st {
@@ -38,10 +39,10 @@
 	return 0, false
 }
 
-// chatKey is by what the homes of a prompt are found.
+// chatKey returns the key from which a prompt's homes are derived.
 func chatKey(prefixes []uint64) uint64 { return prefixes[max(0, len(prefixes)-2)] }
 
-// homeScore is the endpoint's claim on a key, by rendezvous hashing.
+// homeScore is the rendezvous hash of the endpoint for a key.
 func (st *state) homeScore(key uint64) uint64 { return ring.Mix(st.idHash, key) }
 
 func promptTokens(parts []Part) core.Tokens {
@@ -52,8 +53,8 @@
 	return sum
 }
 
-// prefixHashes hashes each part with all before it: a part is of use to an engine
-// only behind the same beginning.
+// prefixHashes hashes each part with all parts before it: an engine can use a cached part only
+// behind the same prefix.
 func prefixHashes(parts []Part) []uint64 {
 	prefixes := make([]uint64, len(parts))
 	var key uint64
--- a/core/place/leaves.go
+++ b/core/place/leaves.go
@@ -6,12 +6,12 @@
 	"almondrill/core"
 )
 
-// laterIncarnationHold is how long a later start of an endpoint gets nothing that may have announced before
-// it registered that it leaves: endpoints serve on for some seconds after that.
+// laterIncarnationHold is how long a later incarnation gets no calls if it may have announced its
+// shutdown before it registered: endpoints keep serving for some seconds after the announcement.
 const laterIncarnationHold = 5 * time.Second
 
-// RecordShutdown tells that the endpoint has announced that it leaves: it gets no new calls, whatever its
-// registration says. It returns false if that was known.
+// RecordShutdown records that the endpoint has announced its shutdown: it gets no new calls,
+// whatever its registration says. It returns false if that was known.
 func (tk *Ticket) RecordShutdown(now time.Time) bool {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
@@ -20,15 +20,16 @@
 		return false
 	}
 	if !st.cold.since.IsZero() && st.Incarnation != 0 {
-		// It was reached again after contact was lost: its process may be another by now.
+		// The endpoint was reached again after contact was lost, so that its process may be a later
+		// incarnation.
 		tk.pl.rememberBackoff(now, st.ID, now.Add(laterIncarnationHold))
 	}
 	tk.pl.closeIncarnation(st)
 	return true
 }
 
-// ApplyShutdown takes a peer's word that an endpoint has announced that it leaves. It returns which
-// endpoint that is, and false if that was known or the endpoint is not.
+// ApplyShutdown records a peer's report that an endpoint has announced its shutdown. It returns the
+// endpoint's ID, and false if that was known or the endpoint is unknown.
 func (pl *Placer) ApplyShutdown(endpoint uint64) (core.EndpointID, bool) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -40,8 +41,8 @@
 	return st.ID, true
 }
 
-// closeIncarnation keeps new calls from this start of an endpoint for good, also where it was removed and
-// has registered again since the call was placed.
+// closeIncarnation permanently closes this incarnation of an endpoint to new calls, even if it was
+// removed and has registered again since the call was placed.
 func (pl *Placer) closeIncarnation(st *state) {
 	st.Draining = true
 	pl.incarnations.markDraining(&st.Endpoint)
--- a/core/place/lost.go
+++ b/core/place/lost.go
@@ -6,23 +6,22 @@
 	"almondrill/core"
 )
 
-// Load pattern: a part of a large pool crashes. A router of a hundred sends each engine a
-// request in ten seconds, so that it does not find out for as long, and goes on naming
-// engines that are gone as those from which others are to take prompts over: each such request
-// waits for 0.3 s until the engine gives the fetch up. Therefore what two routers have found
-// is told to all.
+// Load pattern: a part of a large pool crashes. One router of a hundred sends each engine a request
+// every ten seconds. It takes that long to notice a crash, and meanwhile names dead engines as
+// sources of cached contexts: each such request waits 0.3 s until its engine gives up the fetch.
+// Therefore what two routers have found is sent to all.
 
 const (
-	// UnreachableTTL is how long an endpoint is taken to be down after two peers told so.
+	// UnreachableTTL is how long an endpoint is assumed to be down after two peers reported it.
 	UnreachableTTL = time.Second
-	// contactWindow is how lately something has to have come from an endpoint itself to go
-	// before what peers tell.
+	// contactWindow is how recent data from an endpoint must be to override reports of peers.
 	contactWindow = 200 * time.Millisecond
 )
 
-// MarkUnreachable takes for some time that peers could not reach an endpoint. It hands nothing on then, and gets
-// calls only where the others cost more: peers may be wrong, as where a link between is cut.
-// It returns which endpoint that is, and false where peers are not believed.
+// MarkUnreachable records for a time that peers could not reach an endpoint. It is not used as a
+// source of fetches then, and gets calls only where other endpoints cost more: peers may be wrong,
+// as in a network partition. MarkUnreachable returns the endpoint's ID, and false if the endpoint
+// is not known or was heard from recently.
 func (pl *Placer) MarkUnreachable(now time.Time, endpoint uint64, lasting time.Duration) (core.EndpointID, bool) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -39,7 +38,7 @@
 	return st.ID, true
 }
 
-// MarkReachable takes that an endpoint can be reached again.
+// MarkReachable records that an endpoint can be reached again.
 func (pl *Placer) MarkReachable(endpoint uint64) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -49,7 +48,8 @@
 	}
 }
 
-// AddrOf is the address of the endpoint of that hash; false if it is not known, or about to leave.
+// AddrOf returns the address of the endpoint with the hash, and false if the endpoint is unknown,
+// draining, or its registration is missing.
 func (pl *Placer) AddrOf(endpoint uint64) (string, bool) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -60,7 +60,7 @@
 	return st.Addr, true
 }
 
-// canTransfer tells whether others may take prompts over from the endpoint.
+// canTransfer reports whether other engines may fetch contexts from the endpoint.
 func (st *state) canTransfer(now time.Time) bool {
 	return st.fastPath || !st.missing && !now.Before(st.unreachableUntil) && !st.health.looksDead(now, st.ownCalls)
 }
--- a/core/place/moves.go
+++ b/core/place/moves.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// moveSize is the size of a move in a message: four bytes of the chat's hash, two
-	// of the endpoint's.
+	// moveSize is the size of a move in a message: four bytes of the chat's hash, two of the
+	// endpoint's.
 	moveSize = 6
-	// moveTTL is how long a move is told, to peers that were not told of it before: most
-	// chats return within it, and a peer of hundreds is told every few seconds.
+	// moveTTL is how long a move is sent to peers that have not received it: most chats return
+	// within it, and one peer of hundreds is sent a message every few seconds.
 	moveTTL = 10 * time.Second
-	// maxMoves bounds the moves in a message; a busy router makes some 5 a second.
+	// maxMoves bounds the moves in a message. A busy router makes some 5 per second.
 	maxMoves = 40
-	// maxMovedChats bounds the moves of peers that are remembered, 16 bytes each.
+	// maxMovedChats bounds the remembered moves of peers, 16 bytes each.
 	maxMovedChats = 16384
 )
 
-// move is an own placement of a chat away from its home.
+// move is this router's placement of a chat away from its home.
 type move struct {
 	at       time.Time
 	chat     uint32
@@ -29,7 +29,7 @@
 
 func shortChatHash(chat uint64) uint32 { return uint32(chat >> 32) }
 
-// recordMove keeps a move to be told.
+// recordMove keeps a move for the next messages to peers.
 func (pl *Placer) recordMove(now time.Time, chat, endpoint uint64) {
 	if len(pl.moves) >= maxMoves {
 		pl.moves = pl.moves[1:]
@@ -37,8 +37,8 @@
 	pl.moves = append(pl.moves, move{now, shortChatHash(chat), shortHash(endpoint)})
 }
 
-// Moves packs the own placements of chats away from their homes since then. Others that
-// know of them fetch a chat's context from there, where they would have it read anew.
+// Moves encodes this router's placements of chats away from their homes after since. Peers that
+// know of them have a chat's context fetched from there instead of prefilled again.
 func (pl *Placer) Moves(now, since time.Time) []byte {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -53,20 +53,20 @@
 	return packed
 }
 
-// ApplyMoves takes a peer's packed moves.
+// ApplyMoves records a peer's moves.
 func (pl *Placer) ApplyMoves(packed []byte) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	for ; len(packed) >= moveSize; packed = packed[moveSize:] {
 		if pl.movedChats == nil || len(pl.movedChats) >= maxMovedChats {
-			// All are forgotten at once: they serve for seconds.
+			// All are dropped at once: each is useful for seconds only.
 			pl.movedChats = map[uint32]uint16{}
 		}
 		pl.movedChats[binary.BigEndian.Uint32(packed)] = binary.BigEndian.Uint16(packed[4:])
 	}
 }
 
-// reportedHolder is the endpoint where a peer has placed the chat.
+// reportedHolder returns the endpoint where a peer has placed the chat.
 func (pl *Placer) reportedHolder(ch *choice) (*state, core.Tokens) {
 	parts := ch.rq.Parts
 	if len(parts) < 2 {
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -1,32 +1,37 @@
-// Package place chooses the endpoint of a request where a router calls endpoints
-// itself.
+// Package place chooses the endpoint of a request where a router calls endpoints itself.
 //
 // # Concepts
 //
-// A Placer holds what one router believes of each endpoint: its registration,
-// the router's own calls in progress (exact), those that peers told (a
-// few hundred milliseconds old), the prompt parts sent there, and how its last
-// calls went. Pick weighs these in milliseconds and hands out a Ticket, through
-// which the caller tells how the call goes.
+// A Placer holds one router's view of the endpoints: their registrations, the router's own calls in
+// progress (exact), the in-flight calls that peers report (a few hundred milliseconds old), the
+// prompt parts sent to each endpoint, and how its latest calls ended. Pick predicts the cost of
+// each endpoint in milliseconds and returns a Ticket for the cheapest one, through which the caller
+// reports the progress of the call.
+//
+// A prompt consists of parts. Requests that share leading parts, such as the turns of a chat, are
+// cheapest where these are cached already. The home endpoint of a chat is the one that rendezvous
+// hashing prefers for it, so that all routers choose the same one without exchanging messages. A
+// call elsewhere is a move; the endpoint may fetch the cached context from a holder instead of
+// prefilling it again.
 //
 // # Invariants
 //
-//   - An endpoint that drains, has announced that it leaves, is gone, or whose zone is evacuated,
-//     gets no ticket, and Ticket.Send tells of one that became such after the choice.
-//   - An endpoint that starts again under its id is another one: nothing that was
-//     believed of its earlier start holds for it.
-//   - Own calls are counted from Pick to Done, so that many requests that arrive
-//     between two messages of the peers do not all see the same gap.
-//   - An endpoint that asked for no requests gets none for as long.
-//   - An endpoint that failed is avoided only while others of its pool do better:
-//     if all look bad, the view is doubted and all stay in use.
+//   - An endpoint that is draining, has announced its shutdown, was removed, or whose zone is
+//     evacuated gets no ticket, and Ticket.BeforeSend reports one that became so after the choice.
+//   - An endpoint that restarts under its ID is a different one: nothing known of its earlier
+//     incarnation applies to it.
+//   - Own calls are counted from Pick to Done, so that many requests that arrive between two
+//     messages of the peers do not all see the same free slots.
+//   - An endpoint that asked for no requests gets none for the time that it named.
+//   - An endpoint that failed is avoided only while others of its pool do better: if all look bad,
+//     the view itself is suspect and all stay in use.
 //
 // # Usage
 //
-//	pl := &place.Placer{Zone: zone, Rand: rand}
+//	pl := &place.Placer{Zone: zone, Rand: rand, RouterCount: count}
 //	pl.Register(now, place.Endpoint{...})
-//	tk, re := pl.Pick(now, &place.Ask{Pool: pool, Parts: parts})
-//	tk.Heard(now)
+//	tk, rf := pl.Pick(now, &place.Request{Pool: pool, Parts: parts})
+//	tk.RecordActivity(now)
 //	tk.Done(now, place.Served)
 package place
 
@@ -40,23 +45,23 @@
 	"almondrill/core"
 )
 
-// Endpoint is an endpoint as it registered itself.
+// Endpoint is an endpoint as registered.
 type Endpoint struct {
 	ID core.EndpointID
-	// Incarnation tells one run of its process from the next, which may have the same ID; a
+	// Incarnation distinguishes successive runs of the endpoint's process under the same ID: a
 	// later one is higher, 0 is unknown.
 	Incarnation core.Incarnation
 	Addr        string
 	Pool        core.PoolID
 	Zone        core.Zone
-	// Slots is how many requests it runs at a time.
+	// Slots is how many requests the endpoint runs concurrently.
 	Slots    int
 	Draining bool
-	// ColdUntil is when it stops being cold after its start.
+	// ColdUntil is when the endpoint stops being cold after its start.
 	ColdUntil time.Time
 }
 
-// Part is a part of a prompt that requests may share.
+// Part is a part of a prompt. Requests may share leading parts.
 type Part struct {
 	Hash   uint64
 	Tokens core.Tokens
@@ -67,95 +72,96 @@
 	Pool     core.PoolID
 	Customer core.CustomerID
 	Parts    []Part
-	// Tried are endpoints that are not to be picked again.
+	// Tried lists endpoints that must not be picked again.
 	Tried []core.EndpointID
-	// HomeRegions are the regions whose endpoints may be picked, where Bound is set.
+	// HomeRegions are the regions whose endpoints may be picked, if RegionBound is set.
 	HomeRegions []core.Region
 	RegionBound bool
-	// HealthyOnly leaves out endpoints that may be gone or look dead, also where there are no
-	// others.
+	// HealthyOnly excludes endpoints that may be gone or look dead even if there are no others.
 	HealthyOnly bool
-	// MaxConns is how many connections an endpoint takes from all routers.
+	// MaxConns is how many connections an endpoint accepts from all routers together.
 	MaxConns int
-	// Engine is set for requests to model engines, Memory to an engine's.
+	// Engine is set for requests to model engines. EngineMemory is the memory of one engine, in
+	// tokens.
 	Engine       bool
 	EngineMemory core.Tokens
-	// FetchTokensPerMs is how many kept tokens one engine of the pool takes over from
-	// another in a millisecond; 0 if they cannot.
+	// FetchTokensPerMs is how many cached tokens one engine of the pool fetches from another per
+	// millisecond, or 0 if engines cannot fetch.
 	FetchTokensPerMs float64
 	// ColdDuration is how long an endpoint of the pool is cold after its start, and ColdRate how
-	// many requests a second it tolerates then; 0 if none is declared.
+	// many requests per second it tolerates meanwhile. Both are 0 if the pool declares none.
 	ColdDuration time.Duration
 	ColdRate     float64
-	// WarmOnly leaves out endpoints whose requests are limited as they are cold.
+	// WarmOnly excludes endpoints that are cold and rate-limited.
 	WarmOnly bool
 }
 
-// Result is how a placed call ended, as far as it tells of the endpoint.
+// Result is the outcome of a placed call, as far as it concerns the endpoint.
 type Result uint8
 
 // Results of calls.
 const (
-	// Served: the endpoint answered.
+	// Served: the endpoint responded.
 	Served Result = iota
-	// Failed: it broke off, answered nonsense or said that it failed.
+	// Failed: the endpoint broke off, sent an invalid response, or reported a failure.
 	Failed
-	// Full: it refused the request without running it.
+	// Rejected: the endpoint refused the request without executing it.
 	Rejected
-	// Unreached: no connection could be made.
+	// Unreachable: no connection could be made.
 	Unreachable
-	// Silent: it was given up because nothing came.
+	// TimedOut: the call was abandoned because nothing arrived.
 	TimedOut
-	// Neutral: the call ended for reasons of the caller.
+	// Neutral: the call ended for a reason on the caller's side.
 	Neutral
-	// Replaced: another endpoint has the address now.
+	// Replaced: another endpoint uses the address now.
 	Replaced
 )
 
 // Placer chooses endpoints. Set the exported fields before use.
 type Placer struct {
 	Zone core.Zone
-	// Regions are those of the zones. A zone without one is in no home region.
+	// Regions maps zones to their regions. A zone without a region is in no home region.
 	Regions map[core.Zone]core.Region
 	Rand    core.Rand
-	// CapFactor bounds an endpoint's calls as a multiple of its pool's mean.
+	// CapFactor limits an endpoint's calls to a multiple of its pool's mean.
 	CapFactor float64
-	// RouterCount tells how many routers share the endpoints.
+	// RouterCount returns how many routers share the endpoints.
 	RouterCount func() int
-	// ColdLimits bounds what cold endpoints get.
+	// ColdLimits limits the requests to cold endpoints.
 	ColdLimits ColdLimits
 
-	mu              sync.Mutex // guards all below
-	firstRegistered time.Time  // when the first endpoint became known
-	// pools are in the order of the endpoints' ids, so that a run repeats from its seed.
+	mu              sync.Mutex // guards the fields below
+	firstRegistered time.Time  // when the first endpoint registered
+	// pools lists endpoints in the order of their IDs, so that a simulation repeats from its seed.
 	pools map[core.PoolID][]*state
 	byID  map[core.EndpointID]*state
-	// byHash finds endpoints by the hash of their id and start.
+	// byHash finds endpoints by the hash of their ID and incarnation.
 	byHash map[uint64]*state
-	// byShortHash finds endpoints by the short hash by which peers tell of them.
+	// byShortHash finds endpoints by the short hash that load reports and moves contain.
 	byShortHash map[uint16][]*state
-	// evacuations are the zones under evacuation, whether or not they have endpoints.
+	// evacuations holds the zones under evacuation, whether or not they have endpoints.
 	evacuations map[core.Zone]*evacuation
-	// partIndex are the endpoints that were sent the parts of prompts.
+	// partIndex finds the endpoints to which a prompt part was sent.
 	partIndex *partIndex
-	// incarnations are the latest known of all endpoints, also of those that are gone.
+	// incarnations holds the latest known incarnation of each endpoint, including removed ones.
 	incarnations incarnations
-	// backoffs are until when endpoints want no requests.
+	// backoffs holds until when endpoints accept no requests.
 	backoffs map[core.EndpointID]time.Time
 	reports  loadReports
-	// moves are own placements away from a chat's home, holders those of peers.
+	// moves are this router's placements away from a chat's home; movedChats are those of peers.
 	moves      []move
 	movedChats map[uint32]uint16
-	// surges are the latest of each pool, uses what customers have in progress there.
+	// surges holds the latest surge of each pool, customerUses the calls in progress of its
+	// customers.
 	surges       map[core.PoolID]*surge
 	customerUses map[core.PoolID]*customerUse
-	// callDurations are how long calls of each pool take.
+	// callDurations holds how long calls of each pool take.
 	callDurations map[core.PoolID]*callDuration
 }
 
-// Register takes an endpoint's registration, or a change of it. A start that was seen
-// draining stays so: only a later start brings the endpoint back. It returns false, and
-// changes nothing, for a registration of an earlier start than the latest known.
+// Register adds or updates an endpoint. An incarnation that was seen draining stays so: only a
+// later one makes the endpoint available again. Register returns false, and changes nothing, if a
+// later incarnation is known.
 func (pl *Placer) Register(now time.Time, ep Endpoint) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -199,7 +205,7 @@
 	pl.pools[st.Pool] = slices.Insert(list, at, st)
 }
 
-// removeFromPool takes an endpoint out of its pool, if it is in one.
+// removeFromPool removes an endpoint from its pool, if it is in one.
 func (pl *Placer) removeFromPool(st *state) {
 	list := pl.pools[st.Pool]
 	if at, found := slices.BinarySearchFunc(list, st.ID, compareID); found {
@@ -207,10 +213,10 @@
 	}
 }
 
-// MarkMissing tells that an endpoint's registration is missing, though it may only have
-// lapsed. The endpoint gets calls only where no other of its pool can take them, so
-// that one that has left gets none, and a pool whose registrations all lapsed
-// stays in use. Register lifts the doubt.
+// MarkMissing records that an endpoint's registration is missing, though it may only have expired.
+// The endpoint gets calls only where no other of its pool can take them, so that an endpoint that
+// is really gone gets none, while a pool whose registrations all expired stays in use. Register
+// clears the mark.
 func (pl *Placer) MarkMissing(id core.EndpointID) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -220,7 +226,7 @@
 	}
 }
 
-// Remove forgets an endpoint that is gone. Its calls in progress go on.
+// Remove forgets an endpoint that is gone. Its calls in progress continue.
 func (pl *Placer) Remove(id core.EndpointID) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -263,14 +269,14 @@
 	return at
 }
 
-// addPeerCalls counts what peers told of an endpoint.
+// addPeerCalls changes the count of peers' calls at the endpoints with the short hash.
 func (pl *Placer) addPeerCalls(endpoint uint16, by int) {
 	for _, st := range pl.byShortHash[endpoint] {
 		st.peerCalls += by
 	}
 }
 
-// Serving is the number of endpoints, of the pools that are in use, that may get work.
+// Serving returns how many endpoints of the pools in use are not draining.
 func (pl *Placer) Serving(inUse func(core.PoolID) bool) int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -283,7 +289,7 @@
 	return count
 }
 
-// Draining tells whether the endpoint of that hash is known to drain.
+// Draining reports whether the endpoint with the hash is known to be draining.
 func (pl *Placer) Draining(endpoint uint64) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -291,10 +297,9 @@
 	return st != nil && st.Draining
 }
 
-// Pick chooses an endpoint. The refusal, if any, is NotRun and says when trying
-// again makes sense.
+// Pick chooses an endpoint. The refusal, if any, has the outcome NotRun and says when to retry.
 func (pl *Placer) Pick(now time.Time, rq *Request) (*Ticket, *core.Refusal) {
-	routers := max(1, pl.RouterCount()) // before the lock: whoever counts them may call the Placer
+	routers := max(1, pl.RouterCount()) // before locking: the function may call the Placer
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ch := pl.newChoice(now, rq, routers)
@@ -305,11 +310,11 @@
 	return pl.issueTicket(best, cost, ch), nil
 }
 
-// oneIn draws, with a chance of one in count. Among equals each router draws its own:
-// routers that all took the first would bury it.
+// oneIn returns true with a probability of 1/count. Each router breaks ties at random: if all
+// routers took the first of several equals, they would overload it.
 func (pl *Placer) oneIn(count int) bool { return pl.Rand.Uint64()%uint64(count) == 0 }
 
-// SetBounds changes the cap and the limits of cold endpoints while in use.
+// SetBounds changes the load cap and the limits of cold endpoints at run time.
 func (pl *Placer) SetBounds(capFactor float64, limits ColdLimits) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
--- a/core/place/reading.go
+++ b/core/place/reading.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Reading is how many calls an endpoint said that it had, running and waiting, and
-// how long ago. Routers pass the latest ones on to each other, whoever got them:
-// what each hears in a second is then the same however many routers there are.
+// Reading is how many calls, running and waiting, an endpoint reported, and how long ago. Routers
+// forward the latest readings to each other, whichever router received them, so that the rate of
+// readings at each router does not depend on the number of routers.
 type Reading struct {
 	_ struct{} `cbor:",toarray"`
-	// Endpoint is the hash of its id.
+	// Endpoint is the hash of the endpoint's ID and incarnation.
 	Endpoint uint64
 	Calls    uint32
 	AgeMs    uint32
 }
 
-// maxReadings bounds those in a message: with 11 bytes each it stays within one frame.
+// maxReadings bounds the readings in a message: at 11 bytes each, it fits one frame.
 const maxReadings = 100
 
-// RecordLoad tells how many calls the endpoint said that it has, this one included.
+// RecordLoad records how many calls the endpoint reported, this one included.
 func (tk *Ticket) RecordLoad(now time.Time, calls int) {
 	tk.ReportedCalls = calls
 	tk.pl.mu.Lock()
@@ -30,7 +30,7 @@
 	tk.st.load.Update(calls, now)
 }
 
-// Readings are the latest that the router has, its own and those it heard.
+// Readings returns the latest readings that the router has, its own and those of peers.
 func (pl *Placer) Readings(now time.Time) []Reading {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -44,7 +44,7 @@
 	return all[:min(len(all), maxReadings)]
 }
 
-// ApplyReadings takes those of a peer; way is how long the message took at least.
+// ApplyReadings records a peer's readings. transit is the minimum transit delay of the message.
 func (pl *Placer) ApplyReadings(now time.Time, transit time.Duration, readings []Reading) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -56,34 +56,32 @@
 	}
 }
 
-// freshWindow is how long a count is taken for what the endpoint has now: it is not asked for
-// again, and goes before what peers told, which is older. Within it a popular home gets one
-// call or two.
+// freshWindow is how long a count is assumed to be current: it is not requested again, and takes
+// precedence over peers' reports, which are older. Within it, a popular home gets one or two calls.
 const freshWindow = 20 * time.Millisecond
 
-// askLoadFraction is the part of its places that a pool has in use, on average, from which on
-// counts are asked for. Below it an engine hardly has all of them taken, and a count of now
-// would be held against a mean that lags behind a rising load, so that chats would leave homes
-// that have room.
+// askLoadFraction is the mean fraction of its slots in use from which on a pool's counts are
+// requested. Below it, hardly any engine is full, and a current count would be compared with a mean
+// that lags behind a rising load, so that chats would leave homes that have capacity.
 const askLoadFraction = 0.25
 
-// askCapFraction is the part of the cap from which on an endpoint's count is asked for, however many
-// places it has: where much of a pool is evacuated or cold, the mean and the cap are low.
+// askCapFraction is the fraction of the load cap from which on an endpoint's count is requested,
+// however many slots it has: if much of a pool is evacuated or cold, the mean and the cap are low.
 const askCapFraction = 0.5
 
-// nearCap tells whether the endpoint may be at the cap, for all that is believed of it.
+// nearCap reports whether the endpoint, as far as is known, may be near the load cap.
 func (ch *choice) nearCap(pl *Placer, st *state) bool {
 	capped := ch.limits(pl).loadCap
 	return capped != math.MaxInt && float64(st.ownCalls+st.scratch.peerCalls) >= askCapFraction*float64(capped)
 }
 
-// NeedsCount is the endpoint that Pick would choose, by its hash, if how many calls it has
-// should be asked first: it is an engine shared with other routers, and what is believed of
-// it may be old.
+// NeedsCount returns the hash of the endpoint that Pick would choose, and whether its current
+// number of calls should be requested first. That is so for an engine shared with other routers if
+// the known count may be stale.
 //
-// What is known of others' calls is up to a second old among a hundred routers. Within that time
-// a popular home gets twice as many calls as it has places, and its callers wait while the pool
-// has room.
+// Among a hundred routers, what is known of peers' calls is up to a second old. Within that time a
+// popular home gets twice as many calls as it has slots, and its callers wait while the pool has
+// free capacity.
 func (pl *Placer) NeedsCount(now time.Time, rq *Request) (uint64, bool) {
 	routers := max(1, pl.RouterCount())
 	if !rq.Engine || routers == 1 {
@@ -102,7 +100,7 @@
 	return st.hash, ch.meanCalls >= askLoadFraction*float64(st.Slots) || ch.nearCap(pl, st)
 }
 
-// ApplyCount takes how many calls an endpoint has now.
+// ApplyCount records the current number of calls of an endpoint.
 func (pl *Placer) ApplyCount(now time.Time, endpoint uint64, calls int) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
--- a/core/place/record.go
+++ b/core/place/record.go
@@ -7,14 +7,14 @@
 	"almondrill/core"
 )
 
-// cacheModel remembers which parts an endpoint was sent, as long as they fit into its
-// memory: it forgets the least recently used, as engines do.
+// cacheModel models the prompt cache of an endpoint: an LRU list of the parts sent to it, within
+// the memory of the engine. Engines evict in the same order.
 type cacheModel struct {
 	st     *state
-	order  *list.List // of *held, the most recently used first
+	order  *list.List // of *cachedPart, the most recently used first
 	byHash map[uint64]*list.Element
 	tokens core.Tokens
-	// index is the router's index, in which this record's parts are.
+	// index is the router's index, which contains the parts of this model.
 	index *partIndex
 }
 
@@ -23,32 +23,34 @@
 	tokens core.Tokens
 }
 
-// partIndex are the endpoints whose records have a part. Who holds a chat is found without a
-// walk over all endpoints.
-// They are bounded in all: by each endpoint's memory alone, the records of thousands would grow
-// for hours. What was not sent for minutes is not in an engine's memory any more.
+// partIndex maps each part to the endpoints whose cache models contain it, so that the holder of a
+// chat is found without a scan of all endpoints.
+//
+// The index bounds all cache models together: bounded by the memory of each engine alone, those of
+// thousands of endpoints would grow for hours. Parts last sent minutes ago are no longer in an
+// engine's memory.
 type partIndex struct {
 	byPart map[uint64][]*state
-	// entries counts those of all records, which take turns to forget once there are too many.
+	// entries counts the parts of all cache models, which evict in turn when there are too many.
 	entries   int
 	caches    []*cacheModel
 	nextEvict int
 }
 
 const (
-	// cacheFraction is the part of an engine's memory that the record assumes for kept
-	// parts; the rest is taken by running requests.
+	// cacheFraction is the share of an engine's memory that is assumed to hold cached parts;
+	// running requests take the rest.
 	cacheFraction = 0.7
-	// maxCachedParts bounds the record where an engine's memory is unknown.
+	// maxCachedParts bounds a cache model if the engine's memory is unknown.
 	maxCachedParts = 4096
-	// maxIndexEntries bounds the entries of all records, some 200 bytes each: with 60 requests a
-	// second of three parts, those of six minutes.
+	// maxIndexEntries bounds the entries of all cache models, some 200 bytes each. At 60 requests
+	// per second with three parts each, it covers six minutes.
 	maxIndexEntries = 65536
 )
 
 func newPartIndex() *partIndex { return &partIndex{byPart: map[uint64][]*state{}} }
 
-// endpoints are the endpoints that were sent a part.
+// endpoints returns the endpoints to which a part was sent.
 func (pi *partIndex) endpoints(part uint64) []*state { return pi.byPart[part] }
 
 func (pi *partIndex) add(part uint64, st *state) {
@@ -69,7 +71,8 @@
 	pi.byPart[part] = rest
 }
 
-// evict lets the records forget, each in its turn what it was sent longest ago.
+// evict evicts the least recently used part of one cache model after the other until the index is
+// within its bound.
 func (pi *partIndex) evict() {
 	for pi.entries > maxIndexEntries {
 		pi.nextEvict = (pi.nextEvict + 1) % len(pi.caches)
@@ -111,7 +114,7 @@
 	cm.index.remove(gone.hash, cm.st)
 }
 
-// clear forgets all, as the endpoint is gone.
+// clear evicts all parts, since the endpoint is gone.
 func (cm *cacheModel) clear() {
 	for el := cm.order.Back(); el != nil; el = cm.order.Back() {
 		cm.evict(el)
@@ -119,8 +122,8 @@
 	cm.index.caches = slices.DeleteFunc(cm.index.caches, func(other *cacheModel) bool { return other == cm })
 }
 
-// uncached is how many of the prompt's tokens the endpoint probably has to read, if
-// it has the assumed part of those that return beside what the record says.
+// uncached estimates how many of the prompt's tokens the endpoint has to prefill, given its cache
+// model. It has at least the assumed fraction of all parts but the last.
 func (st *state) uncached(parts []Part, prefixes []uint64, assumed float64) core.Tokens {
 	var known core.Tokens
 	all := promptTokens(parts)
@@ -137,8 +140,8 @@
 	return all - known
 }
 
-// cacheHolder is the endpoint, of those that can be reached, that is known by the own record
-// to hold most of the prompt; one that is draining or full still hands its memory on.
+// cacheHolder returns the reachable endpoint that has the longest prefix of the prompt according to
+// the cache models. An endpoint that is draining or full still transfers its contexts.
 func (ch *choice) cacheHolder(pl *Placer) (*state, core.Tokens) {
 	for depth := len(ch.prefixes) - 1; depth >= 0; depth-- {
 		if st := ch.cacheHolderAt(pl, depth); st != nil {
@@ -148,9 +151,9 @@
 	return nil, 0
 }
 
-// cacheHolderAt is an endpoint that holds the prompt up to the depth, nil if none does. The
-// first that does behind a place drawn is taken: a beginning may be held by thousands, and
-// routers that all took the first would bury it.
+// cacheHolderAt returns an endpoint that has the prompt up to the depth, nil if there is none. The
+// search starts at a random position: thousands of endpoints may hold a shared prefix, and routers
+// that all took the first one would overload it.
 func (ch *choice) cacheHolderAt(pl *Placer, depth int) *state {
 	among := pl.partIndex.endpoints(ch.prefixes[depth])
 	if len(among) == 0 {
@@ -169,7 +172,7 @@
 	return nil
 }
 
-// hasCached tells whether all of the chain is in the endpoint's record.
+// hasCached reports whether the endpoint's cache model contains all prefixes.
 func (st *state) hasCached(prefixes []uint64) bool {
 	for _, hash := range prefixes {
 		if !st.cache.has(hash) {
--- a/core/place/starts.go
+++ b/core/place/starts.go
@@ -2,33 +2,33 @@
 
 import "almondrill/core"
 
-// Failure: an endpoint crashes and starts again under its id while a registration of
-// the earlier start is still on its way, delayed in the store or in a peer's copy. Taken
-// for news, that one would bring a dead address or a drained state back: callers see
-// refused connections, or a new endpoint stays idle for good. Starts only rise, and the
-// latest is remembered after the endpoint is gone, so that whichever order news arrives
-// in, all routers end at the same start.
+// Failure: an endpoint crashes and restarts under its ID while a registration of the earlier
+// incarnation is still in transit, delayed in the store or in a peer's copy. Applied as an update,
+// it would bring back a dead address or a draining state: callers see refused connections, or a new
+// endpoint stays idle forever. Incarnations only increase, and the latest is remembered after the
+// endpoint is gone, so that all routers end with the same incarnation whatever the order of
+// updates.
 
-// maxIncarnations bounds the starts that are remembered: at 170 replaced VMs a day, those of
-// weeks. The earliest noted is forgotten first.
+// maxIncarnations bounds the remembered incarnations: at 170 replaced VMs a day, it covers weeks.
+// The first recorded is forgotten first.
 const maxIncarnations = 8192
 
-// latestIncarnation is the latest known start of an endpoint, and whether that one was draining.
+// latestIncarnation is the latest known incarnation of an endpoint, and whether it was draining.
 type latestIncarnation struct {
 	incarnation core.Incarnation
 	draining    bool
 }
 
-// incarnations are the latest known starts. Of endpoints that do not tell theirs, those are kept that
-// are closed: their ids are not used again.
+// incarnations holds the latest known incarnations. For endpoints that do not report one, only
+// closed ones are kept: their IDs are not used again.
 type incarnations struct {
 	latest map[core.EndpointID]latestIncarnation
-	// order is in which they were first noted.
+	// order lists the IDs in the order in which they were first recorded.
 	order []core.EndpointID
 }
 
-// record takes a registration. current is false if a later start is known already, and
-// drained tells that this one was draining before.
+// record applies a registration. current is false if a later incarnation is known, and drained is
+// set if this one was draining before.
 func (ic *incarnations) record(ep *Endpoint) (drained, current bool) {
 	known, seen := ic.latest[ep.ID]
 	if ep.Incarnation < known.incarnation {
@@ -56,7 +56,7 @@
 	ic.order = append(ic.order, id)
 }
 
-// markDraining notes that a start gets no more work.
+// markDraining records that an incarnation gets no more work.
 func (ic *incarnations) markDraining(ep *Endpoint) {
 	known, seen := ic.latest[ep.ID]
 	if seen && known.incarnation != ep.Incarnation {
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -9,59 +9,62 @@
 	"almondrill/core/ring"
 )
 
-// state is what the router believes of one endpoint. What each choice looks at comes
-// first.
+// state is what the router knows of one endpoint. The fields that each choice reads come first.
 type state struct {
-	// idHash is the hash of its id, by which routers agree on homes.
+	// idHash is the hash of the ID, from which all routers derive the same homes.
 	idHash uint64
-	// ownCalls are the router's own in progress, told those that peers told of theirs.
+	// ownCalls are this router's calls in progress, peerCalls those that peers reported.
 	ownCalls, peerCalls int
-	// pendingPrefill are the prompt tokens of own calls whose first token is awaited.
+	// pendingPrefill is the number of prompt tokens of own calls that wait for their first token.
 	pendingPrefill core.Tokens
-	// missing is set while the registration is missing, but may come back.
+	// missing is set while the registration is missing but may come back.
 	missing bool
-	// sameZone is set in the router's own zone, removed once its registration is gone.
+	// sameZone is set if the endpoint is in the router's zone, removed once Remove or a later
+	// incarnation has replaced it.
 	sameZone, removed bool
-	// evacuated is its zone's evacuation, nil if there is none.
+	// evacuated is the evacuation of the endpoint's zone, nil if there is none.
 	evacuated *evacuation
-	// fastPath is set by a choice that finds nothing about the endpoint but what peers told: no
-	// own calls, failures, counts or refusals, and no limit in time. The next choices pass
-	// it in a few ns. Whoever changes any of these clears it with stir.
+	// fastPath is set by a choice that finds nothing about the endpoint except calls reported by
+	// peers: no own calls, failures, counts or rejections, and no pending deadline. Later choices
+	// then skip most checks and take a few ns for the endpoint. Whatever changes one of these
+	// clears it with markChanged.
 	fastPath  bool
 	fullUntil time.Time
-	// backoffUntil is until when it wants no requests from this router.
+	// backoffUntil is until when the endpoint accepts no requests from this router.
 	backoffUntil time.Time
-	// unreachableUntil is until when it is taken to be down as peers told.
+	// unreachableUntil is until when the endpoint is assumed to be down, as reported by peers.
 	unreachableUntil time.Time
 	health           health
 	cold             coldState
-	// load is how many calls it said that it has, and the own ones begun and ended since.
+	// load is the number of calls that the endpoint last reported, adjusted by own calls begun and
+	// ended since.
 	load gauge.Count
 	Endpoint
 
-	// hash is that of its id and start, by which peers tell of it, so that their words of an
-	// earlier start are not taken for this one.
+	// hash is that of the ID and incarnation. It names the endpoint to peers, so that their reports
+	// about an earlier incarnation are not applied to this one.
 	hash    uint64
 	addedAt time.Time
 	cache   *cacheModel
 	scratch scratch
 }
 
-// scratch is what one choice works out of an endpoint.
+// scratch holds what one choice computes for an endpoint.
 type scratch struct {
-	// peerCalls are calls of other routers, score its claim as a home of the chat.
+	// peerCalls are the calls of other routers. homeScore is the rendezvous score of the endpoint
+	// for the chat.
 	peerCalls int
 	homeScore uint64
-	// looksDead is set if it looks dead, settled if it does not and has been there for a time,
-	// usable if it may be picked.
+	// looksDead is set if the endpoint looks dead, settled if it can transfer contexts and joined
+	// some time ago, usable if it may be picked.
 	looksDead, settled, usable bool
-	// minBaseMs is a lower bound of the cost of a call there but for its prompt, in ms.
+	// minBaseMs is a lower bound of baseMs.
 	minBaseMs float64
-	// weighed is set once its cost is known.
+	// weighed is set once the cost of the endpoint is computed.
 	weighed bool
 }
 
-// EndpointHash names a start of an endpoint to peers.
+// EndpointHash returns the hash that names an incarnation of an endpoint to peers.
 func EndpointHash(id core.EndpointID, start core.Incarnation) uint64 {
 	name := decl.HashName(string(id))
 	if start == 0 {
@@ -77,17 +80,17 @@
 	return st
 }
 
-// markChanged lets the next choice look at the endpoint in full again.
+// markChanged makes the next choice check the endpoint in full.
 func (st *state) markChanged() { st.fastPath = false }
 
-// updateFastPath makes the endpoint quiet if nothing is left that a choice has to look at.
+// updateFastPath sets fastPath if nothing is left that a choice has to check.
 func (st *state) updateFastPath(now time.Time, settled bool, coldFor time.Duration) {
 	st.fastPath = settled && !st.isCold(now, coldFor) && st.ownCalls == 0 && !st.missing && st.pendingPrefill == 0 &&
 		st.health.clean(now) && st.load.Expired(now) && !now.Before(st.fullUntil) && !now.Before(st.backoffUntil) &&
 		!now.Before(st.unreachableUntil)
 }
 
-// failureRate is the endpoint's failure rate, 0 if it gets no calls.
+// failureRate returns the endpoint's failure rate, or 0 if it gets no calls.
 func (st *state) failureRate(now time.Time) float64 {
 	if st.Draining || st.evacuated != nil {
 		return 0
--- a/core/place/surge.go
+++ b/core/place/surge.go
@@ -6,31 +6,30 @@
 	"almondrill/core"
 )
 
-// Load pattern: a pool is asked for more than its engines can run, for seconds. If all
-// of it is taken, each call waits behind a second's worth of others: nearly all come
-// late, the memory of running prompts pushes kept ones out, and what returns is read
-// again. Therefore a pool takes as many calls as it has places, and a few that wait.
+// Load pattern: for seconds, the load of a pool exceeds what its engines can run. If all calls are
+// accepted, each waits behind a second's worth of others: nearly all are late, the memory of
+// running prompts evicts cached ones, and returning chats are prefilled again. Therefore a pool
+// accepts as many calls as it has slots, and a few that wait.
 
 const (
-	// poolSlotFactor is how many calls an engine pool is given, as a multiple of its places.
-	// The tenth that waits gets a place within a tenth of a call's duration.
+	// poolSlotFactor is how many calls an engine pool is given, as a multiple of its slots. The
+	// excess of a tenth gets slots within a tenth of a call's duration.
 	poolSlotFactor = 1.1
 	// surgeGap is how long without a refusal ends a surge.
 	surgeGap = time.Second
-	// maxFullRetryAfter bounds when callers are told to return to a pool that is full: few
-	// wait for longer.
+	// maxFullRetryAfter bounds the retry delay for a full pool: few callers wait for longer.
 	maxFullRetryAfter = 5 * time.Second
 )
 
-// surge is a time in which a pool refuses calls since it is full.
+// surge is a period in which a pool refuses calls because it is full.
 type surge struct {
 	since, last time.Time
 }
 
-// limitPoolCalls works out how many calls the pool may have for one more of this customer. It goes
-// by the pool, not by its endpoints: one of them may have more, where a context is, as
-// long as others have less. Endpoints that look dead have no places; where all do, the
-// view is doubted, and nothing bounds the pool.
+// limitPoolCalls computes how many calls the pool may have including one more of this customer. The
+// limit applies to the pool, not to single endpoints: one that has a context cached may have more
+// calls, as long as others have fewer. Endpoints that look dead have no slots. If all look dead,
+// the view is suspect and the pool is not limited.
 func (ch *choice) limitPoolCalls(slots int, cu *customerUse) {
 	factor := float64(plainSlotFactor)
 	if ch.rq.Engine {
@@ -42,9 +41,9 @@
 	ch.poolSlots, ch.maxPoolCalls = slots, factor*float64(slots)
 }
 
-// surgeRetryAfter is when a caller may return to a pool that is full now. Nobody knows how
-// long a surge will last; one that has lasted for a time lasts, at the median, about as
-// long again. Callers who are told to return sooner meet the same surge.
+// surgeRetryAfter returns the retry delay for a pool that is full now. The end of a surge is
+// unknown; one that has lasted for a time lasts, at the median, about as long again. Callers who
+// retry sooner meet the same surge.
 func (pl *Placer) surgeRetryAfter(now time.Time, id core.PoolID) time.Duration {
 	su := pl.surges[id]
 	if su == nil || now.Sub(su.last) > surgeGap {
--- a/core/place/surge_test.go
+++ b/core/place/surge_test.go
@@ -271,8 +271,8 @@
 	taken := 0
 	for {
 		if _, rf := pl.Pick(begin, &place.Request{Pool: pool, Engine: true}); rf != nil {
-			if want := "53 calls, most 53 for this customer, 48 places; 3 of 3 endpoints full"; rf.Basis != want {
-				t.Errorf("decided on %q, want %q", rf.Basis, want)
+			if want := "53 calls, limit 53 for this customer, 48 slots; 3 of 3 endpoints full"; rf.Basis != want {
+				t.Errorf("refusal is based on %q, want %q", rf.Basis, want)
 			}
 			break
 		}
--- a/core/place/ticket.go
+++ b/core/place/ticket.go
@@ -6,38 +6,39 @@
 	"almondrill/core"
 )
 
-// Ticket is one placed call, with the beliefs on which it was placed. Its methods
-// may be called from one goroutine at a time.
+// Ticket is a placed call, with the figures that the choice was based on. Its methods must not be
+// called concurrently.
 type Ticket struct {
 	Endpoint Endpoint
 	Started  time.Time
-	// CostMs is what the choice predicted; Calls, Others and Mean are own calls
-	// there, those told by peers, and the pool's mean; Usable endpoints of Of
-	// were weighed, Full ones had no room, ColdFull of them as their limit while cold is used
-	// up; Cold tells whether the chosen one is cold; of Prompt tokens, Uncached were thought to be read.
+	// CostMs is the predicted cost. OwnCalls and PeerCalls are the calls at the endpoint, this
+	// router's and those of peers; MeanCalls is the pool's mean. Of PoolSize endpoints, Usable were
+	// weighed, Full had no capacity, and ColdFull of these because their limit while cold was used
+	// up. Cold tells whether the chosen endpoint is cold. Of PromptTokens, UncachedTokens are
+	// expected to be prefilled.
 	CostMs    float64
 	OwnCalls  int
 	PeerCalls int
 	MeanCalls float64
 	Usable    int
 	Full      int
-	// BackingOff endpoints were left out as they want no requests for a time.
+	// BackingOff is how many endpoints were excluded because they accept no requests for a time.
 	BackingOff     int
 	ColdFull       int
 	PoolSize       int
 	Cold           bool
 	PromptTokens   core.Tokens
 	UncachedTokens core.Tokens
-	// ChatKey names the parts that return, 0 if there are none; Home is set if the
-	// endpoint is the one on which all routers agree for them.
+	// ChatKey identifies the chat by the parts that its requests share, 0 if there are no parts.
+	// AtHome is set if the endpoint is the chat's home.
 	ChatKey uint64
 	AtHome  bool
-	// FetchFrom is the address of an endpoint from which this one may take over
-	// kept tokens, "" if none is known; Fetched of them are thought to be needed.
+	// FetchFrom is the address of an endpoint from which this one may fetch cached tokens, "" if
+	// none is known. FetchTokens is how many it is expected to fetch.
 	FetchFrom   string
 	FetchTokens core.Tokens
-	// Hash names the endpoint and its start to peers. Said is how many calls it said that it
-	// had when it answered, this one included; -1 if it did not tell.
+	// Hash names the endpoint and its incarnation to peers. ReportedCalls is how many calls the
+	// endpoint reported in its response, this one included; -1 if it reported none.
 	Hash          uint64
 	ReportedCalls int
 
@@ -45,21 +46,22 @@
 	st      *state
 	prefill core.Tokens
 	done    bool
-	// request is what was chosen for, and chain its parts; away is set for another endpoint than
-	// their home.
+	// request is the request and prefixes are the hashes of its prefixes. awayFromHome is set if
+	// the endpoint is not the chat's home.
 	request      *Request
 	prefixes     []uint64
 	awayFromHome bool
-	// reserved is set while the call has a place within the limit of a cold endpoint. Its prompt
-	// is recorded as sent there once it is.
+	// reserved is set while the call holds a reservation within the limit of a cold endpoint. Its
+	// prompt is added to the cache model only when the call is sent.
 	reserved bool
 	// use counts the call for its customer.
 	use      *customerUse
 	customer core.CustomerID
 }
 
-// BeforeSend is to be called right before the call is sent. It returns why it must not be, as the
-// endpoint was closed to new calls, or became cold, after it was chosen; "" if it may.
+// BeforeSend must be called immediately before the call is sent. It returns "", or the reason why
+// the call must not be sent: the endpoint was closed to new calls, or became cold, after it was
+// chosen.
 func (tk *Ticket) BeforeSend(now time.Time) core.Reason {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
@@ -72,7 +74,7 @@
 	case now.Before(st.backoffUntil):
 		return core.ReasonBackoff
 	case !tk.reserved && tk.request.ColdRate > 0 && st.isCold(now, tk.request.ColdDuration):
-		return core.ReasonColdLimit // it was not granted
+		return core.ReasonColdLimit // no grant was requested
 	}
 	if tk.reserved {
 		st.cold.window.Send(now)
@@ -82,8 +84,8 @@
 	return ""
 }
 
-// recordSent notes that the endpoint has the prompt from now on, and that this is a move if it is
-// away from its home.
+// recordSent adds the prompt to the endpoint's cache model, and records a move if the chat is new
+// to the endpoint and this is not its home.
 func (tk *Ticket) recordSent(now time.Time) {
 	if len(tk.prefixes) > 1 && !tk.st.cache.has(tk.ChatKey) && tk.awayFromHome {
 		tk.pl.recordMove(now, tk.ChatKey, tk.st.hash)
@@ -91,8 +93,8 @@
 	tk.st.cache.add(tk.request.Parts, tk.prefixes, tk.request.EngineMemory)
 }
 
-// RecordActivity tells that something came from the endpoint. The first time, its prompt
-// has been read.
+// RecordActivity records that data arrived from the endpoint. The first data means that the prompt
+// is prefilled.
 func (tk *Ticket) RecordActivity(now time.Time) {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
@@ -110,7 +112,7 @@
 	tk.prefill = 0
 }
 
-// Done tells how the call ended; only the first time counts.
+// Done records how the call ended. Only the first call of Done counts.
 func (tk *Ticket) Done(now time.Time, re Result) {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
--- a/core/place/told.go
+++ b/core/place/told.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// loadReport is a peer's last message: its calls in progress by the short hashes of the
-// endpoints.
+// loadReport is a peer's latest report: its calls in progress by the short hashes of the endpoints.
 type loadReport struct {
 	from       string
 	receivedAt time.Time
-	// interval is how far words of this peer were apart of late, and until when this one counts.
+	// interval is the recent interval between reports of this peer; expires is when this one
+	// expires.
 	interval time.Duration
 	expires  time.Time
 	calls    []endpointCalls
 }
 
-// endpointCalls is an entry of a word.
+// endpointCalls is an entry of a report.
 type endpointCalls struct {
 	endpoint uint16
 	calls    int
 }
 
-// loadReports are the peers' last messages, and their sums. The sums are kept, as a choice among
-// thousands of endpoints cannot add up hundreds of words.
+// loadReports holds the peers' latest reports and their sums. The sums are maintained, because a
+// choice among thousands of endpoints cannot add up hundreds of reports.
 type loadReports struct {
-	byPeer map[string]*list.Element // of *word
-	// byExpiry has the word first that lapses first.
+	byPeer map[string]*list.Element // of *loadReport
+	// byExpiry lists the reports, the next to expire first.
 	byExpiry *list.List
 	sums     map[uint16]int
-	// onChange tells of each change of a sum.
+	// onChange is called for each change of a sum.
 	onChange func(endpoint uint16, by int)
 }
 
 const (
-	// minReportTTL is how long a peer's word counts at least: a few of its messages. One that
-	// says nothing for longer has stopped, and its calls with it.
+	// minReportTTL is how long a peer's report is valid at least: a few intervals between its
+	// messages. A peer that sends nothing for longer has stopped, and its calls with it.
 	minReportTTL = 2 * time.Second
-	// reportTTLIntervals is how many gaps between a peer's words the last one counts, and mostToldFor
-	// how long at most.
+	// reportTTLIntervals is how many intervals between a peer's reports the latest one is valid,
+	// and maxReportTTL how long at most.
 	//
-	// What a router sends is bounded, so that among hundreds each peer hears it every few
-	// seconds. An older report still tells the usual load; without it full endpoints look idle.
+	// The messages that a router sends are bounded, so that among hundreds of routers each peer
+	// receives a report only every few seconds. An older report still gives the usual load; without
+	// it, full endpoints look idle.
 	reportTTLIntervals = 3
 	maxReportTTL       = 20 * time.Second
-	// reportEntrySize is the size of an entry in a message: two bytes of hash, one of
-	// calls. Endpoints whose short hashes are equal, 3 pairs in 100 fleets of 60, are
-	// taken to have each other's calls too.
+	// reportEntrySize is the size of an entry in a message: two bytes of hash, one byte of calls.
+	// Endpoints whose short hashes are equal (3 pairs in 100 fleets of 60 endpoints) are assumed to
+	// have each other's calls too.
 	reportEntrySize = 3
-	// maxEntryCalls is how many calls an entry can tell, mostEntries how many entries
-	// there are at most.
+	// maxEntryCalls is the largest number of calls in an entry, maxReportEntries the largest number
+	// of entries.
 	maxEntryCalls    = 255
 	maxReportEntries = 400
 )
 
 func shortHash(hash uint64) uint16 { return uint16(hash >> 48) }
 
-// LoadReport packs the router's own calls in progress for its peers.
+// LoadReport encodes this router's calls in progress for its peers.
 func (pl *Placer) LoadReport() []byte {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -70,7 +71,7 @@
 	return packed
 }
 
-// ApplyLoadReport takes a peer's packed calls.
+// ApplyLoadReport replaces the calls reported by a peer.
 func (pl *Placer) ApplyLoadReport(now time.Time, from string, packed []byte) {
 	calls := make([]endpointCalls, 0, len(packed)/reportEntrySize)
 	for ; len(packed) >= reportEntrySize; packed = packed[reportEntrySize:] {
@@ -82,12 +83,12 @@
 	pl.reports.apply(now, from, calls)
 }
 
-// apply replaces a peer's word.
+// apply replaces a peer's report.
 func (lr *loadReports) apply(now time.Time, from string, calls []endpointCalls) {
 	rp := &loadReport{from: from, receivedAt: now, expires: now.Add(minReportTTL), calls: calls}
 	if el := lr.byPeer[from]; el != nil {
 		old := lr.remove(el)
-		// News is told at once: a short gap is followed by longer ones.
+		// Changes are sent at once, so that a short interval is followed by longer ones.
 		rp.interval = max(now.Sub(old.receivedAt), old.interval/2)
 		rp.expires = now.Add(min(maxReportTTL, max(minReportTTL, reportTTLIntervals*rp.interval)))
 	}
@@ -95,7 +96,7 @@
 	lr.insert(rp)
 }
 
-// insert puts a word where it belongs in the order, which is near the end as a rule.
+// insert adds a report in order of expiry, which is usually near the end.
 func (lr *loadReports) insert(rp *loadReport) {
 	at := lr.byExpiry.Back()
 	for at != nil && at.Value.(*loadReport).expires.After(rp.expires) {
@@ -115,7 +116,7 @@
 	return rp
 }
 
-// addSums counts a word in, or out with a sign of -1.
+// addSums adds a report to the sums, or subtracts it if sign is -1.
 func (lr *loadReports) addSums(rp *loadReport, sign int) {
 	for _, ec := range rp.calls {
 		lr.sums[ec.endpoint] += sign * ec.calls
@@ -126,8 +127,8 @@
 	}
 }
 
-// expire stops counting the words of peers that have stopped. When they were heard is kept
-// for longer, so that the gap of a peer that is heard rarely becomes known.
+// expire removes the expired reports from the sums. Their time of receipt is kept for longer, so
+// that the interval of a peer with infrequent reports becomes known.
 func (lr *loadReports) expire(now time.Time) {
 	for el := lr.byExpiry.Front(); el != nil && now.After(el.Value.(*loadReport).expires); el = lr.byExpiry.Front() {
 		rp := lr.remove(el)
@@ -138,8 +139,8 @@
 	}
 }
 
-// estimatePeerCalls is how many calls of other routers the endpoint has: what it counted itself
-// a moment ago, or else what peers told of theirs, or more if it counted more.
+// estimatePeerCalls returns how many calls of other routers the endpoint has: from its own count if
+// that is fresh, else the calls that peers reported, or more if the endpoint's count is higher.
 func (st *state) estimatePeerCalls(now time.Time) int {
 	others := st.peerCalls
 	if st.fastPath {
--- a/core/place/use.go
+++ b/core/place/use.go
@@ -6,26 +6,25 @@
 	"almondrill/core"
 )
 
-// Load pattern: one customer sends many times its usual, as when its race begins, and
-// fills the pool. Refused alike, the others lose as large a part of their calls as the
-// one that surges. Therefore a customer that has far more in progress than the others
-// leaves the last places of a pool to them.
+// Load pattern: one customer sends many times its usual load, as when its race begins, and fills
+// the pool. If all customers are refused alike, the others lose as large a share of their calls as
+// the one that surges. Therefore a customer with far more calls in progress than the others leaves
+// the last slots of a pool to them.
 
 const (
-	// heavyFactor is how far above the mean of the customers that have calls in progress
-	// one counts as heavy, and heavyDeviations by how many standard deviations of such a mean
-	// it has to be above that.
+	// A customer is heavy if its calls in progress exceed heavyFactor times the mean of the
+	// customers that have any, by more than heavyDeviations standard deviations of such a mean.
 	//
-	// A router with few calls of each customer sees one that sends no more than the others far
-	// above the mean by chance.
+	// A router with few calls of each customer sees an ordinary customer far above the mean by
+	// chance.
 	heavyFactor     = 1.5
 	heavyDeviations = 2
-	// heavyFraction is the part of a pool's room that heavy customers get. The rest
-	// takes the others' calls while the heavy one presses against its own limit.
+	// heavyFraction is the share of a pool's capacity that heavy customers get. The rest takes the
+	// calls of others while the heavy customer is at its limit.
 	heavyFraction = 0.9
 )
 
-// customerUse is what the customers have in progress in a pool through this router.
+// customerUse counts the calls in progress of each customer in a pool through this router.
 type customerUse struct {
 	total      int
 	byCustomer map[core.CustomerID]int
@@ -40,7 +39,7 @@
 	return cu
 }
 
-// add counts calls that begin or end.
+// add changes the number of a customer's calls in progress.
 func (cu *customerUse) add(id core.CustomerID, by int) {
 	cu.total += by
 	cu.byCustomer[id] += by
@@ -49,7 +48,7 @@
 	}
 }
 
-// heavy tells whether the customer has far more in progress than the others.
+// heavy reports whether the customer has far more calls in progress than the others.
 func (cu *customerUse) heavy(id core.CustomerID) bool {
 	if cu == nil || len(cu.byCustomer) < 2 {
 		return false
--- a/core/place/view.go
+++ b/core/place/view.go
@@ -8,37 +8,37 @@
 	"almondrill/core"
 )
 
-// poolStats is what one choice sees of a pool.
+// poolStats is what one choice knows of a pool.
 type poolStats struct {
 	pool    core.PoolID
 	routers int
-	// openCount counts the endpoints that are not closed, evacuated those closed by an evacuation
-	// alone.
+	// openCount counts the endpoints that are open to new calls, evacuatedCount those that are
+	// closed only by an evacuation.
 	openCount, evacuatedCount int
-	// meanCalls is the calls of an endpoint that is alive, as far as is known; where all look
-	// dead, of any.
-	// Counting dead endpoints would lower the mean, and with it the cap of the live ones.
+	// meanCalls is the known mean of calls per live endpoint or, if all look dead, per endpoint.
+	// Counting dead endpoints would lower the mean, and with it the load cap of the live ones.
 	meanCalls float64
-	// capMean is what the load cap goes by: the mean over evacuated endpoints too, which are part
-	// of the pool while they are there.
+	// capMean is the mean that the load cap is based on. It includes evacuated endpoints, which are
+	// part of the pool while they exist.
 	capMean float64
-	// usableCount counts the endpoints that may be picked, full those left out because they have
-	// no room.
+	// usableCount counts the endpoints that may be picked, fullCount those excluded because they
+	// have no capacity.
 	usableCount int
 	fullCount   int
-	// backingOffCount counts those that want no requests for a time, the first of them until backoffEnds.
+	// backingOffCount counts the endpoints that accept no requests for a time. The first of them
+	// accepts requests again at backoffEnds.
 	backingOffCount int
 	backoffEnds     time.Time
-	// coldFullCount counts those of the full ones that are cold and whose limit is used up.
+	// coldFullCount counts the full endpoints that are cold and have used up their limit.
 	coldFullCount int
-	// poolCalls are those of the pool, places what its live endpoints run, and most what a
-	// call of this customer may bring the pool to; 0 if nothing bounds it.
+	// poolCalls are the calls of the pool, poolSlots the slots of its live endpoints. maxPoolCalls
+	// is how many calls the pool may have including one more of this customer, 0 if unlimited.
 	poolCalls, poolSlots int
 	maxPoolCalls         float64
-	// typicalMs is how long calls of the pool take.
+	// typicalMs is how long calls of the pool usually take.
 	typicalMs float64
-	// meanFailureRate is the pool's mean failure rate, and failAll counts the endpoints that have failed
-	// all of late.
+	// meanFailureRate is the pool's mean failure rate. failAllCount counts the endpoints that
+	// failed all recent calls.
 	meanFailureRate float64
 	failAllCount    int
 }
@@ -60,38 +60,38 @@
 	}
 	if ch.backingOffCount > 0 {
 		re.Reason = core.ReasonBackoff
-		re.Detail = "the endpoints of the pool asked for no requests for a time"
+		re.Detail = "the endpoints of the pool accept no requests for a time"
 		re.RetryAfter = ch.backoffEnds.Sub(ch.now)
-		re.Basis = fmt.Sprintf("%d of %d endpoints want no requests", ch.backingOffCount, ch.openCount)
+		re.Basis = fmt.Sprintf("%d of %d endpoints accept no requests", ch.backingOffCount, ch.openCount)
 	}
 	if ch.fullCount > 0 {
 		re.Reason = core.ReasonLoadCap
 		re.Detail = "all endpoints of the pool are at their limit"
 		re.RetryAfter = pl.surgeRetryAfter(ch.now, ch.pool)
-		re.Basis = fmt.Sprintf("%d calls, most %.0f for this customer, %d places; %d of %d endpoints full",
+		re.Basis = fmt.Sprintf("%d calls, limit %.0f for this customer, %d slots; %d of %d endpoints full",
 			ch.poolCalls, ch.maxPoolCalls, ch.poolSlots, ch.fullCount, ch.openCount)
 		if ch.backingOffCount > 0 {
-			re.Basis += fmt.Sprintf(", %d want no requests", ch.backingOffCount)
+			re.Basis += fmt.Sprintf(", %d accept no requests", ch.backingOffCount)
 		}
 		if ch.coldFullCount > 0 {
-			re.Basis += fmt.Sprintf(", %d of them cold with their limit used up", ch.coldFullCount)
+			re.Basis += fmt.Sprintf(", %d of them cold and at their rate limit", ch.coldFullCount)
 		}
 	}
 	return re
 }
 
 const (
-	// noEndpointRetryAfter is when callers are told to return to a pool without
-	// endpoints: about the time in which one registers.
+	// noEndpointRetryAfter is the retry delay for a pool without endpoints: about the time in which
+	// one registers.
 	noEndpointRetryAfter = time.Second
-	// minFullRetryAfter is when they are told to return, at the soonest, to one that is full:
-	// about the time in which a stream of average length frees its place.
+	// minFullRetryAfter is the shortest retry delay for a full pool: about the time in which a
+	// stream of average length frees its slot.
 	minFullRetryAfter = 400 * time.Millisecond
 )
 
-// survey looks at all endpoints of the pool that are not leaving, and works out what the
-// choice compares them with. It and allow are the only walks over a pool that each choice
-// makes, so they ask nothing of an endpoint that needs a search.
+// survey scans the endpoints of the pool and computes the figures that the choice compares them
+// with. It and collectUsable are the only scans of the pool in each choice, so they do nothing per
+// endpoint that needs a search.
 func (ch *choice) survey(pl *Placer) {
 	var calls, liveCalls, live, slots, evacuatedCalls int
 	var failureRates float64
@@ -126,7 +126,7 @@
 			liveCalls += st.ownCalls + sc.peerCalls
 			slots += st.Slots
 		}
-		bounded = bounded && st.Slots > 0 // others do not tell how many they run
+		bounded = bounded && st.Slots > 0 // without slots the endpoint's capacity is unknown
 	}
 	if ch.openCount == 0 {
 		return
@@ -144,8 +144,8 @@
 	}
 }
 
-// scoreHome scores the endpoint as a home. One that is closed was a home before, and hands its
-// memory on.
+// scoreHome computes the endpoint's score as a home. A closed endpoint was a home before, and still
+// transfers its contexts.
 func (ch *choice) scoreHome(st *state) {
 	if len(ch.prefixes) == 0 {
 		return
@@ -160,12 +160,12 @@
 	}
 }
 
-// failAllRatio is how many times as many endpoints a pool has to have as fail all, for those to
-// be passed over.
+// failAllRatio is how many times as many endpoints as those that fail all calls a pool must have
+// for these to be skipped.
 const failAllRatio = 2.0
 
-// collectUsable finds the endpoints that may be picked: those with room, or, where none of them
-// looks alive, those with room that may be dead.
+// collectUsable finds the endpoints that may be picked: those with capacity or, if none of these
+// looks alive, those with capacity that look dead.
 func (ch *choice) collectUsable(pl *Placer) {
 	if ch.poolSlots > 0 && float64(ch.poolCalls) >= ch.maxPoolCalls {
 		ch.fullCount = ch.openCount
@@ -175,7 +175,7 @@
 		ch.loadMsByCalls[calls] = ch.loadMs(float64(calls))
 	}
 	deadCount := 0
-	// Where most fail it is not the endpoints' fault alone.
+	// If most endpoints fail, the cause is probably not in the endpoints.
 	passOver := ch.failAllCount > 0 && failAllRatio*float64(ch.failAllCount) <= float64(ch.openCount)
 	li := ch.limits(pl)
 	retried := len(ch.rq.Tried) > 0
@@ -201,7 +201,7 @@
 			continue
 		}
 		if passOver && !st.fastPath && st.health.failsAll(ch.now) {
-			ch.fullCount++ // those that answer have room in a moment
+			ch.fullCount++ // healthy endpoints have capacity in a moment
 			continue
 		}
 		ch.addUsable(pl, st)
@@ -216,7 +216,8 @@
 	}
 }
 
-// withinColdLimit tells whether the endpoint is warm, or may get one more request all the same.
+// withinColdLimit reports whether the endpoint is warm, or may get one more request although it is
+// cold.
 func (ch *choice) withinColdLimit(pl *Placer, st *state) bool {
 	if st.fastPath || ch.rq.ColdRate <= 0 || !st.isCold(ch.now, ch.rq.ColdDuration) {
 		return true
@@ -224,7 +225,7 @@
 	return !ch.rq.WarmOnly && pl.withinColdLimit(ch.now, st, ch.rq.ColdRate)
 }
 
-// addUsable makes an endpoint one that may be picked.
+// addUsable marks an endpoint as usable.
 func (ch *choice) addUsable(pl *Placer, st *state) {
 	ch.usableCount++
 	st.scratch.usable = true
@@ -247,20 +248,21 @@
 }
 
 const (
-	// minShare is an even share of an endpoint's connections, in calls, below which it says
-	// nothing: a router then goes by all calls that the endpoint is believed to have.
+	// minShare is the least even share of an endpoint's connections, in calls, that is meaningful.
+	// Below it, the limit is based on all calls that the endpoint is known to have.
 	minShare = 2
-	// sharedConnsFraction is the part of the connections that is in use then before a router is held to
-	// its share: the rest is for idle ones, and for calls that are not known of yet.
+	// sharedConnsFraction is the fraction of the connections that must then be in use before a
+	// router is held to its share. The rest covers idle connections and calls that are not known
+	// yet.
 	sharedConnsFraction = 0.5
 )
 
-// limits are the calls from which on an endpoint gets no more.
+// limits holds the numbers of calls at which an endpoint gets no more.
 type limits struct {
-	// ownCalls are the router's, where all have conns or more, placed a multiple of an endpoint's places,
-	// capped all.
+	// ownCalls limits this router's calls once the endpoint has conns calls in total. slotFactor
+	// limits all calls to a multiple of the endpoint's slots, loadCap limits all calls.
 	ownCalls, conns, slotFactor, loadCap int
-	// exactCap is capped for endpoints whose calls are known as of now.
+	// exactCap replaces loadCap for endpoints whose current number of calls is known.
 	exactCap int
 }
 
@@ -284,8 +286,8 @@
 	return li
 }
 
-// hasCapacity tells whether the endpoint may be given one more call: within its connections, its
-// places and the cap over the pool's mean.
+// hasCapacity reports whether the endpoint may get one more call: within its connections, its slots
+// and the load cap.
 func (li *limits) hasCapacity(now time.Time, st *state) bool {
 	calls := st.ownCalls + st.scratch.peerCalls
 	capped := li.loadCap
--- a/core/place/zone.go
+++ b/core/place/zone.go
@@ -8,16 +8,17 @@
 	"almondrill/core"
 )
 
-// evacuation is a zone's: its endpoints get nothing new from until on. Chats leave them from
-// then on when it was learned, in the order of their hashes, which is the same at all routers.
+// evacuation is the evacuation of a zone: its endpoints get no new calls from until onwards.
+// Between from, when the evacuation became known, and until, chats leave them in the order of their
+// hashes, which is the same at all routers.
 type evacuation struct {
 	from, until time.Time
 }
 
-// Evacuate puts a zone under evacuation: from until on, no endpoint there gets new calls, also
-// one that registers later. Until then its chats leave it one after the other, so that not all
-// of them are moved at once. Calls in progress go on, and prompts may still be taken over from
-// there. It returns false if the zone is under evacuation already.
+// Evacuate starts the evacuation of a zone: from until onwards, no endpoint there gets new calls,
+// including those that register later. Before that, chats leave the zone one by one, so that not
+// all of them move at once. Calls in progress continue, and cached contexts can still be fetched
+// from there. Evacuate returns false if the zone is under evacuation already.
 func (pl *Placer) Evacuate(now time.Time, zone core.Zone, until time.Time) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -35,8 +36,8 @@
 	return true
 }
 
-// Restore ends a zone's evacuation. Its endpoints may be cold, which they tell later. It returns
-// false if the zone is not under evacuation.
+// Restore ends a zone's evacuation. The endpoints may be cold and announce that only later. Restore
+// returns false if the zone is not under evacuation.
 func (pl *Placer) Restore(now time.Time, zone core.Zone) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -54,7 +55,7 @@
 	return true
 }
 
-// EvacuatedZones are the zones under evacuation, in the order of their names.
+// EvacuatedZones returns the zones under evacuation, sorted by name.
 func (pl *Placer) EvacuatedZones() []core.Zone {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -66,7 +67,7 @@
 	return zones
 }
 
-// Open is the number of endpoints that neither drain nor are under evacuation.
+// Open returns how many endpoints are neither draining nor under evacuation.
 func (pl *Placer) Open() int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -79,10 +80,10 @@
 	return count
 }
 
-// complete tells whether nothing new may be sent to the zone.
+// complete reports whether no new calls may be sent to the zone.
 func (ev *evacuation) complete(now time.Time) bool { return ev != nil && !now.Before(ev.until) }
 
-// moved tells whether calls of that key have left the zone.
+// moved reports whether calls with the key have left the zone.
 func (ev *evacuation) moved(now time.Time, key uint64) bool {
 	if ev == nil {
 		return false
@@ -94,8 +95,8 @@
 	return float64(key) <= fraction*math.MaxUint64
 }
 
-// closedTo tells whether the endpoint gets no new calls like the one that is to be placed,
-// whatever its load.
+// closedTo reports whether the endpoint gets no new calls like the one to be placed, whatever its
+// load.
 func (ch *choice) closedTo(st *state) bool {
 	return st.Draining || st.evacuated != nil && st.evacuated.moved(ch.now, ch.chatKey)
 }
