--- a/core/place/backoff_test.go
+++ b/core/place/backoff_test.go
@@ -8,8 +8,8 @@
 	"almondrill/core/place"
 )
 
-// Guards against calls placed on endpoints that want none: the longest time that was asked for holds,
-// also when the registration lapses and comes back or a later start's arrives, and for no longer.
+// Guards against calls to endpoints that asked for none: the longest requested time applies, also
+// after the registration expires and returns or a later incarnation registers, and no longer.
 func TestBackoffLastsAsRequested(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
@@ -20,7 +20,7 @@
 	}
 	tk := held["e00"]
 	if !tk.RecordBackoff(begin, 3*time.Second) || tk.RecordBackoff(begin, time.Second) {
-		t.Error("the pause is not told as new once")
+		t.Error("RecordBackoff does not report the pause as new exactly once")
 	}
 	tk.Done(begin, place.Rejected)
 	refresh := func(at core.Incarnation) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// Guards against a refusal that does not tell when the first endpoint takes calls again, and
-// against endpoints that look dead being used though they want no calls.
+// Guards against a refusal that does not say when the first endpoint accepts calls again, and
+// against the use of endpoints that look dead although they accept no calls.
 func TestAllEndpointsBackOff(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
--- a/core/place/beginning_test.go
+++ b/core/place/beginning_test.go
@@ -8,11 +8,11 @@
 	"almondrill/core/place"
 )
 
-// cache is what an engine has read or taken over, by the hash of each part behind those
-// before it.
+// cache is what an engine has prefilled or fetched, by the hash of each part and all before it.
 type cache map[uint64]bool
 
-// missingTokens tells how many tokens of the prompt are not held, from the first that is missing on.
+// missingTokens returns how many tokens of the prompt are not cached, from the first missing part
+// on.
 func (ca cache) missingTokens(parts []place.Part) core.Tokens {
 	var missing core.Tokens
 	held := true
@@ -34,10 +34,10 @@
 	}
 }
 
-// Load pattern: 120 chats that begin in one of 30 ways return to nine engines through four
-// routers, none of them pressed. Each chat stays at its home, and what many begin with is
-// asked for on all engines. Read anew on each, it holds up the calls that run there: 20,400
-// tokens are read that another engine holds, and 7,800 if they are taken over.
+// Load pattern: 120 chats with one of 30 shared prefixes return to nine engines through four
+// routers, without pressure. Each chat stays at its home, and the shared prefixes are needed on all
+// engines. Prefilled again on each, they delay the calls that run there: 20,400 tokens are
+// prefilled that another engine has cached, against 7,800 if they are fetched.
 func TestSharedPrefixesAreFetchedNotPrefilled(t *testing.T) {
 	const routers, engines, chats, prefixes = 4, 9, 120, 30
 	var fleet []*place.Placer
@@ -70,7 +70,7 @@
 		here.add(parts)
 	}
 	if again > 9000 {
-		t.Errorf("%d tokens were read that another engine holds, want at most 9000", again)
+		t.Errorf("%d tokens were prefilled that another engine has cached, want at most 9000", again)
 	}
-	t.Logf("%d tokens were read that another engine holds", again)
+	t.Logf("%d tokens were prefilled that another engine has cached", again)
 }
--- a/core/place/cold_test.go
+++ b/core/place/cold_test.go
@@ -18,11 +18,11 @@
 	coldSlack = 5.0 // slack
 )
 
-// coldFleet is routers before one pool that share the limits of its cold endpoints, on virtual
-// time. It counts what endpoints are sent in every second.
+// coldFleet simulates routers with one pool that share the limits of its cold endpoints, on virtual
+// time. It counts what endpoints are sent within each second.
 type coldFleet struct {
 	routers []*place.Placer
-	// owners grant to the routers, by their numbers; a nil one does not answer.
+	// owners grant requests to the routers, by index. A nil owner does not respond.
 	owners       []*gauge.Table
 	rate         float64
 	now          time.Time
@@ -47,7 +47,7 @@
 	return cf
 }
 
-// makeCold makes an endpoint cold at all routers, as its registration tells.
+// makeCold registers an endpoint as cold at all routers.
 func (cf *coldFleet) makeCold(ix int) {
 	ep := endpoint(ix)
 	ep.ColdUntil = cf.now.Add(coldFor)
@@ -86,7 +86,7 @@
 	return granted
 }
 
-// send sends a call that waits, and ends it at once.
+// send sends a waiting call, and ends it at once.
 func (cf *coldFleet) send(ix int) {
 	tk := cf.waiting[ix]
 	cf.waiting = append(cf.waiting[:ix], cf.waiting[ix+1:]...)
@@ -111,9 +111,9 @@
 
 func (cf *coldFleet) bound() int { return int(cf.rate*overrun + coldSlack) }
 
-// Guards against more requests to a cold endpoint in a second than its bound, summed over all
-// routers: a third of the pool cold at once, a chat that much of the traffic is about, calls
-// that wait for their connections and are sent together.
+// Guards against exceeding the bound of a cold endpoint within a second, summed over all routers: a
+// third of the pool is cold at once, much of the traffic is about one chat, and calls that wait for
+// their connections are sent together.
 func TestColdEndpointsStayWithinTheirBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		routers := rapid.SampledFrom([]int{1, 2, 5, 26, 103}).Draw(rt, "routers")
@@ -137,17 +137,17 @@
 			}
 		}
 		if cf.maxPerSecond > cf.bound() {
-			rt.Fatalf("%d requests in a second before %d routers, at most %d allowed", cf.maxPerSecond, routers, cf.bound())
+			rt.Fatalf("%d requests in a second through %d routers, at most %d allowed", cf.maxPerSecond, routers, cf.bound())
 		}
 	})
 }
 
-// Guards against a bound that is broken where routers ask different keepers: a fleet that is cut
-// in two, keepers that change, routers that have all just started and are granted nothing.
+// Guards against exceeding the bound when routers ask different owners: in a network partition,
+// when owners change, and when all routers have just started and get no grants.
 func TestColdBoundHoldsWhenRoutersDisagreeOnOwners(t *testing.T) {
 	for _, rate := range []float64{1, 2, 3, 6, 18} {
 		for name, change := range map[string]func(cf *coldFleet, step int){
-			"cut in two": func(cf *coldFleet, step int) {
+			"network partition": func(cf *coldFleet, step int) {
 				other := &gauge.Table{}
 				for ix := range cf.owners {
 					if step == 0 && ix%2 == 0 {
@@ -155,7 +155,7 @@
 					}
 				}
 			},
-			"keepers change": func(cf *coldFleet, step int) {
+			"owners change": func(cf *coldFleet, step int) {
 				fresh := &gauge.Table{}
 				for ix := range cf.owners {
 					if step%120 == 60 {
@@ -191,8 +191,7 @@
 	}
 }
 
-// Guards against limits where there are none: a pool that declares no rate, and endpoints that
-// are warm.
+// Guards against limits where none apply: in a pool that declares no rate, and on warm endpoints.
 func TestNoLimitWithoutARateOrWhenWarm(t *testing.T) {
 	for name, on := range map[string]struct {
 		rate float64
@@ -211,8 +210,8 @@
 	}
 }
 
-// Guards against a pool whose endpoints are all cold and that serves nobody: it serves as many
-// as the routers together may send.
+// Guards against a pool that serves nobody because all its endpoints are cold: it serves as many
+// requests as the routers together may send.
 func TestEntirelyColdPoolServes(t *testing.T) {
 	const endpoints = 4
 	cf := newColdFleet(26, endpoints, 18)
@@ -230,14 +229,14 @@
 			served++
 		}
 	}
-	// Half of the bound of 32 requests a second.
+	// Half of the bound of 32 requests per second.
 	if least := endpoints * 16; served < least {
 		t.Errorf("%d served in a second, want %d", served, least)
 	}
 }
 
-// Guards against endpoints taken for warm that may have become cold unannounced: at the end of
-// an evacuation of their zone, and when one that could not be reached answers again.
+// Guards against treating endpoints as warm that may have become cold without announcing it: after
+// an evacuation of their zone, and after contact was lost and restored.
 func TestEndpointMayBeColdUnannounced(t *testing.T) {
 	for name, change := range map[string]func(pl *place.Placer, now time.Time, rq *place.Request){
 		"its zone was evacuated": func(pl *place.Placer, now time.Time, _ *place.Request) {
@@ -264,11 +263,11 @@
 			}
 		}
 		if sent > 2 {
-			t.Errorf("%s: %d requests at once, its rate is 2 a second", name, sent)
+			t.Errorf("%s: %d requests at once, the rate is 2 per second", name, sent)
 		}
 		cf.now = cf.now.Add(coldFor + time.Second)
 		if _, rf := pl.Pick(cf.now, rq); rf != nil {
-			t.Errorf("%s: refused once it is warm: %v", name, rf)
+			t.Errorf("%s: refused when the endpoint is warm: %v", name, rf)
 		}
 	}
 }
@@ -285,12 +284,12 @@
 		cf.send(0)
 	}
 	if got := len(cf.sent["e00"]); got != 0 {
-		t.Errorf("%d requests were sent that were not granted", got)
+		t.Errorf("%d requests were sent without a grant", got)
 	}
 }
 
-// Guards against a record of prompts that were not sent: a call that is denied leaves no trace,
-// and the next goes for the prompt where it is.
+// Guards against cache models that contain prompts that were never sent: a denied call leaves no
+// entry, and the next choice uses the prompt's real location.
 func TestDeniedCallLeavesNoRecord(t *testing.T) {
 	cf := newColdFleet(1, 4, 1)
 	pl := cf.routers[0]
@@ -304,6 +303,6 @@
 		tk.Deny(cf.now, time.Second)
 	}
 	if got := pl.IndexEntries(); got != 0 {
-		t.Errorf("%d parts are recorded as sent", got)
+		t.Errorf("the cache models contain %d parts, want none", got)
 	}
 }
--- a/core/place/counts_test.go
+++ b/core/place/counts_test.go
@@ -10,14 +10,14 @@
 	"almondrill/core/ring"
 )
 
-// crowd is the load of a stage's start: calls double for four seconds, and at each moment a
-// few chats are asked some thirty times, as a runner comes into sight.
+// crowd simulates the start of a stage: calls double for four seconds, and at each moment a few
+// chats get some thirty calls each, as when a runner comes into sight.
 func crowd(seed uint64, routers, reportSteps int, kept counts) *surge {
 	const (
 		engines, places, runs = 45, 16, 57
 		usual                 = 5.0 * engines / runs
 		chats                 = 20 * engines
-		// popular chats get a sixth of the calls, each for the steps of a moment.
+		// popular chats get a sixth of the calls, each for moment steps.
 		popular, moment = 3, 60
 	)
 	su := newSurge(routers, engines, places, runs)
@@ -37,14 +37,15 @@
 	return su
 }
 
-// A stage starts, and for some seconds twice as many spectators ask. A popular runner's chats
-// share a home; each of many routers sees its own few calls there and those that the
-// others had most of a second ago. The engine gets twice as many calls as it has places,
-// and they wait behind each other, though others have places free. Asked before the choice,
-// the router that keeps the engine's count tells how many it has.
+// Guards against overloaded homes of popular chats: at the start of a stage twice as many
+// spectators ask for some seconds, and a popular runner's chats share a home. Each of many routers
+// sees its own few calls there and those that its peers had most of a second ago, so that the
+// engine gets twice as many calls as it has slots, and they queue while other engines have free
+// slots. Asked before the choice, the router that owns the engine's count reports how many calls it
+// has.
 func TestPopularHomesAreNotOverrun(t *testing.T) {
 	const (
-		many, rarely = 50, 80 // each hears the others every 0.8 s
+		many, rarely = 50, 80 // each receives the others' reports every 0.8 s
 		few, often   = 12, 20
 		seeds        = 3
 	)
@@ -57,51 +58,52 @@
 		refused += byCounts.lost - byPeers.lost
 		small += crowd(seed, few, often, nil).late
 	}
-	t.Logf("late of %d: %d by what peers told, %d by the counts; %d among few routers", all, told, asked, small)
-	// The counts of late callers are random: two deviations of their difference are allowed.
+	t.Logf("late of %d: %d by load reports, %d by counts; %d among few routers", all, told, asked, small)
+	// The numbers of late callers are random: two deviations of their difference are allowed.
 	if spread := 2 * math.Sqrt(float64(asked+small)); float64(asked) > float64(small)+spread {
 		t.Errorf("%d callers are late among many routers, want no more than the %d among few", asked, small)
 	}
 	if told <= small {
-		t.Error("what peers tell is good enough among many routers: the load shows nothing")
+		t.Error("load reports suffice among many routers: the load does not test counts")
 	}
 	if refused > 0 {
-		t.Errorf("%d callers more are refused where counts are asked", refused)
+		t.Errorf("%d more callers are refused if counts are requested", refused)
 	}
 }
 
-// A router that shares its engines asks for a count that may have changed since it heard of
-// it, and not for one of this moment. One that is alone knows all calls itself.
+// Guards against needless and missing requests for counts: a router that shares its engines
+// requests a count that may have changed since it was received, but not a current one. A single
+// router knows all calls itself.
 func TestNeedsCountWhenStale(t *testing.T) {
 	alone, shared := newPlacer(1), newPlacer(2)
 	register(alone, 1)
 	register(shared, 1)
 	for _, pl := range []*place.Placer{alone, shared} {
 		if _, uncertain := pl.NeedsCount(begin, newRequest(nil)); uncertain {
-			t.Error("a count is asked for in a pool that is idle")
+			t.Error("a count is requested in an idle pool")
 		}
 		for range 12 {
 			pick(t, pl, begin, newRequest(nil))
 		}
 	}
 	if _, uncertain := alone.NeedsCount(begin, newRequest(nil)); uncertain {
-		t.Error("a router that is alone asks for a count")
+		t.Error("a single router requests a count")
 	}
 	endpoint, uncertain := shared.NeedsCount(begin, newRequest(nil))
 	if !uncertain || endpoint != place.EndpointHash("e00", 0) {
-		t.Fatal("a count that was never heard is not asked for")
+		t.Fatal("an unknown count is not requested")
 	}
 	shared.ApplyCount(begin, endpoint, 5)
 	if _, uncertain = shared.NeedsCount(begin.Add(10*time.Millisecond), newRequest(nil)); uncertain {
-		t.Error("a count of this moment is asked for")
+		t.Error("a current count is requested")
 	}
 	if _, uncertain = shared.NeedsCount(begin.Add(200*time.Millisecond), newRequest(nil)); !uncertain {
-		t.Error("a count of 200 ms ago is not asked for")
+		t.Error("a count of 200 ms ago is not requested again")
 	}
 }
 
-// Peers told of calls that have ended since. The engine's own count of a moment ago goes
-// before them, or the chat leaves a home that has room.
+// Guards against a chat that leaves a home with free capacity: peers reported calls that have ended
+// since, so that the engine's own recent count takes precedence.
 func TestFreshCountOverridesLoadReports(t *testing.T) {
 	pl, peer := newPlacer(2), newPlacer(2)
 	register(pl, 1)
@@ -112,9 +114,9 @@
 	pl.ApplyLoadReport(begin, "peer", peer.LoadReport())
 	pl.ApplyCount(begin.Add(time.Millisecond), place.EndpointHash(endpoint(0).ID, 0), 1)
 	if tk := pick(t, pl, begin.Add(2*time.Millisecond), newRequest(nil)); tk.PeerCalls != 1 {
-		t.Errorf("%d calls of others are believed, want the 1 that the endpoint counted", tk.PeerCalls)
+		t.Errorf("%d calls of peers, want the 1 that the endpoint counted", tk.PeerCalls)
 	}
 	if tk := pick(t, pl, begin.Add(time.Second), newRequest(nil)); tk.PeerCalls != 3 {
-		t.Errorf("%d calls of others are believed a second later, want the 3 that were told", tk.PeerCalls)
+		t.Errorf("%d calls of peers a second later, want the 3 that were reported", tk.PeerCalls)
 	}
 }
--- a/core/place/failing_test.go
+++ b/core/place/failing_test.go
@@ -8,12 +8,12 @@
 	"almondrill/core/place"
 )
 
-// plainRequest is a request to a plain service.
+// plainRequest returns a request to a plain service.
 func plainRequest() *place.Request { return &place.Request{Pool: pool, MaxConns: 200} }
 
-// Guards against requests that are failed by an endpoint that fails all it gets, while the other
-// is busy: of two endpoints of a plain service, before 26 routers, one breaks connections off, and
-// the other, which has as much as it can run, answers after 120 ms.
+// Guards against calls to an endpoint that fails all of them while the other is busy: of two
+// endpoints of a plain service behind 26 routers, one breaks connections off, and the other is
+// fully loaded and responds after 120 ms.
 func TestEndpointFailingEveryCallIsSkipped(t *testing.T) {
 	const routers, answerSteps = 26, 12
 	re := newReplay(routers, 2)
@@ -43,16 +43,16 @@
 		}
 		re.tick()
 	}
-	// Two before each router knows, and a trial a second of each.
+	// Two before each router knows, and one trial per second for each.
 	if most := routers * (2 + 5); failed > most {
-		t.Errorf("%d requests were failed by the endpoint that fails all, at most %d are needed to know it; %d served by the other", failed, most, served)
+		t.Errorf("the endpoint failed %d requests, want at most the %d that are needed to detect it; the other served %d", failed, most, served)
 	}
 	if served < 700 {
 		t.Errorf("%d requests served in 5 s", served)
 	}
 }
 
-// Guards against an endpoint that stays passed over once it is well again.
+// Guards against an endpoint that is still skipped after it has recovered.
 func TestEndpointThatFailedEveryCallIsRetried(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
@@ -64,7 +64,7 @@
 		if tk.Endpoint.ID == "e00" {
 			tk.Done(begin, place.Failed)
 			failed++
-		} // the others stay in progress, so that it is chosen again
+		} // the others stay in progress, so that e00 is chosen again
 	}
 	seen := map[core.EndpointID]bool{}
 	for step := range 400 {
@@ -78,6 +78,6 @@
 		tk.Done(now, place.Served)
 	}
 	if !seen["e00"] {
-		t.Error("it gets nothing for 4 s")
+		t.Error("the recovered endpoint gets no calls for 4 s")
 	}
 }
--- a/core/place/fleet_test.go
+++ b/core/place/fleet_test.go
@@ -6,15 +6,16 @@
 	"almondrill/core/gauge"
 )
 
-// callerShares is how a load's callers fared, as parts of all of them.
+// callerShares holds the fractions of callers by outcome.
 type callerShares struct{ inTime, late, lost float64 }
 
-// playLoad plays a load of that multiple of what 60 engines of 16 places can run, for 5 s after a calm
-// beginning, before so many routers that each hear each other once in so many steps.
+// playLoad simulates a load, as a multiple of what 60 engines with 16 slots can run, for 5 s after
+// a calm start, with the given number of routers that each receive each other's reports at the
+// given interval in steps.
 func playLoad(routers, reportSteps int, load float64) callerShares {
 	const (
 		engines, places, runs = 60, 16, 130
-		capacity              = engines * places / float64(runs) // calls a step
+		capacity              = engines * places / float64(runs) // calls per step
 		seeds                 = 2
 	)
 	var all, inTime, late, lost float64
@@ -32,10 +33,10 @@
 	return callerShares{inTime / all, late / all, lost / all}
 }
 
-// Load pattern: a pool is asked for 0.7 to 0.9 times what it can run, through many routers. Each has
-// few calls at each engine, and learns from them how long one has to wait there. Where it takes a
-// wait for short until it knows better, calls wait at engines that are full while others have places:
-// of a load of 0.7, 0.08 of the callers come late through 25 routers, and 0.01 through 4.
+// Load pattern: the load of a pool is 0.7 to 0.9 times its capacity, through many routers. Each
+// router has few calls at each engine, from which it learns how long calls wait there. If it
+// assumes short waits until it knows better, calls queue at full engines while others have free
+// slots: at a load of 0.7, 0.08 of the callers are late with 25 routers, and 0.01 with 4.
 func TestManyRoutersLearnQueueTimes(t *testing.T) {
 	for _, ca := range []struct {
 		routers, tellSteps int
--- a/core/place/heavy_test.go
+++ b/core/place/heavy_test.go
@@ -9,14 +9,15 @@
 	"almondrill/core/place"
 )
 
-// A pool is nearly full. Each of hundreds of routers has some twenty calls of forty customers
-// that all send alike, so that one has two or three calls by chance. Taken for a customer that
-// floods the pool, it is refused while others get the last places.
+// Guards against refusing ordinary customers: a pool is nearly full, and each of hundreds of
+// routers has some twenty calls of forty customers with equal loads, so that a customer has two or
+// three calls by chance. Mistaken for one that floods the pool, it is refused while others get the
+// last slots.
 func TestSmallSamplesMakeNoCustomerHeavy(t *testing.T) {
 	const (
 		routers, customers = 400, 40
 		engines, slots     = 100, 16
-		// otherCalls are what peers have, 0.95 of the places with the own 20.
+		// otherCalls are the calls of peers. With the own 20 they take 0.95 of the slots.
 		own, otherCalls = 20, 1500
 	)
 	ra := newRand(1)
@@ -35,7 +36,7 @@
 				t.Fatal(rf)
 			}
 		}
-		// The pool has 1,680 calls by now, 1.05 of its places: heavy customers get 0.99.
+		// The pool has 1,680 calls by now, 1.05 of its slots: heavy customers get 0.99.
 		for ix := range engines {
 			pl.ApplyCount(begin.Add(1), place.EndpointHash(endpoint(ix).ID, 0), 16+ix%5/4)
 		}
@@ -47,10 +48,10 @@
 		}
 		tk.Done(begin.Add(2), place.Served)
 	}
-	// One in forty may be: three deviations above that are chance.
+	// One in forty may be refused: up to three deviations above that are chance.
 	most := asked/customers + int(3*math.Sqrt(float64(asked)/customers))
 	if refused > most {
-		t.Errorf("%d of %d calls of customers that send alike were refused, want at most %d", refused, asked, most)
+		t.Errorf("%d of %d calls of customers with equal loads were refused, want at most %d", refused, asked, most)
 	}
 }
 
--- a/core/place/leaves_test.go
+++ b/core/place/leaves_test.go
@@ -8,8 +8,8 @@
 	"almondrill/core/place"
 )
 
-// Guards against an endpoint that gets calls again after it has drained, as its registration of before is
-// back from a copy of the store.
+// Guards against calls to an endpoint that was draining, when its earlier registration returns from
+// a copy of the store.
 func TestDrainingSurvivesReregistration(t *testing.T) {
 	for _, at := range []core.Incarnation{0, 100} {
 		pl := newPlacer(1)
@@ -18,13 +18,14 @@
 		pl.Remove("e00")
 		pl.Register(begin, withIncarnation(0, at))
 		if _, rf := pl.Pick(begin, newRequest(chat(1, 3))); rf == nil {
-			t.Errorf("start %d: a call was placed on an endpoint that had drained", at)
+			t.Errorf("incarnation %d: a call was placed on an endpoint that had been draining", at)
 		}
 	}
 }
 
-// Guards against an announcement that is taken for an earlier start's alone: the endpoint crashed and was
-// reached again, so that the later start, whose registration comes afterwards, may have made it.
+// Guards against attributing an announced shutdown to an earlier incarnation only: the endpoint
+// crashed and was reached again, so that the later incarnation, which registers afterwards, may
+// have announced it.
 func TestShutdownOfAnUnregisteredIncarnation(t *testing.T) {
 	for name, lost := range map[string]bool{"reached again": true, "never lost": false} {
 		pl := newPlacer(1)
@@ -42,16 +43,16 @@
 		tk.Done(again, place.Served)
 		pl.Register(again, withIncarnation(0, 200))
 		if _, rf := pl.Pick(again.Add(4*time.Second), newRequest(chat(1, 1))); (rf != nil) != lost {
-			t.Errorf("%s: %v four seconds after", name, rf)
+			t.Errorf("%s: refusal four seconds after the shutdown: %v", name, rf)
 		}
 		if _, rf := pl.Pick(again.Add(6*time.Second), newRequest(chat(1, 1))); rf != nil {
-			t.Errorf("%s: the later start stays unused: %v", name, rf)
+			t.Errorf("%s: the later incarnation stays unused: %v", name, rf)
 		}
 	}
 }
 
-// Guards against an endpoint that gets calls again after it has announced that it leaves, as its
-// registration lapses and comes back, before or after the announcement.
+// Guards against calls to an endpoint that announced its shutdown, when its registration expires
+// and returns before or after the announcement.
 func TestAnnouncedShutdownSurvivesReregistration(t *testing.T) {
 	for _, at := range []core.Incarnation{0, 100} {
 		pl := newPlacer(1)
@@ -62,22 +63,22 @@
 		pl.Remove(leaving.ID)
 		pl.Register(begin, leaving)
 		if !tk.RecordShutdown(begin) || tk.RecordShutdown(begin) {
-			t.Error("the announcement is not told as new once")
+			t.Error("RecordShutdown does not report the shutdown as new exactly once")
 		}
 		if late.BeforeSend(begin) != core.ReasonDraining {
-			t.Error("a call chosen before may be sent")
+			t.Error("a call placed before the shutdown may be sent")
 		}
 		if _, rf := pl.Pick(begin, newRequest(chat(1, 3))); rf == nil {
-			t.Errorf("start %d: a call was placed after the announcement", at)
+			t.Errorf("incarnation %d: a call was placed after the announcement", at)
 		}
 		pl.Remove(leaving.ID)
 		pl.Register(begin, leaving)
 		if _, rf := pl.Pick(begin, newRequest(chat(1, 3))); rf == nil {
-			t.Errorf("start %d: a call was placed once the registration was back", at)
+			t.Errorf("incarnation %d: a call was placed when the registration was back", at)
 		}
 		pl.Register(begin, withIncarnation(0, 200))
 		if tk := pick(t, pl, begin, newRequest(chat(1, 3))); tk.Endpoint.Incarnation != 200 {
-			t.Errorf("start %d: a later start is not used", at)
+			t.Errorf("incarnation %d: a later incarnation is not used", at)
 		}
 		tk.Done(begin, place.Served)
 	}
--- a/core/place/load_test.go
+++ b/core/place/load_test.go
@@ -9,17 +9,16 @@
 	"almondrill/core/place"
 )
 
-// replay plays a load before routers that tell each other of their calls, on
-// virtual time.
+// replay simulates a load on routers that exchange load reports, on virtual time.
 type replay struct {
 	routers []*place.Placer
 	count   int
 	calls   map[core.EndpointID]int
 	ending  map[int][]*place.Ticket // by step
 	step    int
-	// beyondCap counts placements beyond the cap, and away those elsewhere than at home, of placed
-	// ones; read the prompt tokens that an endpoint read though another had them, of those
-	// sent.
+	// Of the placed calls, beyondCap exceeded the load cap and awayFromHome were not at their home.
+	// Of the sent prompt tokens, prefilledAgain were prefilled although another endpoint had them
+	// cached.
 	placed, beyondCap, awayFromHome int
 	prefilledAgain, sent            core.Tokens
 	cached                          map[string]bool
@@ -27,7 +26,8 @@
 
 const (
 	stepTime = 10 * time.Millisecond
-	// reportSteps is how often, in steps, each router is heard: 0.4 s, as with 26 routers.
+	// reportSteps is the interval, in steps, between load reports of a router: 0.4 s, as with 26
+	// routers.
 	reportSteps = 40
 )
 
@@ -45,7 +45,7 @@
 
 func (re *replay) now() time.Time { return begin.Add(time.Duration(re.step) * stepTime) }
 
-// place sends one call through a router; it runs for so many steps.
+// place sends one call through a router; it runs for the given number of steps.
 func (re *replay) place(t *testing.T, router int, parts []place.Part, steps int) {
 	t.Helper()
 	tk := pick(t, re.routers[router], re.now(), newRequest(parts))
@@ -66,7 +66,8 @@
 	re.ending[re.step+steps] = append(re.ending[re.step+steps], tk)
 }
 
-// recordPrefill counts what the endpoint has to read, unless it fetches it from a holder.
+// recordPrefill counts the tokens that the endpoint has to prefill, unless it fetches them from a
+// holder.
 func (re *replay) recordPrefill(tk *place.Ticket, parts []place.Part) {
 	for ix, pa := range parts[:len(parts)-1] {
 		re.sent += pa.Tokens
@@ -80,7 +81,7 @@
 	}
 }
 
-// tick ends the calls that are due, and lets some routers tell.
+// tick ends the calls that are due, and sends the load reports that are due.
 func (re *replay) tick() {
 	re.step++
 	for _, tk := range re.ending[re.step] {
@@ -102,14 +103,14 @@
 	}
 }
 
-// Load comes at once, as when a stage starts: 26 routers before 47 engines, each with
-// a picture of its peers' calls that is up to 0.4 s old. Popular chats share homes.
-// Callers whose home is hot would see tokens come late while other engines idle.
+// Guards against late tokens at hot homes while other engines are idle: the load arrives at once,
+// as when a stage starts, through 26 routers to 47 engines. What each router knows of its peers'
+// calls is up to 0.4 s old, and popular chats share homes.
 func TestSurgeStaysWithinTheLoadCap(t *testing.T) {
 	re := newReplay(26, 47)
 	ra := newRand(3)
 	for re.step < 500 {
-		// 300 long calls a second that run for 1.5 s, skewed towards some chats.
+		// 300 long calls per second, each running for 1.5 s, skewed towards some chats.
 		for range 3 {
 			id := uint64(ra.Float64() * ra.Float64() * 206)
 			re.place(t, ra.IntN(26), chat(id%3, id), 150)
@@ -117,16 +118,16 @@
 		re.tick()
 	}
 	if part := float64(re.beyondCap) / float64(re.placed); part > 0.03 {
-		t.Errorf("%.3f of %d calls went beyond the cap, want at most 0.03", part, re.placed)
+		t.Errorf("%.3f of %d calls exceeded the load cap, want at most 0.03", part, re.placed)
 	}
 	if part := float64(re.prefilledAgain) / float64(re.sent); part > 0.05 {
-		t.Errorf("%.3f of the tokens that return were read anew, want at most 0.05", part)
+		t.Errorf("%.3f of the returning tokens were prefilled again, want at most 0.05", part)
 	}
 }
 
-// Three kinds of chats, of which each begins in one of a few ways, come at the rate of a
-// calm day. Callers of short prompts would wait behind the contexts that move, if those
-// that begin alike were kept together: a few engines are then at the cap all the time.
+// Guards against keeping chats with a common prefix together, which would hold a few engines at the
+// load cap all the time, and short prompts would wait behind contexts that move. The load has three
+// kinds of chats, each with a few shared prefixes, at the rate of a calm day.
 func TestChatsWithSharedPrefixesStayAtHome(t *testing.T) {
 	re := newReplay(26, 47)
 	ra := newRand(6)
@@ -158,8 +159,9 @@
 	}
 }
 
-// A tenth of a chat's peers ask about one thing. Its home fills; the overflow goes
-// to the same few further homes from all routers, and fetches what the first has.
+// Guards against a hot chat that is prefilled on many endpoints: a tenth of the requests are about
+// one thing and fill its home. All routers send the overflow to the same few further homes, which
+// fetch the context from the first.
 func TestHotChatSpreadsToFewEndpoints(t *testing.T) {
 	re := newReplay(4, 12)
 	ra := newRand(4)
@@ -174,15 +176,15 @@
 		re.tick()
 	}
 	if part := float64(re.beyondCap) / float64(re.placed); part > 0.03 {
-		t.Errorf("%.3f of %d calls went beyond the cap", part, re.placed)
+		t.Errorf("%.3f of %d calls exceeded the load cap", part, re.placed)
 	}
 	if part := float64(re.prefilledAgain) / float64(re.sent); part > 0.1 {
-		t.Errorf("%.3f of the tokens that return were read anew, want at most 0.1", part)
+		t.Errorf("%.3f of the returning tokens were prefilled again, want at most 0.1", part)
 	}
 }
 
-// Engines are replaced one after the other. Chats of those that leave are to be taken
-// over from them, not read anew.
+// Guards against prefilling contexts again when engines are replaced one after the other: chats of
+// draining engines are fetched from them.
 func TestReplacedEnginesTransferTheirChats(t *testing.T) {
 	re := newReplay(4, 12)
 	ra := newRand(5)
@@ -205,14 +207,14 @@
 		}
 		re.tick()
 	}
-	// A third of the engines left; without a source, a third of 52 chats were read.
+	// A third of the engines left; without a source, a third of 52 chats were prefilled again.
 	if anew := re.prefilledAgain - before; anew > 60000 {
-		t.Errorf("%d tokens were read anew, want at most 60,000 of some 180,000", anew)
+		t.Errorf("%d tokens were prefilled again, want at most 60,000 of some 180,000", anew)
 	}
 }
 
-// Everybody asks about one thing, and engines of the pool cannot take contexts over, so
-// moving a call means reading 10,000 tokens. Its home must not be buried all the same.
+// Guards against an overloaded home where moving is expensive: all requests are about one thing,
+// and the engines cannot fetch, so that moving a call means prefilling 10,000 tokens.
 func TestLoadCapHoldsWhereMovingIsExpensive(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 10)
@@ -228,8 +230,9 @@
 	}
 }
 
-// An engine has twice its pool's mean of calls, still below the cap. Small chats leave
-// it, at the price of a step or two; large ones stay, as they are dear to move.
+// Guards against moving large chats first: an engine has twice its pool's mean of calls, still
+// below the load cap. Small chats leave at the price of a step or two, and large ones, which are
+// expensive to move, stay.
 func TestSmallChatsMoveFirstUnderPressure(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 8)
@@ -255,11 +258,11 @@
 		t.Error("a small chat stays at an engine under pressure")
 	}
 	if tk := pick(t, pl, begin, newRequest(big)); tk.Endpoint.ID != home {
-		t.Error("a large chat leaves its engine though there is room")
+		t.Error("a large chat leaves its engine although it has free capacity")
 	}
 }
 
-// smallChatAt finds a small chat whose home is that endpoint.
+// smallChatAt finds a small chat whose home is the endpoint.
 func smallChatAt(t *testing.T, pl *place.Placer, home core.EndpointID) []place.Part {
 	t.Helper()
 	for id := range uint64(200) {
@@ -272,9 +275,9 @@
 	return nil
 }
 
-// Two thirds of a pool crash at once while it has a sixth of the calls that it can run.
-// The engines that are left have room for all of them, and callers are not to be refused
-// because the dead ones, which have none, pull the pool's mean down.
+// Guards against refusals caused by dead engines: two thirds of a pool crash at once, at a sixth of
+// its capacity. The remaining engines can run all calls, but dead ones, which have no calls, would
+// lower the pool's mean.
 func TestRemainingEnginesTakeAllCalls(t *testing.T) {
 	const engines, dead, calls = 9, 6, 90
 	pl := newPlacer(1)
@@ -303,6 +306,6 @@
 		}
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d callers were refused or sent to dead engines, while those that are left run %v of 48 each", lost, calls, busiest)
+		t.Errorf("%d of %d callers were refused or sent to dead engines, while the remaining ones run %v of 48 each", lost, calls, busiest)
 	}
 }
--- a/core/place/lost_test.go
+++ b/core/place/lost_test.go
@@ -8,9 +8,9 @@
 	"almondrill/core/place"
 )
 
-// A part of a pool crashes. A router that has sent chats there has not found out, and names the
-// dead engines as those from which others are to take the chats over: each caller waits 0.3 s for
-// a fetch that cannot come. Told by its peers, it names others or none.
+// Guards against fetches from dead engines: a part of a pool crashes, and a router that has sent
+// chats there names them as sources, so that each caller waits 0.3 s for a fetch that cannot
+// succeed. After reports of its peers, the router names other sources or none.
 func TestNothingIsFetchedFromAnUnreachableEngine(t *testing.T) {
 	pl := newPlacer(100)
 	register(pl, 6)
@@ -35,15 +35,15 @@
 		tk.Done(later, place.Served)
 	}
 	if named > 0 || sent > 0 {
-		t.Errorf("the lost engine was named as a source %d times and sent %d calls", named, sent)
+		t.Errorf("the unreachable engine was named as a source %d times and sent %d calls", named, sent)
 	}
 	if tk := pick(t, pl, later.Add(2*time.Second), newRequest(chat(1, 0))); tk.Endpoint.ID != homes[0] {
-		t.Error("a chat does not return to its home once nobody says that it is down")
+		t.Error("a chat does not return to its home when the reports have expired")
 	}
 }
 
-// Two routers that are cut off tell that all engines are down. The others must not refuse
-// their callers for it, nor leave an engine that has just answered them.
+// Guards against false reports: two partitioned routers report that all engines are down. The
+// others must neither refuse calls nor leave an engine that has just responded to them.
 func TestWrongReportOfUnreachableEngines(t *testing.T) {
 	pl := newPlacer(100)
 	register(pl, 3)
@@ -55,6 +55,6 @@
 		pl.MarkUnreachable(begin.Add(time.Millisecond), place.EndpointHash(endpoint(ix).ID, 0), place.UnreachableTTL)
 	}
 	if tk := pick(t, pl, begin.Add(2*time.Millisecond), newRequest(chat(1, 1))); tk.Endpoint.ID != home.Endpoint.ID {
-		t.Error("an engine that has just answered is left, as peers say that it is down")
+		t.Error("a chat left an engine that has just responded, because peers reported it down")
 	}
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -34,8 +34,7 @@
 	}
 }
 
-// chat is the prompt of a chat: a beginning that it shares, what it has said so far,
-// and the new turn.
+// chat returns the prompt of a chat: a shared prefix, the conversation so far, and the new turn.
 func chat(prefix, id uint64) []place.Part {
 	return []place.Part{{Hash: prefix, Tokens: 500}, {Hash: 1000 + id, Tokens: 10000}, {Hash: 1 << 40, Tokens: 1000}}
 }
@@ -53,7 +52,7 @@
 	return tk
 }
 
-// serve places a call and ends it well.
+// serve places a call and ends it successfully.
 func serve(t *testing.T, pl *place.Placer, now time.Time, rq *place.Request) *place.Ticket {
 	t.Helper()
 	tk := pick(t, pl, now, rq)
@@ -62,8 +61,8 @@
 	return tk
 }
 
-// An endpoint says that it drains, and a lagging copy of its registration says ready
-// once more. Callers whose request is sent there would see it cut when it exits.
+// Guards against calls cut off by an exiting endpoint: it announces that it is draining, and then
+// an outdated copy of its registration says that it is ready.
 func TestDrainingEndpointGetsNoCalls(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
@@ -78,20 +77,20 @@
 	}
 	pl.Remove("e01")
 	if _, re := pl.Pick(begin, newRequest(chat(1, 1))); re == nil || re.Outcome != core.NotRun || re.RetryAfter <= 0 {
-		t.Errorf("with only a draining endpoint: %v, want a refusal with a time to return", re)
+		t.Errorf("with only a draining endpoint: %v, want a refusal with a retry delay", re)
 	}
 }
 
-// The store was away and the registrations of some endpoints lapsed; one of them has
-// really left. Requests sent to it come back refused or late. Where all registrations
-// lapsed, the pool would seem empty and everything would be refused.
+// Guards against calls to an endpoint that is gone, and against an apparently empty pool: the store
+// was unavailable and registrations expired. Requests to the endpoint that really left fail or come
+// back late. If all registrations expired, an empty pool would refuse everything.
 func TestMissingRegistrationDoesNotEmptyThePool(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 3)
 	pl.MarkMissing("e00")
 	for id := range uint64(50) {
 		if tk := serve(t, pl, begin, newRequest(chat(1, id))); tk.Endpoint.ID == "e00" {
-			t.Fatal("an endpoint whose registration is missing was picked while others are there")
+			t.Fatal("an endpoint whose registration is missing was picked although there are others")
 		}
 	}
 	pl.MarkMissing("e01")
@@ -105,8 +104,8 @@
 	}
 }
 
-// A machine loses power: its connections stay open and nothing comes any more. Each
-// request sent there is lost after seconds, so no more are to follow the first ones.
+// Guards against further calls to a dead machine: after a power failure its connections stay open
+// and nothing arrives, so that each request sent there is lost after seconds.
 func TestSilentEndpointIsAvoided(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 3)
@@ -125,12 +124,12 @@
 		}
 	}
 	if back == 0 {
-		t.Error("an endpoint that was heard again gets nothing")
+		t.Error("an endpoint that responded again gets no calls")
 	}
 }
 
-// An endpoint refuses connections while it restarts. It is tried again after a pause
-// that grows, by one call at a time.
+// Guards against many calls to an endpoint that may still be down: it refuses connections while it
+// restarts, and is tried again with one call at a time after a growing pause.
 func TestUnreachableEndpointIsProbedByOneCall(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
@@ -138,7 +137,7 @@
 	home.Done(begin, place.Unreachable)
 	other := serve(t, pl, begin.Add(100*time.Millisecond), newRequest(chat(1, 7)))
 	if other.Endpoint.ID == home.Endpoint.ID {
-		t.Fatal("picked again at once")
+		t.Fatal("the unreachable endpoint was picked again at once")
 	}
 	later := begin.Add(10 * time.Second)
 	trials := 0
@@ -148,12 +147,12 @@
 		}
 	}
 	if trials > 1 {
-		t.Errorf("%d calls at a time were sent to an endpoint that may still be down", trials)
+		t.Errorf("%d concurrent calls were sent to an endpoint that may still be down", trials)
 	}
 }
 
-// One endpoint fails 45 of 100 requests while its health check is good. Callers see
-// failures until others get its work; if all endpoints fail alike, none is better.
+// Guards against calls to an endpoint that fails 45 of 100 requests while its health check
+// succeeds. If all endpoints fail alike, none is better.
 func TestFailingEndpointIsAvoidedUnlessAllFail(t *testing.T) {
 	share := func(failing int) float64 {
 		pl := newPlacer(1)
@@ -179,12 +178,12 @@
 		t.Errorf("the failing endpoint got %.2f of the calls", got)
 	}
 	if got := share(4); got < 0.1 {
-		t.Errorf("where all fail, one got only %.2f of the calls", got)
+		t.Errorf("if all fail, one got only %.2f of the calls", got)
 	}
 }
 
-// Routers that never talked send a returning chat to the same endpoint; when an
-// endpoint joins, only its own part of the chats gets another home.
+// Guards against chats without a common home: routers that never exchanged messages send a chat to
+// the same endpoint. When an endpoint joins, only its own share of the chats moves.
 func TestRoutersAgreeOnHomes(t *testing.T) {
 	one, two := newPlacer(2), newPlacer(2)
 	register(one, 12)
@@ -193,7 +192,7 @@
 	for id := range uint64(200) {
 		homes[id] = serve(t, one, begin, newRequest(chat(id%3, id))).Endpoint.ID
 		if got := serve(t, two, begin, newRequest(chat(id%3, id))).Endpoint.ID; got != homes[id] {
-			t.Errorf("chat %d: %s and %s", id, homes[id], got)
+			t.Errorf("chat %d: the routers chose %s and %s", id, homes[id], got)
 		}
 	}
 	fresh := newPlacer(2)
@@ -205,12 +204,12 @@
 		}
 	}
 	if moved > 40 {
-		t.Errorf("%d of 200 homes moved when a thirteenth endpoint came", moved)
+		t.Errorf("%d of 200 homes moved when a thirteenth endpoint joined", moved)
 	}
 }
 
-// A chat's home leaves. The next endpoint is to take its context over from there,
-// which takes some 10 ms, instead of reading 10,000 tokens anew, which takes 86.
+// Guards against prefilling a context again when a chat's home is draining: the next endpoint can
+// fetch the context from there, which takes some 10 ms, while prefilling 10,000 tokens takes 86 ms.
 func TestMovedChatNamesItsHolder(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 6)
@@ -225,13 +224,12 @@
 	rq := newRequest(chat(1, 7))
 	rq.FetchTokensPerMs = 0
 	if tk := serve(t, pl, begin, rq); tk.FetchFrom != "" {
-		t.Error("a source is named though engines of the pool hand nothing on")
+		t.Error("a source is named although engines of the pool cannot fetch")
 	}
 }
 
-// A router has seen a beginning that many chats share at one endpoint, and never the
-// chat itself, which a peer has moved to another. The record of the beginning must
-// not hide where the chat is.
+// Guards against a shared prefix that hides where a chat is cached: a router has sent the prefix to
+// one endpoint, but never the chat, which a peer has moved to another.
 func TestSharedPrefixDoesNotHideTheChat(t *testing.T) {
 	one, two := newPlacer(2), newPlacer(2)
 	register(one, 6)
@@ -252,8 +250,8 @@
 	}
 }
 
-// An engine counts its calls in each answer; the count is brought forward by the own
-// calls since, and passed on to peers with its age.
+// Guards against stale load readings: an engine reports its calls with each response; the count is
+// adjusted by the router's own calls since, and sent to peers with its age.
 func TestReadingsAreSharedAndExpire(t *testing.T) {
 	one, two := newPlacer(2), newPlacer(2)
 	register(one, 1)
@@ -263,20 +261,20 @@
 	two.ApplyReadings(begin.Add(100*time.Millisecond), time.Millisecond, one.Readings(begin.Add(100*time.Millisecond)))
 	own := pick(t, two, begin.Add(200*time.Millisecond), newRequest(chat(1, 2)))
 	if own.OwnCalls != 0 || own.PeerCalls != 9 {
-		t.Errorf("own %d, others %d; want 0 and the 9 that the engine counted", own.OwnCalls, own.PeerCalls)
+		t.Errorf("own %d, peers %d; want 0 and the 9 that the engine counted", own.OwnCalls, own.PeerCalls)
 	}
 	next := pick(t, two, begin.Add(200*time.Millisecond), newRequest(chat(1, 3)))
 	if next.OwnCalls != 1 || next.PeerCalls != 9 {
-		t.Errorf("own %d, others %d; want 1 and 9", next.OwnCalls, next.PeerCalls)
+		t.Errorf("own %d, peers %d; want 1 and 9", next.OwnCalls, next.PeerCalls)
 	}
 	old := pick(t, two, begin.Add(5*time.Second), newRequest(chat(1, 4)))
 	if old.PeerCalls != 0 {
-		t.Errorf("a count of 5 s ago is still believed: %d", old.PeerCalls)
+		t.Errorf("a count of 5 s ago is still used: %d", old.PeerCalls)
 	}
 }
 
-// A peer's word counts for two seconds; a router that was killed does not seem to
-// hold its calls for ever.
+// Guards against calls of a killed router that are counted forever: a load report is valid for two
+// seconds.
 func TestLoadReportExpires(t *testing.T) {
 	one, two := newPlacer(2), newPlacer(2)
 	register(one, 1)
@@ -286,22 +284,22 @@
 	}
 	two.ApplyLoadReport(begin, "10.0.0.1:7000", one.LoadReport())
 	if tk := pick(t, two, begin, newRequest(chat(1, 1))); tk.PeerCalls != 3 {
-		t.Errorf("told %d, want 3", tk.PeerCalls)
+		t.Errorf("%d calls of peers, want 3", tk.PeerCalls)
 	}
 	if tk := pick(t, two, begin.Add(3*time.Second), newRequest(chat(1, 1))); tk.PeerCalls != 0 {
-		t.Errorf("after 3 s still %d", tk.PeerCalls)
+		t.Errorf("%d calls of peers after 3 s, want 0", tk.PeerCalls)
 	}
 }
 
-// A full endpoint refuses; it is passed over for a moment, and where all are full the
-// caller is told when to return.
+// Guards against repeated calls to an endpoint that rejects them: it is skipped for a moment. If
+// all endpoints are full, the refusal says when to retry.
 func TestRejectingEndpointIsSkipped(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 1)
 	pick(t, pl, begin, newRequest(chat(1, 1))).Done(begin, place.Rejected)
 	_, re := pl.Pick(begin, newRequest(chat(1, 1)))
 	if re == nil || re.Reason != core.ReasonLoadCap || re.RetryAfter <= 0 {
-		t.Fatalf("%v, want a refusal for the load with a time to return", re)
+		t.Fatalf("%v, want a refusal by the load cap with a retry delay", re)
 	}
 	serve(t, pl, begin.Add(time.Second), newRequest(chat(1, 1)))
 }
@@ -313,12 +311,12 @@
 	pick(t, pl, begin, rq)
 	pick(t, pl, begin, rq)
 	if _, re := pl.Pick(begin, rq); re == nil {
-		t.Error("a third connection was taken of 8 that four routers share")
+		t.Error("the router used a third connection of 8 that four routers share")
 	}
 }
 
-// One of three lookup services is replaced while load is high. A short queue at the
-// other two is in time; refusing instead sends callers away who would have been served.
+// Guards against refusing calls that would be served in time: one of three lookup services is
+// replaced under high load, and the other two can absorb a short queue.
 func TestPlainEndpointAllowsAShortQueue(t *testing.T) {
 	pl := newPlacer(1)
 	for ix := range 2 {
@@ -332,6 +330,6 @@
 	}
 	_, re := pl.Pick(begin, rq)
 	if re == nil || re.Reason != core.ReasonLoadCap || re.RetryAfter <= 0 {
-		t.Errorf("%v, want a refusal once four calls a place are there", re)
+		t.Errorf("%v, want a refusal at four calls per slot", re)
 	}
 }
--- a/core/place/record_test.go
+++ b/core/place/record_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-// A router before hundreds of endpoints runs for hours, and each request names a chat. What
-// it remembers to have sent grows by each until the process is killed for its memory, unless it
-// is bounded over all endpoints. The latest chat has to be remembered all the same.
+// Guards against a router that is killed for its memory: it has hundreds of endpoints and runs for
+// hours, and each request adds a chat to the cache models. They are bounded over all endpoints, but
+// must keep the latest chat.
 func TestPartIndexIsBounded(t *testing.T) {
 	const most = 65536
 	pl := newPlacer(1)
 	register(pl, 60)
 	rq := newRequest(nil)
-	rq.EngineMemory = 0 // unknown, so that it bounds nothing
+	rq.EngineMemory = 0 // unknown, so that it sets no bound
 	for id := range uint64(2 * most) {
 		rq.Parts = chat(id%3, id)
 		serve(t, pl, begin, rq)
 	}
 	if entries := pl.IndexEntries(); entries > most {
-		t.Errorf("%d parts are remembered, want at most %d", entries, most)
+		t.Errorf("%d parts are in the index, want at most %d", entries, most)
 	}
 	last := serve(t, pl, begin, rq)
 	if last.UncachedTokens > rq.Parts[2].Tokens {
-		t.Errorf("%d tokens of the latest chat are thought to be read anew, want its new turn alone", last.UncachedTokens)
+		t.Errorf("%d tokens of the latest chat are expected to be prefilled, want only its new turn", last.UncachedTokens)
 	}
 }
 
-// An endpoint leaves with parts in its record. Were they still found, its address would be
-// named to others as a holder for good.
+// Guards against fetches from a removed endpoint: if its parts were still found, its address would
+// be named as a holder forever.
 func TestRemovedEndpointIsNoHolder(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 2)
@@ -35,7 +35,7 @@
 	pl.Remove(endpoint(0).ID)
 	for id := range uint64(50) {
 		if tk := serve(t, pl, begin, newRequest(chat(1, id))); tk.FetchFrom == endpoint(0).Addr {
-			t.Fatal("an endpoint that is gone is named as a holder")
+			t.Fatal("a removed endpoint is named as a holder")
 		}
 	}
 }
--- a/core/place/region_test.go
+++ b/core/place/region_test.go
@@ -12,8 +12,8 @@
 
 var regions = map[core.Zone]core.Region{"a": "north", "b": "south", "c": "west"}
 
-// Guards against calls, and contexts, from outside a request's home regions: whatever is evacuated,
-// drains, is full, was tried, or holds the prompt.
+// Guards against calls to, and contexts from, endpoints outside a request's home regions, whichever
+// endpoints are evacuated, draining, full, tried before, or have the prompt cached.
 func TestCallsStayInTheirHomeRegions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pl := newPlacer(2)
@@ -43,10 +43,10 @@
 				continue
 			}
 			if rq.RegionBound && !containsRegion(rq.HomeRegions, regions[tk.Endpoint.Zone]) {
-				rt.Fatalf("homes %v, placed in zone %s", rq.HomeRegions, tk.Endpoint.Zone)
+				rt.Fatalf("home regions %v, placed in zone %s", rq.HomeRegions, tk.Endpoint.Zone)
 			}
 			if rq.RegionBound && tk.FetchFrom != "" && !containsRegion(rq.HomeRegions, addrs[tk.FetchFrom]) {
-				rt.Fatalf("homes %v, taken over from %s", rq.HomeRegions, tk.FetchFrom)
+				rt.Fatalf("home regions %v, fetched from %s", rq.HomeRegions, tk.FetchFrom)
 			}
 			if rapid.Bool().Draw(rt, "end") {
 				tk.Done(now, place.Served)
@@ -64,8 +64,8 @@
 	return false
 }
 
-// Guards against a request that waits, or goes elsewhere, once the only home region of its route
-// is lost.
+// Guards against a request that waits or goes elsewhere when the only home region of its route is
+// lost.
 func TestRefusalNamesTheLostHomeRegion(t *testing.T) {
 	pl := newPlacer(1)
 	pl.Regions = regions
--- a/core/place/share_test.go
+++ b/core/place/share_test.go
@@ -6,16 +6,16 @@
 	"almondrill/core/place"
 )
 
-// manyRouters is a router of 420 before two endpoints that take 300 connections from all.
+// manyRouters returns one router of 420 with two endpoints that accept 300 connections from all.
 func manyRouters(engine bool) (*place.Placer, *place.Request) {
 	pl := newPlacer(420)
 	register(pl, 2)
 	return pl, &place.Request{Pool: pool, Engine: engine, MaxConns: 300}
 }
 
-// A popular customer's callers all come through one of 420 routers. The endpoints take 300
-// connections and have a few calls, but a router's even share of them is less than one:
-// held to it, the router refuses callers while the endpoints are idle.
+// Guards against refusals while the endpoints are idle: a popular customer's calls all come through
+// one of 420 routers. The endpoints accept 300 connections, so that the router's even share of them
+// is less than one.
 func TestShareBelowOneCall(t *testing.T) {
 	for _, engine := range []bool{true, false} {
 		pl, rq := manyRouters(engine)
@@ -27,8 +27,8 @@
 	}
 }
 
-// Half of an endpoint's connections are in use by other routers. One that has its share does
-// not take more, or the endpoint resets connections with requests on them.
+// Guards against exceeding an endpoint's connections: half of them are in use by other routers. If
+// a router took more than its share, the endpoint would reset connections that carry requests.
 func TestShareHoldsWhereConnectionsAreFew(t *testing.T) {
 	pl, rq := manyRouters(false)
 	for ix := range 2 {
@@ -40,6 +40,6 @@
 		}
 	}
 	if _, rf := pl.Pick(begin, rq); rf == nil {
-		t.Error("a call beyond the share was placed on an endpoint whose connections are in use by half")
+		t.Error("a call beyond the share was placed on an endpoint with half of its connections in use")
 	}
 }
--- a/core/place/size_test.go
+++ b/core/place/size_test.go
@@ -13,21 +13,21 @@
 
 func (fl fleet) String() string { return fmt.Sprintf("endpoints=%d/peers=%d", fl.endpoints, fl.peers) }
 
-// fleets are from a pool of today to one pool of the whole target.
+// fleets range from a pool of present size to a single pool of the full target size.
 var fleets = []fleet{{9, 3}, {47, 25}, {180, 102}, {2100, 420}}
 
 const (
-	// callsPerPeer is how many endpoints a peer tells calls of: a router of a hundred or
-	// more has some 20 calls in progress.
+	// callsPerPeer is how many endpoints a peer reports calls of: a router among a hundred or more
+	// has some 20 calls in progress.
 	callsPerPeer = 20
-	// chatsPerEndpoint is how many chats return to an endpoint, and beginningsOfFleet how many
-	// beginnings all share.
+	// chatsPerEndpoint is how many chats return to each endpoint. sharedPrefixes is how many
+	// prefixes all chats share.
 	chatsPerEndpoint = 20
 	sharedPrefixes   = 12
 )
 
-// loadedPlacer is a router of a fleet under load: its peers have told their calls, and most chats
-// have been served by it once.
+// loadedPlacer returns a router of a fleet under load: its peers have reported their calls, and it
+// has served most chats once.
 func loadedPlacer(fl fleet) (*place.Placer, func(id uint64) *place.Request) {
 	prompt := func(id uint64) *place.Request {
 		id %= uint64(chatsPerEndpoint * fl.endpoints)
@@ -46,7 +46,7 @@
 	return pl, prompt
 }
 
-// peerReport is what a peer tells that has calls in progress at some endpoints.
+// peerReport returns the load report of a peer with calls in progress at some endpoints.
 func peerReport(fl fleet, seed uint64) []byte {
 	ra := newRand(seed)
 	peer := newPlacer(fl.peers + 1)
@@ -55,7 +55,7 @@
 	}
 	for id := range uint64(callsPerPeer) {
 		if _, rf := peer.Pick(begin, newRequest(chat(1, id))); rf != nil {
-			break // the few endpoints that it knows are at their cap
+			break // the few endpoints that it knows are at the load cap
 		}
 	}
 	return peer.LoadReport()
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkHear measures taking a peer's word of its calls.
+// BenchmarkHear measures applying a peer's load report.
 func BenchmarkHear(b *testing.B) {
 	for _, fl := range fleets {
 		b.Run(fl.String(), func(b *testing.B) {
--- a/core/place/starts_test.go
+++ b/core/place/starts_test.go
@@ -8,7 +8,7 @@
 	"almondrill/core/place"
 )
 
-// withIncarnation is an endpoint at one of its starts.
+// withIncarnation returns an endpoint with the incarnation.
 func withIncarnation(ix int, at core.Incarnation) place.Endpoint {
 	ep := endpoint(ix)
 	ep.Incarnation = at
@@ -20,7 +20,7 @@
 	return ep
 }
 
-// countPicks tells how many of 50 chats the endpoint gets.
+// countPicks returns how many of 50 chats the endpoint gets.
 func countPicks(t *testing.T, pl *place.Placer, now time.Time, id core.EndpointID) int {
 	t.Helper()
 	count := 0
@@ -32,23 +32,22 @@
 	return count
 }
 
-// An endpoint drains, ends, and starts again under its id. Taken for the one that
-// drained, the new one would stay idle for good, while callers are refused for want of
-// room.
+// Guards against a restarted endpoint that stays idle forever: mistaken for the incarnation that
+// was draining, it gets no calls, and callers are refused for lack of capacity.
 func TestRestartedEndpointIsUsed(t *testing.T) {
 	pl := newPlacer(1)
 	pl.Register(begin, withIncarnation(0, 100))
 	pl.Register(begin, withIncarnation(1, 100))
 	pl.Register(begin, draining(withIncarnation(0, 100)))
 	if got := countPicks(t, pl, begin, "e00"); got != 0 {
-		t.Fatalf("%d calls for an endpoint that drains", got)
+		t.Fatalf("%d calls for a draining endpoint", got)
 	}
 	if !pl.Register(begin, withIncarnation(0, 200)) || countPicks(t, pl, begin, "e00") == 0 {
-		t.Error("an endpoint that started again gets nothing")
+		t.Error("a restarted endpoint gets no calls")
 	}
 }
 
-// The same, but its registration goes before the new one comes, as after a crash.
+// The same, but the earlier registration is removed before the new one arrives, as after a crash.
 func TestRestartedEndpointIsUsedAfterItsRemoval(t *testing.T) {
 	pl := newPlacer(1)
 	pl.Register(begin, withIncarnation(1, 100))
@@ -56,16 +55,16 @@
 	pl.Remove("e00")
 	pl.Register(begin, withIncarnation(0, 100))
 	if got := countPicks(t, pl, begin, "e00"); got != 0 {
-		t.Errorf("%d calls for a start that was seen draining", got)
+		t.Errorf("%d calls for an incarnation that was draining", got)
 	}
 	pl.Register(begin, withIncarnation(0, 200))
 	if countPicks(t, pl, begin, "e00") == 0 {
-		t.Error("an endpoint that started again gets nothing")
+		t.Error("a restarted endpoint gets no calls")
 	}
 }
 
-// A registration of the earlier start was delayed in the store and comes after that of
-// the later one. Taken, it would lead callers to an address where nobody listens.
+// Guards against calls to a dead address: a registration of the earlier incarnation was delayed in
+// the store and arrives after that of the later one.
 func TestLateRegistrationOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		pl := newPlacer(1)
@@ -76,7 +75,7 @@
 			pl.Remove("e00")
 		}
 		if pl.Register(begin, draining(withIncarnation(0, 100))) {
-			t.Errorf("an earlier start was taken, gone %v", gone)
+			t.Errorf("an earlier incarnation was accepted, gone %v", gone)
 		}
 		tk, re := pl.Pick(begin, newRequest(chat(1, 1)))
 		if gone && re == nil || !gone && (re != nil || tk.Endpoint.Addr != now.Addr) {
@@ -85,8 +84,8 @@
 	}
 }
 
-// An engine that held a prompt crashed and is back, empty. Asked to take the prompt over
-// from it, another engine would wait for nothing and then read it all the same.
+// Guards against fetches from an engine that has lost its cache: it crashed and is back empty.
+// Another engine would wait in vain and then prefill the prompt itself.
 func TestNothingIsFetchedFromAnEarlierIncarnation(t *testing.T) {
 	prompt := []place.Part{{Hash: 7, Tokens: 10000}}
 	elsewhere := newRequest(prompt)
@@ -106,13 +105,13 @@
 		tk.Done(begin, place.Neutral)
 		pl.Remove("e01")
 		if tk = pick(t, pl, begin, newRequest(prompt)); (tk.UncachedTokens == 0) == restarted {
-			t.Errorf("restarted %v: %d of 10000 tokens are to be read", restarted, tk.UncachedTokens)
+			t.Errorf("restarted %v: %d of 10000 tokens are expected to be prefilled", restarted, tk.UncachedTokens)
 		}
 	}
 }
 
-// placeCalls places calls and leaves them open; the endpoint says each time that it has
-// them all.
+// placeCalls places calls and leaves them in progress. For each, the endpoint reports that it has
+// all of them.
 func placeCalls(t *testing.T, pl *place.Placer, count int) []*place.Ticket {
 	t.Helper()
 	var open []*place.Ticket
@@ -124,9 +123,8 @@
 	return open
 }
 
-// Calls that were in progress at the earlier start, and what it said of its load, say
-// nothing of the new one: counted there, they would keep callers away from an empty
-// engine.
+// Guards against calls kept away from an empty engine: calls in progress at the earlier
+// incarnation, and the load that it reported, do not count for the later one.
 func TestLoadOfAnEarlierIncarnationIsForgotten(t *testing.T) {
 	pl := newPlacer(1)
 	pl.Register(begin, withIncarnation(0, 100))
@@ -134,19 +132,19 @@
 	pl.Register(begin, withIncarnation(0, 200))
 	tk := pick(t, pl, begin, newRequest(chat(1, 1)))
 	if tk.OwnCalls != 0 || tk.PeerCalls != 0 {
-		t.Errorf("%d own calls and %d of others at a start that has none", tk.OwnCalls, tk.PeerCalls)
+		t.Errorf("%d own calls and %d of peers at an incarnation that has none", tk.OwnCalls, tk.PeerCalls)
 	}
 	for _, old := range open {
 		old.Done(begin, place.Failed)
 	}
 	if next := pick(t, pl, begin, newRequest(chat(1, 2))); next.OwnCalls != 1 {
-		t.Errorf("%d own calls after those of the earlier start ended, want 1", next.OwnCalls)
+		t.Errorf("%d own calls after those of the earlier incarnation ended, want 1", next.OwnCalls)
 	}
 }
 
-// One of two routers has not heard yet that an endpoint started again. Its word of the
-// calls, the reading and the chats that it believes there is about the earlier start, and
-// does not count; once it has heard, it does.
+// Guards against load that peers report for an earlier incarnation: one of two routers has not
+// learned yet that an endpoint restarted. Its calls, readings and moves apply to the earlier
+// incarnation and do not count until it has learned of the later one.
 func TestPeerReportOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	one, two := newPlacer(2), newPlacer(2)
 	for _, pl := range []*place.Placer{one, two} {
@@ -163,7 +161,7 @@
 		return tk.PeerCalls
 	}
 	if others := hear(); others != 0 {
-		t.Errorf("%d calls of an earlier start are counted at the later one", others)
+		t.Errorf("%d calls of an earlier incarnation are counted at the later one", others)
 	}
 	two.Register(begin, withIncarnation(0, 200))
 	for _, tk := range open {
@@ -171,6 +169,6 @@
 	}
 	pick(t, two, begin, newRequest(chat(1, 1)))
 	if others := hear(); others != 1 {
-		t.Errorf("%d calls of the later start, want 1", others)
+		t.Errorf("%d calls of the later incarnation, want 1", others)
 	}
 }
--- a/core/place/surge_test.go
+++ b/core/place/surge_test.go
@@ -9,9 +9,9 @@
 	"almondrill/core/place"
 )
 
-// engines run calls on virtual time, so many at once each, and let others wait in turn.
+// engines run calls on virtual time, a limited number at once each, and queue the others.
 type engines struct {
-	slots, callSteps int // places of each, and the steps that a call runs for
+	slots, callSteps int // slots of each engine, and the duration of a call in steps
 	waiting          map[core.EndpointID][]*caller
 	running          map[core.EndpointID]int
 	ending           map[int][]*caller // by step
@@ -19,39 +19,39 @@
 
 // caller is one caller of the load.
 type caller struct {
-	arrived  int // the step of its first attempt
+	arrived  int // the step of the first attempt
 	router   int
 	tk       *place.Ticket
-	retried  bool // it was refused once
+	retried  bool // the caller was refused once
 	customer core.CustomerID
 }
 
-// surge plays a load before routers and engines, and counts how callers fared.
+// surge simulates a load on routers and engines, and counts the outcomes of callers.
 type surge struct {
 	*engines
 	routers   []*place.Placer
 	step      int
-	returning map[int][]*caller // those that were told to return, by step
-	// inTime had their first token within goal steps of their first attempt, late
-	// ones after it, lost ones were refused twice.
+	returning map[int][]*caller // callers that were told to retry, by step
+	// inTime callers had their first token within goal steps of their first attempt, late ones
+	// after that, and lost ones were refused twice.
 	all, inTime, late, lost int
-	// customer draws whose call it is; nil if nobody's. lostBy and allBy count theirs.
+	// customer draws the customer of a call; nil for none. lostBy and allBy count by customer.
 	customer      func(ra testRand) core.CustomerID
 	lostBy, allBy map[core.CustomerID]int
-	// reportSteps is how often, in steps, a router hears each other one, goal within how many
-	// steps a first token is in time.
+	// reportSteps is the interval, in steps, of reports between two routers. A first token within
+	// goal steps is in time.
 	reportSteps, goal int
-	// chat draws whose turn it is; nil for one of 300 alike.
+	// chat draws the chat of a call; nil for one of 300 equal ones.
 	chat func(ra testRand) uint64
-	// seed is what the load is drawn from.
+	// seed is the seed of the load.
 	seed uint64
-	// prompt is what a chat sends.
+	// prompt returns the prompt of a chat.
 	prompt func(id uint64) []place.Part
-	// counts are asked before each choice; nil if nobody keeps them.
+	// counts is asked before each choice; nil if nobody owns the counts.
 	counts counts
 }
 
-// counts knows how many calls engines have.
+// counts knows how many calls the engines have.
 type counts interface {
 	AddCall(now time.Time, endpoint uint64) (int, bool)
 	Report(now time.Time, endpoint uint64, calls int)
@@ -59,7 +59,7 @@
 
 const (
 	goalSteps = 30
-	// surgeReportSteps is how often, in steps, a router of four is heard: each 0.2 s.
+	// surgeReportSteps is the interval, in steps, of reports of each router of four: 0.2 s.
 	surgeReportSteps = 20
 )
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// askCount is what a router does before a choice where counts are kept.
+// askCount does what a router does before a choice if counts are available.
 func (su *surge) askCount(pl *place.Placer, rq *place.Request) {
 	endpoint, uncertain := pl.NeedsCount(su.now(), rq)
 	if !uncertain {
@@ -119,7 +119,7 @@
 	}
 }
 
-// tick lets the engines work for a step, and the routers tell each other.
+// tick runs the engines for a step, and sends the reports that are due.
 func (su *surge) tick() {
 	su.step++
 	for _, ca := range su.ending[su.step] {
@@ -143,8 +143,8 @@
 	}
 }
 
-// reports tells whether a router is heard by another in this step. All of a few are heard by all
-// at once; among many each has a turn for each other.
+// reports returns whether a router's report reaches another in this step. Among few routers, a
+// report reaches all at once; among many, each pair has its own step.
 func (su *surge) reports(from, to int) bool {
 	turn := from
 	if su.reportSteps != surgeReportSteps {
@@ -170,8 +170,8 @@
 	su.ending[end] = append(su.ending[end], ca)
 }
 
-// play lets callers come at a rate, in calls a step, for so many steps, and waits until
-// all have been served or lost.
+// play creates callers at a rate, in calls per step, for a number of steps, and runs until all have
+// been served or lost.
 func (su *surge) play(rate float64, steps int) {
 	ra := newRand(su.seed)
 	due := 0.0
@@ -194,7 +194,7 @@
 	}
 }
 
-// draw is whose turn it is.
+// draw returns the chat of the next call.
 func (su *surge) draw(ra testRand) uint64 {
 	if su.chat == nil {
 		return ra.Uint64() % 300
@@ -202,12 +202,12 @@
 	return su.chat(ra)
 }
 
-// A term opens: for ten seconds, 1.3 times as many calls come as the pool can run. If all
-// are taken, each waits behind the ones before it, and after some seconds nobody is
-// served in time. What the pool cannot run is to be refused, at once, and the rest
-// served as on any day; who was refused should find a place when told to return.
-// Served in time are 0.58 of the callers. If twice the places are given, it is 0.15; if
-// all are told to return after 0.4 s, 0.53, and 0.19 instead of 0.11 are refused twice.
+// Load pattern: a term starts, and for ten seconds the load is 1.3 times what the pool can run. If
+// all calls are accepted, each queues behind those before it, and after some seconds nobody is
+// served in time. The excess has to be refused at once and the rest served normally; refused
+// callers should get a slot when they retry as told. 0.58 of the callers are served in time. With
+// twice the slots given it is 0.15. If all callers are told to retry after 0.4 s it is 0.53, and
+// 0.19 instead of 0.11 are refused twice.
 func TestOverloadedPoolServesInTime(t *testing.T) {
 	su := newSurge(4, 12, 48, 130)
 	su.play(1.3*12*48/130, 1000)
@@ -221,9 +221,9 @@
 	}
 }
 
-// One customer's race begins: it sends two thirds of a load that is 1.6 times what the
-// pool can run, nine others the rest. They are to be served as on any day; what is too
-// much is refused to the one that surges.
+// Load pattern: one customer's race begins. It sends two thirds of a load of 1.6 times what the
+// pool can run, and nine others the rest. The others have to be served normally, and the excess is
+// refused to the customer that surges.
 func TestSurgingCustomerDoesNotHurtOthers(t *testing.T) {
 	su := newSurge(4, 12, 48, 130)
 	su.customer = func(ra testRand) core.CustomerID {
@@ -244,18 +244,18 @@
 	}
 }
 
-// The load stays just below what the pool can run, in clumps. Nobody is to be refused
-// for a clump that is over before a first token would be late.
+// Guards against refusals below capacity: the load is uneven and stays just below what the pool can
+// run, and bursts end before a first token would be late.
 func TestLoadBelowCapacityIsNotRefused(t *testing.T) {
 	su := newSurge(4, 12, 48, 130)
 	su.play(0.9*12*48/130, 1000)
 	if late := float64(su.late+su.lost) / float64(su.all); late > 0.02 {
-		t.Errorf("%.3f of %d callers came late or were refused, want at most 0.02", late, su.all)
+		t.Errorf("%.3f of %d callers were late or refused, want at most 0.02", late, su.all)
 	}
 }
 
-// Two of three engines are dead, and every router has seen it. Their places are no
-// reason to take calls that the third cannot run.
+// Guards against counting the slots of dead engines: two of three engines are dead, and every
+// router has noticed. The pool must not accept calls that the third cannot run.
 func TestDeadEnginesHaveNoSlots(t *testing.T) {
 	pl := newPlacer(1)
 	register(pl, 3)
@@ -279,13 +279,13 @@
 		taken++
 	}
 	if taken < 48 || taken > 53 {
-		t.Errorf("%d calls were taken with 48 places alive, want 48 to 53", taken)
+		t.Errorf("%d calls were accepted with 48 live slots, want 48 to 53", taken)
 	}
 }
 
-// The same load is played several times from the same seeds. Where a choice between equals
-// hangs on the order of a map, callers lost are 0.09 to 0.14 of all from run to run, and
-// neither a test nor an incident can be played again.
+// Guards against runs that cannot be repeated from their seeds: if a choice between equals depends
+// on the order of a map, 0.09 to 0.14 of the callers are lost from run to run, and neither a test
+// nor an incident can be reproduced.
 func TestSimulationRepeatsFromItsSeed(t *testing.T) {
 	var first string
 	for run := range 5 {
--- a/core/place/walk_test.go
+++ b/core/place/walk_test.go
@@ -12,7 +12,7 @@
 	"almondrill/core/place"
 )
 
-// world is a router whose endpoints come, fail and leave, and whose peers tell it of calls.
+// world simulates a router whose endpoints join, fail and leave, and whose peers report calls.
 type world struct {
 	pl      *place.Placer
 	now     time.Time
@@ -33,7 +33,7 @@
 	return wo
 }
 
-// step does one thing that may happen.
+// step does one random thing.
 func (wo *world) step(rt *rapid.T) {
 	ix := rapid.IntRange(0, worldSize-1).Draw(rt, "endpoint")
 	switch rapid.IntRange(0, 8).Draw(rt, "what") {
@@ -88,9 +88,10 @@
 	return rq
 }
 
-// A choice among thousands of endpoints passes those by that cannot cost least, and looks
-// little at those about which it knew nothing before. Were one passed by wrongly, chats would
-// leave the engines that hold them, or calls go to one that is down, on large pools only.
+// Guards against errors in the shortcuts of a choice, which shows on large pools only: among
+// thousands of endpoints the choice skips those that cannot be the cheapest, and checks little of
+// those with nothing to check before. Wrongly skipped endpoints would make chats leave the engines
+// that have them cached, or send calls to an endpoint that is down.
 func TestChoiceMatchesWeighingAll(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wo := newWorld()
@@ -98,26 +99,26 @@
 			wo.step(rt)
 			rq := wo.drawRequest(rt)
 			if !rq.Engine {
-				continue // its price has a part that is drawn
+				continue // its cost has a random part
 			}
 			got, want := wo.pl.InspectChoice(wo.now, rq), wo.pl.WeighAll(wo.now, rq)
 			if math.Abs(got.CostMs-want.CostMs) > 1e-6 {
-				// The holder may be drawn from several: both were weighed with one of them.
+				// The holder may be drawn from several: both results are based on one of them.
 				if wo.ambiguousHolder(rq) {
 					continue
 				}
-				rt.Fatalf("the choice costs %v ms, the cheapest of all %v", got.CostMs, want.CostMs)
+				rt.Fatalf("the chosen endpoint costs %v ms, the cheapest of all %v", got.CostMs, want.CostMs)
 			}
 			got.CostMs, want.CostMs = 0, 0
 			got.FailureRate, want.FailureRate = math.Round(1e6*got.FailureRate), math.Round(1e6*want.FailureRate)
 			if got != want {
-				rt.Fatalf("the choice went by %+v, want %+v", got, want)
+				rt.Fatalf("the choice is based on %+v, want %+v", got, want)
 			}
 		}
 	})
 }
 
-// ambiguousHolder tells whether more than one endpoint may be the holder, by repeated draws.
+// ambiguousHolder reports whether more than one endpoint may be the holder, by repeated draws.
 func (wo *world) ambiguousHolder(rq *place.Request) bool {
 	first := wo.pl.WeighAll(wo.now, rq)
 	for range 20 {
@@ -128,9 +129,8 @@
 	return false
 }
 
-// Words are replaced, lapse and meet endpoints that come and go. The kept sums have to be
-// what adding the words up gives: an error would stay for good, and an endpoint look busy or
-// idle for ever.
+// Guards against errors in the maintained sums of load reports, which would make an endpoint look
+// busy or idle forever: reports are replaced and expire while endpoints join and leave.
 func TestLoadReportSumsStayCorrect(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pl := newPlacer(9)
@@ -178,21 +178,22 @@
 					}
 				}
 				if got, known := pl.PeerCalls(now, endpoint(ix).ID); known && got != want {
-					rt.Fatalf("e%02d is believed to have %d calls of others, want %d", ix, got, want)
+					rt.Fatalf("e%02d has %d reported calls of peers, want %d", ix, got, want)
 				}
 			}
 		}
 	})
 }
 
-// unexpired tells whether a word counts still: 2 s, or three gaps where words are further apart.
+// unexpired reports whether a report is still valid: for 2 s, or for three intervals if reports are
+// further apart.
 func unexpired(now, at time.Time, interval time.Duration) bool {
 	return now.Sub(at) <= min(20*time.Second, max(2*time.Second, 3*interval))
 }
 
-// Before hundreds of routers, each peer is heard every 4 s, as what it sends is bounded.
-// Were its word forgotten before it speaks again, no router would know of more than half of
-// the calls, and send new ones to engines that are full.
+// Guards against load reports that expire before the next one arrives: among hundreds of routers,
+// each peer's reports arrive every 4 s, because its messages are bounded. Routers would know of no
+// more than half of the calls, and send new ones to full engines.
 func TestInfrequentLoadReportsCount(t *testing.T) {
 	pl, peer := newPlacer(400), newPlacer(400)
 	register(pl, 1)
@@ -206,13 +207,13 @@
 		pl.ApplyLoadReport(at, "peer", peer.LoadReport())
 		told, _ := pl.PeerCalls(at.Add(gap-time.Millisecond), endpoint(0).ID)
 		if turn > 0 && told != 3 {
-			t.Errorf("word %d: %d calls are believed before the next, want 3", turn, told)
+			t.Errorf("report %d: %d calls are counted before the next, want 3", turn, told)
 		}
 	}
 	if told, _ := pl.PeerCalls(begin.Add(4*gap+reportTTLIntervals*gap+time.Millisecond), endpoint(0).ID); told != 0 {
-		t.Errorf("%d calls are believed of a peer that has stopped", told)
+		t.Errorf("%d calls are counted of a peer that has stopped", told)
 	}
 }
 
-// reportTTLIntervals is after how many gaps a peer counts as stopped.
+// reportTTLIntervals is after how many intervals without a report a peer counts as stopped.
 const reportTTLIntervals = 3
--- a/core/place/zone_test.go
+++ b/core/place/zone_test.go
@@ -16,8 +16,8 @@
 	return ep
 }
 
-// Guards against calls to an evacuated zone in whichever order evacuations, registrations,
-// departures and restarts are learned.
+// Guards against calls to an evacuated zone, whatever the order in which evacuations,
+// registrations, removals and restarts become known.
 func TestEvacuatedZoneGetsNoCallsInAnyOrder(t *testing.T) {
 	zones := []core.Zone{"a", "b", "c"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -46,19 +46,19 @@
 			tk, rf := pl.Pick(begin, newRequest(chat(1, uint64(ix))))
 			if rf != nil {
 				if rf.Outcome != core.NotRun || rf.RetryAfter <= 0 {
-					rt.Fatalf("refused as %s, to return after %s", rf.Outcome, rf.RetryAfter)
+					rt.Fatalf("refused as %s, to retry after %s", rf.Outcome, rf.RetryAfter)
 				}
 				continue
 			}
 			if evacuated[tk.Endpoint.Zone] {
-				rt.Fatalf("a call for %s in the evacuated zone %s", tk.Endpoint.ID, tk.Endpoint.Zone)
+				rt.Fatalf("a call was placed on %s in the evacuated zone %s", tk.Endpoint.ID, tk.Endpoint.Zone)
 			}
 			tk.Done(begin, place.Served)
 		}
 	})
 }
 
-// Guards against a refusal that does not say why: the pool's only endpoints are evacuated.
+// Guards against a refusal without the reason: the pool's only endpoints are evacuated.
 func TestRefusalNamesTheEvacuation(t *testing.T) {
 	pl := newPlacer(1)
 	pl.Register(begin, inZone(0, "a"))
@@ -68,24 +68,24 @@
 	}
 	pl.Register(begin, draining(inZone(0, "a")))
 	if _, rf := pl.Pick(begin, newRequest(chat(1, 1))); rf == nil || rf.Reason != core.ReasonNoEndpoint {
-		t.Errorf("of endpoints that drain, refused with %v", rf)
+		t.Errorf("with draining endpoints only, refused with %v", rf)
 	}
 }
 
-// Guards against a call that is sent on an old choice: between choice and sending the zone is
-// evacuated, or the endpoint drains or goes.
+// Guards against sending a call after a stale choice: between choice and sending, the zone is
+// evacuated, or the endpoint starts draining or is removed.
 func TestBeforeSendRejectsAStaleChoice(t *testing.T) {
 	for name, on := range map[string]struct {
 		change func(pl *place.Placer)
 		want   core.Reason
 	}{
-		"nothing changes":         {func(*place.Placer) {}, ""},
-		"its zone is evacuated":   {func(pl *place.Placer) { pl.Evacuate(begin, "a", begin) }, core.ReasonEvacuated},
-		"another zone is":         {func(pl *place.Placer) { pl.Evacuate(begin, "b", begin) }, ""},
-		"it drains":               {func(pl *place.Placer) { pl.Register(begin, draining(endpoint(0))) }, core.ReasonDraining},
-		"it is gone":              {func(pl *place.Placer) { pl.Remove("e00") }, core.ReasonDraining},
-		"its registration lapsed": {func(pl *place.Placer) { pl.MarkMissing("e00") }, ""},
-		"it started again": {func(pl *place.Placer) {
+		"nothing changes":           {func(*place.Placer) {}, ""},
+		"its zone is evacuated":     {func(pl *place.Placer) { pl.Evacuate(begin, "a", begin) }, core.ReasonEvacuated},
+		"another zone is evacuated": {func(pl *place.Placer) { pl.Evacuate(begin, "b", begin) }, ""},
+		"it is draining":            {func(pl *place.Placer) { pl.Register(begin, draining(endpoint(0))) }, core.ReasonDraining},
+		"it was removed":            {func(pl *place.Placer) { pl.Remove("e00") }, core.ReasonDraining},
+		"its registration expired":  {func(pl *place.Placer) { pl.MarkMissing("e00") }, ""},
+		"it restarted": {func(pl *place.Placer) {
 			pl.Register(begin, withIncarnation(0, 7))
 		}, core.ReasonDraining},
 	} {
@@ -94,13 +94,13 @@
 		tk := pick(t, pl, begin, newRequest(chat(1, 1)))
 		on.change(pl)
 		if got := tk.BeforeSend(begin); got != on.want {
-			t.Errorf("%s: withdrawn for %q, want %q", name, got, on.want)
+			t.Errorf("%s: BeforeSend returned %q, want %q", name, got, on.want)
 		}
 	}
 }
 
-// Guards against prompts that are read anew in the zones that are left: the engines of the
-// evacuated one still hold them and hand them on.
+// Guards against prefilling prompts again in the remaining zones: the engines of the evacuated zone
+// still have them cached, and transfer them.
 func TestEvacuatedEngineTransfersPrompts(t *testing.T) {
 	pl := newPlacer(1)
 	for ix := range 12 {
@@ -118,11 +118,11 @@
 		pl.Restore(now, before.Zone)
 	}
 	if moved != 40 {
-		t.Errorf("%d of 40 chats are taken over from the engine that had them", moved)
+		t.Errorf("%d of 40 chats are fetched from the engine that had them", moved)
 	}
 }
 
-// Guards against a load beyond the cap while a zone is evacuated: its engines, idle by then, are
+// Guards against exceeding the load cap while a zone is evacuated: its engines, idle by then, are
 // part of their pool's mean.
 func TestLoadCapHoldsWhileAZoneIsEvacuated(t *testing.T) {
 	re := newReplay(26, 48)
@@ -145,12 +145,12 @@
 		re.tick()
 	}
 	if part := float64(re.beyondCap) / float64(re.placed); part > 0.03 {
-		t.Errorf("%.3f of %d calls went beyond the cap, want at most 0.03", part, re.placed)
+		t.Errorf("%.3f of %d calls exceeded the load cap, want at most 0.03", part, re.placed)
 	}
 }
 
-// Guards against refusals for the cap when most of a pool is evacuated: the endpoints that are
-// left take what they have places for.
+// Guards against refusals by the load cap when most of a pool is evacuated: the remaining endpoints
+// take as many calls as they have slots for.
 func TestOpenEndpointsServeDuringAnEvacuation(t *testing.T) {
 	pl := newPlacer(1)
 	for ix := range 12 {
@@ -161,13 +161,13 @@
 	}
 	for id := range uint64(120) {
 		if _, rf := pl.Pick(begin, newRequest(chat(id, id))); rf != nil {
-			t.Fatalf("refused with 3 endpoints of 48 places and %d calls: %v", id, rf)
+			t.Fatalf("refused with 3 endpoints of 48 slots and %d calls: %v", id, rf)
 		}
 	}
 }
 
-// Guards against a third of all chats that move in the same moment: they leave an evacuated zone
-// over the time that there is, each once, and none is left when that ends.
+// Guards against moving a third of all chats at the same moment: they leave an evacuated zone over
+// the available time, each once, and none remains at the end.
 func TestChatsLeaveAnEvacuatedZoneGradually(t *testing.T) {
 	const within = 4 * time.Second
 	pl := newPlacer(1)
