--- a/core/place/beginning_test.go
+++ b/core/place/beginning_test.go
@@ -50,7 +50,7 @@
 	for ix := range engines {
 		caches[endpoint(ix).Addr] = cache{}
 	}
-	var again core.Tokens
+	var prefilledAgain core.Tokens
 	ra := newRand(7)
 	for turn := range 1500 {
 		now := begin.Add(time.Duration(turn) * 20 * time.Millisecond)
@@ -66,11 +66,11 @@
 		for _, other := range caches {
 			least = min(least, other.missingTokens(parts[:2]))
 		}
-		again += lacking - least
+		prefilledAgain += lacking - least
 		here.add(parts)
 	}
-	if again > 9000 {
-		t.Errorf("%d tokens were prefilled that another engine has cached, want at most 9000", again)
+	if prefilledAgain > 9000 {
+		t.Errorf("%d tokens were prefilled that another engine has cached, want at most 9000", prefilledAgain)
 	}
-	t.Logf("%d tokens were prefilled that another engine has cached", again)
+	t.Logf("%d tokens were prefilled that another engine has cached", prefilledAgain)
 }
--- a/core/place/choice.go
+++ b/core/place/choice.go
@@ -113,8 +113,8 @@
 
 // splitFetch is prefillAndFetch for an endpoint that is not the holder and lacks that many tokens.
 func (ch *choice) splitFetch(uncached core.Tokens) (prefill, fetched core.Tokens) {
-	known := promptTokens(ch.rq.Parts) - uncached
-	fetched = ch.heldTokens - known
+	cached := promptTokens(ch.rq.Parts) - uncached
+	fetched = ch.heldTokens - cached
 	if fetched < minFetchTokens {
 		return uncached, 0
 	}
@@ -131,8 +131,8 @@
 	if ch.holder != nil && ch.holder != st && ch.heldTokens >= minFetchTokens {
 		return ch.holder
 	}
-	known := promptTokens(ch.rq.Parts) - st.uncached(ch.rq.Parts, ch.prefixes, 0)
-	if ch.ownHolder == nil || ch.ownHolder == st || ch.ownHeldTokens-known < minPrefixTokens {
+	cached := promptTokens(ch.rq.Parts) - st.uncached(ch.rq.Parts, ch.prefixes, 0)
+	if ch.ownHolder == nil || ch.ownHolder == st || ch.ownHeldTokens-cached < minPrefixTokens {
 		return nil
 	}
 	return ch.ownHolder
--- a/core/place/cold.go
+++ b/core/place/cold.go
@@ -69,9 +69,9 @@
 }
 
 // Deny gives the ticket back, because its endpoint gets no more requests for the duration.
-func (tk *Ticket) Deny(now time.Time, after time.Duration) {
+func (tk *Ticket) Deny(now time.Time, lasts time.Duration) {
 	tk.pl.mu.Lock()
-	tk.st.cold.deniedUntil = now.Add(after)
+	tk.st.cold.deniedUntil = now.Add(lasts)
 	tk.pl.mu.Unlock()
 	tk.Done(now, Neutral)
 }
--- a/core/place/cost.go
+++ b/core/place/cost.go
@@ -144,9 +144,9 @@
 // has at most the shared prefix cached.
 func (ch *choice) minPrefillMs() float64 {
 	all := promptTokens(ch.rq.Parts)
-	least := ch.prefillMs(ch.splitFetch(all))
+	lowest := ch.prefillMs(ch.splitFetch(all))
 	if len(ch.rq.Parts) > 1 {
-		least = min(least, ch.prefillMs(ch.splitFetch(all-ch.rq.Parts[0].Tokens)))
+		lowest = min(lowest, ch.prefillMs(ch.splitFetch(all-ch.rq.Parts[0].Tokens)))
 	}
-	return least
+	return lowest
 }
--- a/core/place/counts_test.go
+++ b/core/place/counts_test.go
@@ -12,7 +12,7 @@
 
 // crowd simulates the start of a stage: calls double for four seconds, and at each moment a few
 // chats get some thirty calls each, as when a runner comes into sight.
-func crowd(seed uint64, routers, reportSteps int, kept counts) *surge {
+func crowd(seed uint64, routers, reportSteps int, owned counts) *surge {
 	const (
 		engines, places, runs = 45, 16, 57
 		usual                 = 5.0 * engines / runs
@@ -21,7 +21,7 @@
 		popular, moment = 3, 60
 	)
 	su := newSurge(routers, engines, places, runs)
-	su.seed, su.reportSteps, su.goal, su.counts = seed, reportSteps, 40, kept
+	su.seed, su.reportSteps, su.goal, su.counts = seed, reportSteps, 40, owned
 	su.prompt = func(id uint64) []place.Part {
 		return []place.Part{{Hash: id % 12, Tokens: 700}, {Hash: 1000 + id, Tokens: 1300}, {Hash: 1 << 40, Tokens: 360}}
 	}
@@ -49,21 +49,21 @@
 		few, often   = 12, 20
 		seeds        = 3
 	)
-	var all, told, asked, small, refused int
+	var all, byReports, asked, amongFew, refused int
 	for seed := range uint64(seeds) {
 		byPeers, byCounts := crowd(seed, many, rarely, nil), crowd(seed, many, rarely, &gauge.Table{})
 		all += byPeers.all
-		told += byPeers.late
+		byReports += byPeers.late
 		asked += byCounts.late
 		refused += byCounts.lost - byPeers.lost
-		small += crowd(seed, few, often, nil).late
+		amongFew += crowd(seed, few, often, nil).late
 	}
-	t.Logf("late of %d: %d by load reports, %d by counts; %d among few routers", all, told, asked, small)
+	t.Logf("late of %d: %d by load reports, %d by counts; %d among few routers", all, byReports, asked, amongFew)
 	// The numbers of late callers are random: two deviations of their difference are allowed.
-	if spread := 2 * math.Sqrt(float64(asked+small)); float64(asked) > float64(small)+spread {
-		t.Errorf("%d callers are late among many routers, want no more than the %d among few", asked, small)
+	if spread := 2 * math.Sqrt(float64(asked+amongFew)); float64(asked) > float64(amongFew)+spread {
+		t.Errorf("%d callers are late among many routers, want no more than the %d among few", asked, amongFew)
 	}
-	if told <= small {
+	if byReports <= amongFew {
 		t.Error("load reports suffice among many routers: the load does not test counts")
 	}
 	if refused > 0 {
--- a/core/place/load_test.go
+++ b/core/place/load_test.go
@@ -208,8 +208,8 @@
 		re.tick()
 	}
 	// A third of the engines left; without a source, a third of 52 chats were prefilled again.
-	if anew := re.prefilledAgain - before; anew > 60000 {
-		t.Errorf("%d tokens were prefilled again, want at most 60,000 of some 180,000", anew)
+	if again := re.prefilledAgain - before; again > 60000 {
+		t.Errorf("%d tokens were prefilled again, want at most 60,000 of some 180,000", again)
 	}
 }
 
--- a/core/place/lost.go
+++ b/core/place/lost.go
@@ -22,7 +22,7 @@
 // source of fetches then, and gets calls only where other endpoints cost more: peers may be wrong,
 // as in a network partition. MarkUnreachable returns the endpoint's ID, and false if the endpoint
 // is not known or was heard from recently.
-func (pl *Placer) MarkUnreachable(now time.Time, endpoint uint64, lasting time.Duration) (core.EndpointID, bool) {
+func (pl *Placer) MarkUnreachable(now time.Time, endpoint uint64, lasts time.Duration) (core.EndpointID, bool) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	st := pl.byHash[endpoint]
@@ -33,7 +33,7 @@
 		return st.ID, false
 	}
 	st.markChanged()
-	st.unreachableUntil = now.Add(lasting)
+	st.unreachableUntil = now.Add(lasts)
 	st.cold.unreachable = true
 	return st.ID, true
 }
--- a/core/place/reading.go
+++ b/core/place/reading.go
@@ -71,8 +71,8 @@
 
 // nearCap reports whether the endpoint, as far as is known, may be near the load cap.
 func (ch *choice) nearCap(pl *Placer, st *state) bool {
-	capped := ch.limits(pl).loadCap
-	return capped != math.MaxInt && float64(st.ownCalls+st.scratch.peerCalls) >= askCapFraction*float64(capped)
+	loadCap := ch.limits(pl).loadCap
+	return loadCap != math.MaxInt && float64(st.ownCalls+st.scratch.peerCalls) >= askCapFraction*float64(loadCap)
 }
 
 // NeedsCount returns the hash of the endpoint that Pick would choose, and whether its current
--- a/core/place/record.go
+++ b/core/place/record.go
@@ -108,10 +108,10 @@
 }
 
 func (cm *cacheModel) evict(el *list.Element) {
-	gone := cm.order.Remove(el).(*cachedPart)
-	delete(cm.byHash, gone.hash)
-	cm.tokens -= gone.tokens
-	cm.index.remove(gone.hash, cm.st)
+	evicted := cm.order.Remove(el).(*cachedPart)
+	delete(cm.byHash, evicted.hash)
+	cm.tokens -= evicted.tokens
+	cm.index.remove(evicted.hash, cm.st)
 }
 
 // clear evicts all parts, since the endpoint is gone.
@@ -125,19 +125,19 @@
 // uncached estimates how many of the prompt's tokens the endpoint has to prefill, given its cache
 // model. It has at least the assumed fraction of all parts but the last.
 func (st *state) uncached(parts []Part, prefixes []uint64, assumed float64) core.Tokens {
-	var known core.Tokens
+	var cached core.Tokens
 	all := promptTokens(parts)
 	for ix, pa := range parts {
 		if !st.cache.has(prefixes[ix]) {
 			break
 		}
-		known += pa.Tokens
+		cached += pa.Tokens
 	}
 	if assumed > 0 && len(parts) > 1 {
 		shared := all - parts[len(parts)-1].Tokens
-		known = max(known, core.Tokens(assumed*float64(shared)))
+		cached = max(cached, core.Tokens(assumed*float64(shared)))
 	}
-	return all - known
+	return all - cached
 }
 
 // cacheHolder returns the reachable endpoint that has the longest prefix of the prompt according to
@@ -155,13 +155,13 @@
 // search starts at a random position: thousands of endpoints may hold a shared prefix, and routers
 // that all took the first one would overload it.
 func (ch *choice) cacheHolderAt(pl *Placer, depth int) *state {
-	among := pl.partIndex.endpoints(ch.prefixes[depth])
-	if len(among) == 0 {
+	holders := pl.partIndex.endpoints(ch.prefixes[depth])
+	if len(holders) == 0 {
 		return nil
 	}
-	from := int(pl.Rand.Uint64() % uint64(len(among)))
-	for ix := range among {
-		st := among[(from+ix)%len(among)]
+	from := int(pl.Rand.Uint64() % uint64(len(holders)))
+	for ix := range holders {
+		st := holders[(from+ix)%len(holders)]
 		if !ch.eligible(pl, st) || !st.canTransfer(ch.now) {
 			continue
 		}
--- a/core/place/region.go
+++ b/core/place/region.go
@@ -8,13 +8,13 @@
 	if !rq.RegionBound {
 		return members
 	}
-	var among []*state
+	var eligible []*state
 	for _, st := range members {
 		if pl.inHomeRegions(rq, st) {
-			among = append(among, st)
+			eligible = append(eligible, st)
 		}
 	}
-	return among
+	return eligible
 }
 
 // inHomeRegions reports whether the endpoint is in one of the request's home regions.
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -65,12 +65,12 @@
 }
 
 // EndpointHash returns the hash that names an incarnation of an endpoint to peers.
-func EndpointHash(id core.EndpointID, start core.Incarnation) uint64 {
+func EndpointHash(id core.EndpointID, incarnation core.Incarnation) uint64 {
 	name := decl.HashName(string(id))
-	if start == 0 {
+	if incarnation == 0 {
 		return name
 	}
-	return ring.Mix(name, uint64(start))
+	return ring.Mix(name, uint64(incarnation))
 }
 
 func (pl *Placer) newState(now time.Time, ep *Endpoint) *state {
--- a/core/place/view.go
+++ b/core/place/view.go
@@ -95,7 +95,7 @@
 func (ch *choice) survey(pl *Placer) {
 	var calls, liveCalls, live, slots, evacuatedCalls int
 	var failureRates float64
-	bounded := true
+	slotsKnown := true
 	settledBefore, startedBefore := ch.now.Add(-settleTime), pl.firstRegistered.Add(startupWindow)
 	for _, st := range ch.members {
 		sc := &st.scratch
@@ -126,7 +126,7 @@
 			liveCalls += st.ownCalls + sc.peerCalls
 			slots += st.Slots
 		}
-		bounded = bounded && st.Slots > 0 // without slots the endpoint's capacity is unknown
+		slotsKnown = slotsKnown && st.Slots > 0 // without slots the endpoint's capacity is unknown
 	}
 	if ch.openCount == 0 {
 		return
@@ -139,7 +139,7 @@
 	meanWithEvacuated := (ch.meanCalls*float64(ch.openCount) + float64(evacuatedCalls)) / float64(ch.openCount+ch.evacuatedCount)
 	ch.capMean = max(meanWithEvacuated, minCapMeanFraction*ch.meanCalls)
 	ch.meanFailureRate = failureRates / float64(ch.openCount)
-	if bounded {
+	if slotsKnown {
 		ch.limitPoolCalls(slots, pl.customerUses[ch.rq.Pool])
 	}
 }
@@ -176,7 +176,7 @@
 	}
 	deadCount := 0
 	// If most endpoints fail, the cause is probably not in the endpoints.
-	passOver := ch.failAllCount > 0 && failAllRatio*float64(ch.failAllCount) <= float64(ch.openCount)
+	skipFailing := ch.failAllCount > 0 && failAllRatio*float64(ch.failAllCount) <= float64(ch.openCount)
 	li := ch.limits(pl)
 	retried := len(ch.rq.Tried) > 0
 	for _, st := range ch.members {
@@ -200,7 +200,7 @@
 			deadCount++
 			continue
 		}
-		if passOver && !st.fastPath && st.health.failsAll(ch.now) {
+		if skipFailing && !st.fastPath && st.health.failsAll(ch.now) {
 			ch.fullCount++ // healthy endpoints have capacity in a moment
 			continue
 		}
@@ -290,11 +290,11 @@
 // and the load cap.
 func (li *limits) hasCapacity(now time.Time, st *state) bool {
 	calls := st.ownCalls + st.scratch.peerCalls
-	capped := li.loadCap
+	loadCap := li.loadCap
 	if !st.fastPath && st.load.Fresh(now, freshWindow) {
-		capped = li.exactCap
+		loadCap = li.exactCap
 	}
-	if st.ownCalls >= li.ownCalls && calls >= li.conns || calls >= capped || st.Slots > 0 && calls >= li.slotFactor*st.Slots {
+	if st.ownCalls >= li.ownCalls && calls >= li.conns || calls >= loadCap || st.Slots > 0 && calls >= li.slotFactor*st.Slots {
 		return false
 	}
 	return st.fastPath || !now.Before(st.fullUntil)
