--- a/core/place/counts_test.go
+++ b/core/place/counts_test.go
@@ -14,13 +14,13 @@
 // chats get some thirty calls each, as when a runner comes into sight.
 func crowd(seed uint64, routers, reportSteps int, owned counts) *surge {
 	const (
-		engines, places, runs = 45, 16, 57
-		usual                 = 5.0 * engines / runs
-		chats                 = 20 * engines
+		engines, slots, callSteps = 45, 16, 57
+		usual                     = 5.0 * engines / callSteps
+		chats                     = 20 * engines
 		// popular chats get a sixth of the calls, each for moment steps.
 		popular, moment = 3, 60
 	)
-	su := newSurge(routers, engines, places, runs)
+	su := newSurge(routers, engines, slots, callSteps)
 	su.seed, su.reportSteps, su.goal, su.counts = seed, reportSteps, 40, owned
 	su.prompt = func(id uint64) []place.Part {
 		return []place.Part{{Hash: id % 12, Tokens: 700}, {Hash: 1000 + id, Tokens: 1300}, {Hash: 1 << 40, Tokens: 360}}
--- a/core/place/fleet_test.go
+++ b/core/place/fleet_test.go
@@ -14,13 +14,13 @@
 // given interval in steps.
 func playLoad(routers, reportSteps int, load float64) callerShares {
 	const (
-		engines, places, runs = 60, 16, 130
-		capacity              = engines * places / float64(runs) // calls per step
-		seeds                 = 2
+		engines, slots, callSteps = 60, 16, 130
+		capacity                  = engines * slots / float64(callSteps) // calls per step
+		seeds                     = 2
 	)
 	var all, inTime, late, lost float64
 	for seed := range uint64(seeds) {
-		su := newSurge(routers, engines, places, runs)
+		su := newSurge(routers, engines, slots, callSteps)
 		su.seed, su.reportSteps, su.counts = 20+seed, reportSteps, &gauge.Table{}
 		su.play(capacity/4, 300)
 		su.all, su.inTime, su.late, su.lost = 0, 0, 0, 0
@@ -39,15 +39,15 @@
 // slots: at a load of 0.7, 0.08 of the callers are late with 25 routers, and 0.01 with 4.
 func TestManyRoutersLearnQueueTimes(t *testing.T) {
 	for _, ca := range []struct {
-		routers, tellSteps int
-		load               float64
-		inTime             float64
+		routers, reportSteps int
+		load                 float64
+		inTime               float64
 	}{
 		{25, 80, 0.7, 0.97},
 		{25, 80, 0.9, 0.7},
 		{100, 900, 0.9, 0.7},
 	} {
-		got := playLoad(ca.routers, ca.tellSteps, ca.load)
+		got := playLoad(ca.routers, ca.reportSteps, ca.load)
 		t.Logf("%d routers, load %.1f: in time %.3f, late %.3f, lost %.3f", ca.routers, ca.load, got.inTime, got.late, got.lost)
 		if got.inTime < ca.inTime {
 			t.Errorf("%d routers, load %.1f: %.3f of the callers were served in time, want at least %.2f", ca.routers, ca.load, got.inTime, ca.inTime)
--- a/core/place/load_test.go
+++ b/core/place/load_test.go
@@ -132,9 +132,9 @@
 	re := newReplay(26, 47)
 	ra := newRand(6)
 	kinds := []struct {
-		perSecond              float64
-		beginnings, chats      uint64
-		beginning, said, steps int
+		perSecond           float64
+		prefixes, chats     uint64
+		prefix, said, steps int
 	}{
 		{286, 8, 509, 341, 1700, 10},
 		{225, 40, 604, 119, 580, 70},
@@ -147,7 +147,7 @@
 					continue
 				}
 				id := uint64(ra.Float64()*float64(ki.chats)) + 1000*uint64(at)
-				begun := place.Part{Hash: 1 + id%ki.beginnings + 100*uint64(at), Tokens: core.Tokens(ki.beginning)}
+				begun := place.Part{Hash: 1 + id%ki.prefixes + 100*uint64(at), Tokens: core.Tokens(ki.prefix)}
 				said := place.Part{Hash: 1000 + id, Tokens: core.Tokens(ki.said)}
 				re.place(t, ra.IntN(26), []place.Part{begun, said, {Hash: 1 << 40, Tokens: 300}}, ki.steps)
 			}
--- a/core/place/starts_test.go
+++ b/core/place/starts_test.go
@@ -152,7 +152,7 @@
 	}
 	one.Register(begin, withIncarnation(0, 200))
 	open := placeCalls(t, two, 9)
-	hear := func() int {
+	applyReports := func() int {
 		one.ApplyLoadReport(begin, "two", two.LoadReport())
 		one.ApplyReadings(begin, 0, two.Readings(begin))
 		one.ApplyMoves(two.Moves(begin, time.Time{}))
@@ -160,7 +160,7 @@
 		defer tk.Done(begin, place.Neutral)
 		return tk.PeerCalls
 	}
-	if others := hear(); others != 0 {
+	if others := applyReports(); others != 0 {
 		t.Errorf("%d calls of an earlier incarnation are counted at the later one", others)
 	}
 	two.Register(begin, withIncarnation(0, 200))
@@ -168,7 +168,7 @@
 		tk.Done(begin, place.Failed)
 	}
 	pick(t, two, begin, newRequest(chat(1, 1)))
-	if others := hear(); others != 1 {
+	if others := applyReports(); others != 1 {
 		t.Errorf("%d calls of the later incarnation, want 1", others)
 	}
 }
--- a/core/place/surge_test.go
+++ b/core/place/surge_test.go
@@ -63,9 +63,9 @@
 	surgeReportSteps = 20
 )
 
-func newSurge(routers, count, slots, runs int) *surge {
+func newSurge(routers, count, slots, callSteps int) *surge {
 	su := &surge{
-		engines:   &engines{slots, runs, map[core.EndpointID][]*caller{}, map[core.EndpointID]int{}, map[int][]*caller{}},
+		engines:   &engines{slots, callSteps, map[core.EndpointID][]*caller{}, map[core.EndpointID]int{}, map[int][]*caller{}},
 		returning: map[int][]*caller{},
 		lostBy:    map[core.CustomerID]int{}, allBy: map[core.CustomerID]int{},
 		reportSteps: surgeReportSteps, goal: goalSteps, seed: 9,
@@ -128,7 +128,7 @@
 	}
 	for id, line := range su.waiting {
 		for len(line) > 0 && su.running[id] < su.slots {
-			su.start(id, line[0])
+			su.startCall(id, line[0])
 			line = line[1:]
 		}
 		su.waiting[id] = line
@@ -153,7 +153,7 @@
 	return from != to && (su.step+turn)%su.reportSteps == 0
 }
 
-func (su *surge) start(id core.EndpointID, ca *caller) {
+func (su *surge) startCall(id core.EndpointID, ca *caller) {
 	ca.tk.RecordActivity(su.now())
 	calls := su.running[id] + len(su.waiting[id])
 	ca.tk.RecordLoad(su.now(), calls)
--- a/core/place/walk_test.go
+++ b/core/place/walk_test.go
@@ -205,13 +205,13 @@
 	for turn := range 5 {
 		at := begin.Add(time.Duration(turn) * gap)
 		pl.ApplyLoadReport(at, "peer", peer.LoadReport())
-		told, _ := pl.PeerCalls(at.Add(gap-time.Millisecond), endpoint(0).ID)
-		if turn > 0 && told != 3 {
-			t.Errorf("report %d: %d calls are counted before the next, want 3", turn, told)
+		reported, _ := pl.PeerCalls(at.Add(gap-time.Millisecond), endpoint(0).ID)
+		if turn > 0 && reported != 3 {
+			t.Errorf("report %d: %d calls are counted before the next, want 3", turn, reported)
 		}
 	}
-	if told, _ := pl.PeerCalls(begin.Add(4*gap+reportTTLIntervals*gap+time.Millisecond), endpoint(0).ID); told != 0 {
-		t.Errorf("%d calls are counted of a peer that has stopped", told)
+	if reported, _ := pl.PeerCalls(begin.Add(4*gap+reportTTLIntervals*gap+time.Millisecond), endpoint(0).ID); reported != 0 {
+		t.Errorf("%d calls are counted of a peer that has stopped", reported)
 	}
 }
 
