--- a/core/crash/doc.go
+++ b/core/crash/doc.go
@@ -2,35 +2,35 @@
 //
 // # Concepts
 //
-// A request that crashes its endpoint comes back as another attempt, by another router, and
-// is sent to the next endpoint. What a router knows of the attempt, or of the endpoint, does
-// not show that it is the same request. A Fingerprint does.
+// A request that crashes its endpoint returns as another attempt, through another router, and
+// is sent to the next endpoint. Nothing that a router knows of the attempt or of the endpoint
+// shows that it is the same request. A Fingerprint does.
 //
-// An attempt whose connection broke off is no proof of a crash: the endpoint may have been
-// slow, or an answer was lost. Breaks keeps such attempts until the endpoint itself turns out
-// to be gone. What was running there then are suspects: one of them may be the cause, the others
-// were beside it by chance.
+// An attempt whose connection broke is no proof of a crash: the endpoint may have been slow, or a
+// response was lost. Interruptions keeps such attempts until the endpoint itself turns out to be
+// gone. The requests that were running there at that time are suspects: one of them may be the
+// cause, the others are bystanders that ran there by chance.
 //
-// A Table counts at how many crashes each suspect was. With the third it is quarantined: no
-// router sends it to an endpoint. Two keepers of the request, on which all routers agree,
-// count for all. A suspect is cleared by any attempt that ends well, and is not counted
-// for a crash at which a quarantined request was. A quarantine ends with an attempt that was
-// under way and ends well, by a trial, or when it lapses.
+// A Table counts the crashes of each suspect. With the third crash the request is quarantined: no
+// router sends it to an endpoint. Two owners of the request, on which all routers agree, count for
+// all of them. A suspect is cleared by any attempt that succeeds, and is not charged with a crash
+// that is attributed to a quarantined request. A quarantine ends when an attempt that was already
+// running succeeds, when a trial succeeds, or when it expires.
 //
 // # Invariants
 //
-//   - A quarantined request is sent again only by trials, two at most in ten minutes, each
+//   - A quarantined request is sent again only in trials, at most two in ten minutes, each
 //     of which one router wins in the platform's store.
-//   - What is kept is bounded whatever callers send.
+//   - The memory used is bounded, whatever callers send.
 //
 // # Usage
 //
-//	fp := blame.Fingerprint(customer, method, host, target, body)
-//	br := &blame.Breaks{}
-//	known := br.Broke(now, blame.Run{Endpoint: hash, Request: fp, Began: began})
-//	crashed := br.Gone(now, hash, blame.Refused)
-//	ta := &blame.Table{}
-//	effects := ta.Crashed(now, hash, crashed)
-//	effects = ta.Hear(now, note)
-//	if ta.Judge(now, fp).Quarantined { ... }
+//	fp := crash.Fingerprint(customer, method, host, target, body)
+//	in := &crash.Interruptions{}
+//	crashed := in.Add(now, crash.Attempt{Endpoint: hash, Request: fp, StartedAt: started})
+//	requests := in.EndpointGone(now, hash, crash.Refused)
+//	ta := &crash.Table{}
+//	effects := ta.EndpointCrashed(now, hash, requests)
+//	effects = ta.ApplyNotice(now, notice)
+//	if ta.Check(now, fp).Quarantined { ... }
 package crash
--- a/core/crash/fingerprint.go
+++ b/core/crash/fingerprint.go
@@ -7,11 +7,11 @@
 	"almondrill/core"
 )
 
-// Fingerprint names a request by its customer, method, host, path with query, and body.
-// Headers do not count: those that differ between attempts would hide that it is the same.
+// Fingerprint identifies a request by its customer, method, host, path with query, and body.
+// Headers are left out: some differ between attempts at the same request.
 //
-// A cryptographic hash keeps a caller from making two requests of one fingerprint, which
-// would let it have another's request refused; the customer is a part of it.
+// A cryptographic hash keeps a caller from constructing two requests with one fingerprint, and
+// with it from having another caller's request refused. The customer is part of the hash.
 func Fingerprint(cu core.CustomerID, method, host, target string, body []byte) core.Fingerprint {
 	ha := sha256.New()
 	for _, field := range []string{string(cu), method, host, target} {
--- a/core/crash/fleet_test.go
+++ b/core/crash/fleet_test.go
@@ -12,26 +12,26 @@
 	"almondrill/core/crash"
 )
 
-var explore = flag.Int("explore", 0, "drawn fleets to play beyond the usual ones")
+var explore = flag.Int("explore", 0, "random fleets to simulate beyond the usual ones")
 
-// A fleet plays routers before endpoints, with requests that crash them, on virtual time.
-// Messages between routers take milliseconds and some are lost. Callers come back with what
-// failed, as new attempts through any router.
+// A fleet simulates routers in front of endpoints, and requests that crash these, in virtual time.
+// Messages between routers take milliseconds and some are lost. Callers retry what failed, as new
+// attempts through any router.
 
-// pattern is what crashes endpoints in a fleet besides, or in place of, a crashing request.
+// pattern is what crashes endpoints in a fleet.
 type pattern struct {
 	name string
-	// causes is how many crashing requests there are, copies how many attempts at each come at
-	// a time, and every how often they come.
+	// causes is the number of crashing requests, copies the number of attempts at each that are sent at
+	// a time, and interval the time between them.
 	causes, copies int
 	interval       time.Duration
 	// crashAfter is how long a crashing request runs.
 	crashAfter time.Duration
-	// outage is the part of the endpoints that crash in one second for no request's reason.
+	// outage is the fraction of the endpoints that crash within one second, caused by no request.
 	outage float64
-	// hot is the part of the harmless requests that are one and the same.
+	// hot is the fraction of the harmless requests that are identical.
 	hot float64
-	// lossRate is the part of the messages that are lost.
+	// lossRate is the fraction of the messages that are lost.
 	lossRate float64
 }
 
@@ -50,15 +50,15 @@
 	fleetRouters   = 6
 	fleetEndpoints = 9
 	fleetDuration  = 60 * time.Second
-	// endpointRestart is how long a crashed endpoint is away.
+	// endpointRestart is how long a crashed endpoint is down.
 	endpointRestart = 3 * time.Second
-	// harmlessInterval is the pause between harmless requests of the fleet; each runs for 0.5 s on
-	// the mean, so that an endpoint has some six at a time.
+	// harmlessInterval is the mean time between harmless requests of the fleet. Each runs for 0.5 s on
+	// average, so that an endpoint has some six at a time.
 	harmlessInterval = 9 * time.Millisecond
-	// maxRetries is how often a caller comes back with what failed, and when.
+	// maxRetries is how often a caller retries a failed request, each time after retryDelay.
 	maxRetries = 3
 	retryDelay = 300 * time.Millisecond
-	// lateAfter is how long after its third crash a request may be sent on without being counted.
+	// lateAfter is how long after its third crash a request may still be sent without being counted.
 	lateAfter = 3 * time.Second
 	// maxLateSends is how many later ones are allowed in all.
 	maxLateSends = 3
@@ -97,17 +97,17 @@
 	routers []*crash.Table
 	store   map[core.Fingerprint]core.Quarantine
 	rev     core.Version
-	// running is by endpoint, nil while it is away; start numbers its starts.
+	// running holds the attempts by endpoint, nil while it is down; starts counts its starts.
 	running [][]*attempt
 	starts  []uint64
 
-	// seen counts what became of the requests.
+	// The fields below record what became of the requests.
 	crashes    map[core.Fingerprint]int
 	thirdCrash map[core.Fingerprint]time.Duration
 	lateSends  map[core.Fingerprint]int
 	harmless   int
 	bystanders map[core.Fingerprint]bool
-	// firstRefused is when a harmless request was first refused, passed when it was first let
+	// firstRefused is when a harmless request was first refused, firstPassed when it was first let
 	// through after that.
 	firstRefused map[core.Fingerprint]time.Duration
 	firstPassed  map[core.Fingerprint]time.Duration
@@ -151,7 +151,7 @@
 
 func (fl *fleet) time() time.Time { return start.Add(fl.now) }
 
-// sendHarmless sends a harmless request, and the next one later.
+// sendHarmless sends a harmless request and schedules the next one.
 func (fl *fleet) sendHarmless() {
 	fl.schedule(time.Duration(fl.ra.ExpFloat64()*float64(harmlessInterval)), fl.sendHarmless)
 	fl.harmless++
@@ -162,7 +162,7 @@
 	fl.send(&attempt{fp: fp, retriesLeft: maxRetries})
 }
 
-// sendCause sends a crashing request, and again for as long as the fleet lasts.
+// sendCause sends a crashing request, again and again until the fleet ends.
 func (fl *fleet) sendCause(fp core.Fingerprint) {
 	fl.schedule(fl.interval, func() { fl.sendCause(fp) })
 	for range fl.copies {
@@ -170,7 +170,7 @@
 	}
 }
 
-// send brings an attempt to a router, and on to an endpoint if the router lets it through.
+// send sends an attempt to a router, and on to an endpoint if the router lets it through.
 func (fl *fleet) send(at *attempt) {
 	at.router = fl.ra.IntN(fleetRouters)
 	ve := fl.routers[at.router].Check(fl.time(), at.fp)
@@ -204,7 +204,7 @@
 	fl.schedule(lasts, func() { fl.finish(endpoint, at) })
 }
 
-// winTrial replaces an entry of the store, if it is as the router knew it.
+// winTrial writes a further trial to the store if its entry is the one that the router knows.
 func (fl *fleet) winTrial(router int, en core.Quarantine) bool {
 	if fl.store[en.Request].Rev != en.Rev {
 		return false
@@ -215,7 +215,7 @@
 	return true
 }
 
-// writeEntry puts an entry into the store; all routers hear of it within 0.3 s.
+// writeEntry puts an entry into the store; all routers learn of it within 0.3 s.
 func (fl *fleet) writeEntry(en core.Quarantine) {
 	fl.rev++
 	en.Rev = fl.rev
@@ -225,7 +225,7 @@
 	}
 }
 
-// finish ends an attempt whose time has come: it crashes its endpoint, or ends well.
+// finish ends an attempt: it crashes its endpoint, or succeeds.
 func (fl *fleet) finish(endpoint int, at *attempt) {
 	switch {
 	case at.finished:
@@ -252,7 +252,7 @@
 	}
 }
 
-// crash ends an endpoint with all that runs there. Each router finds out a few ms later.
+// crash ends an endpoint with all that runs there. Each router notices a few ms later.
 func (fl *fleet) crash(endpoint int) {
 	ran := fl.running[endpoint]
 	if ran == nil {
@@ -290,7 +290,7 @@
 	}
 }
 
-// apply sends what a router has to tell, and writes what it decided.
+// apply sends and stores what follows from a change at a router.
 func (fl *fleet) apply(router int, ef crash.Effects) {
 	for _, no := range ef.ToOwners {
 		owner := int(no.Request[1]) % fleetRouters
@@ -324,7 +324,7 @@
 	fl.schedule(time.Duration(1+fl.ra.IntN(5))*time.Millisecond, func() { fl.apply(to, fl.routers[to].ApplyNote(fl.time(), no)) })
 }
 
-// tick writes what was decided and is not in the store.
+// tick stores decisions that are not in the store yet.
 func (fl *fleet) tick() {
 	fl.schedule(time.Second, fl.tick)
 	for ix := range fl.routers {
@@ -345,9 +345,9 @@
 	}
 }
 
-// Endpoints crash, under requests that cause it and without any. Each cause is stopped with
-// its third crash but for what is allowed, and whoever was beside it is let through, or is
-// served again by the first trial.
+// Endpoints crash, with and without requests that cause it. Each cause has to be stopped with its
+// third crash, but for maxLateSends, and bystanders have to be let through, or served again after
+// the first trial.
 func TestRandomFleets(t *testing.T) {
 	for _, pa := range patterns {
 		t.Run(pa.name, func(t *testing.T) {
@@ -359,7 +359,7 @@
 				fl.run()
 				for fp, count := range fl.lateSends {
 					if count > maxLateSends {
-						t.Errorf("seed %d: %s was sent on %d times, %d crashes", seed, fp, count, fl.crashes[fp])
+						t.Errorf("seed %d: %s was sent %d times too late, %d crashes", seed, fp, count, fl.crashes[fp])
 					}
 				}
 				bystanders += len(fl.bystanders)
@@ -375,10 +375,10 @@
 					}
 				}
 			}
-			t.Logf("%d requests beside a crash, %d refused wrongly, %d of them for longer than %s, %s at most",
+			t.Logf("%d bystanders of a crash, %d refused wrongly, %d of them for longer than %s, %s at most",
 				bystanders, refused, lasting, callerTimeout, longest.Round(time.Millisecond))
 			if part := float64(lasting) / math.Max(1, float64(bystanders)); part > maxLasting {
-				t.Errorf("%.5f of those beside a crash are refused beyond their callers' patience, at most %.5f allowed", part, maxLasting)
+				t.Errorf("%.5f of the bystanders are refused for longer than their callers wait, at most %.5f allowed", part, maxLasting)
 			}
 			if longest > maxRefusedFor {
 				t.Errorf("refused wrongly for %s, at most %s allowed", longest, maxRefusedFor)
@@ -388,11 +388,11 @@
 }
 
 const (
-	// callerTimeout is how long callers wait, with their returns, and mostLasting the part of the
-	// requests beside a crash that may be refused wrongly for longer.
+	// callerTimeout is how long callers wait, including retries, and maxLasting the fraction of the
+	// bystanders that may be refused wrongly for longer.
 	callerTimeout = 10 * time.Second
 	maxLasting    = 0.001
-	// maxRefusedFor is the pause before the first trial, with the return of the caller and
-	// its run.
+	// maxRefusedFor covers the delay before the first trial, the caller's next retry, and the
+	// execution of the trial.
 	maxRefusedFor = 30 * time.Second
 )
--- a/core/crash/interruptions.go
+++ b/core/crash/interruptions.go
@@ -8,17 +8,17 @@
 	"almondrill/core"
 )
 
-// Evidence tells by what an endpoint was found to be gone.
+// Evidence is how an endpoint was found to be gone.
 type Evidence uint8
 
 const (
-	// Refused: it refuses connections.
+	// Refused: the endpoint refuses connections.
 	Refused Evidence = iota + 1
-	// Replaced: another process has registered in its place.
+	// Replaced: another process has registered in the endpoint's place.
 	Replaced
 )
 
-// String is the name used in logs.
+// String returns the name used in logs.
 func (ev Evidence) String() string {
 	if ev == Refused {
 		return "Refused"
@@ -27,39 +27,40 @@
 }
 
 const (
-	// refusedWindow is how long before an endpoint refused connections it may have crashed.
+	// refusedWindow is how long before it refused a connection an endpoint may have crashed.
 	refusedWindow = time.Second
-	// crashSpread is how far attempts break off from each other that end with a crash: all
-	// connections end at once, and a busy router reads that some time later.
+	// crashSpread is the longest time between attempts interrupted by the same crash: all
+	// connections break at once, but a busy router reads some of them later.
 	crashSpread = 200 * time.Millisecond
-	// replacedWindow is the same for an endpoint that is replaced: one that went silent is
-	// started again within seconds.
+	// replacedWindow is how long before it was replaced an endpoint may have crashed: one that
+	// stops responding is restarted within seconds.
 	replacedWindow = 10 * time.Second
-	// maxEndpoints and mostRuns bound what is kept: endpoints at which attempts broke off
-	// lately, and attempts at each.
+	// maxEndpoints and maxAttempts bound the endpoints with recent interruptions, and the
+	// attempts remembered for each.
 	maxEndpoints = 1024
 	maxAttempts  = 256
 )
 
-// Attempt is an attempt at an endpoint, which is named by the hash of its id and start.
+// Attempt is an attempt to run a request at an endpoint. The endpoint is named by the hash of its
+// ID and start.
 type Attempt struct {
 	Endpoint  uint64
 	Request   core.Fingerprint
 	StartedAt time.Time
 }
 
-// Interruptions keeps a router's attempts that broke off until it is known whether their endpoints
+// Interruptions keeps a router's interrupted attempts until it is known whether their endpoints
 // are gone. It is safe for concurrent use; the zero value is ready.
 type Interruptions struct {
 	mu        sync.Mutex // guards all below
 	endpoints map[uint64]*endpointRecord
 }
 
-// endpointRecord is what broke off at one endpoint.
+// endpointRecord holds the interrupted attempts of one endpoint.
 type endpointRecord struct {
 	updatedAt time.Time
-	// goneAt is when it was found to be gone, the zero time if it was not; crashed is when the
-	// first attempt had broken off then.
+	// goneAt is when the endpoint was found to be gone, zero if it was not; crashedAt is the time
+	// of the first interruption of that crash.
 	goneAt, crashedAt time.Time
 	attempts          []interruptedAttempt
 }
@@ -69,8 +70,8 @@
 	startedAt, interruptedAt time.Time
 }
 
-// Add notes that an attempt broke off. It returns true if its endpoint is known to be gone
-// since, so that it was running there.
+// Add records an interrupted attempt. It returns true if the endpoint is already known to have
+// crashed while the attempt was running.
 func (in *Interruptions) Add(now time.Time, at Attempt) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -84,12 +85,12 @@
 	return false
 }
 
-// EndpointGone notes that an endpoint is gone, and returns the requests that were running there when
-// it crashed.
+// EndpointGone records that an endpoint is gone and returns the requests that were running there
+// when it crashed.
 //
-// Failure: half of the endpoints crash in one moment, and a request goes from one to the next
-// of them on connections that are kept, within milliseconds. It was not running at those to
-// which it came after others had broken off there, and would be taken for the cause.
+// Failure: half of the endpoints crash at once, and within milliseconds a request is sent from one
+// to the next of them over kept-alive connections. It was not running at an endpoint that it
+// reached after other attempts had been interrupted there, and must not be taken for the cause.
 func (in *Interruptions) EndpointGone(now time.Time, endpoint uint64, ev Evidence) []core.Fingerprint {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -104,7 +105,7 @@
 	re.attempts = slices.DeleteFunc(re.attempts, func(ru interruptedAttempt) bool { return ru.interruptedAt.Before(since) })
 	var crashed []core.Fingerprint
 	for _, ru := range re.attempts {
-		// The first of the runs is that which broke off first.
+		// attempts[0] is the one that was interrupted first.
 		if ru.startedAt.Before(re.attempts[0].interruptedAt) && !slices.Contains(crashed, ru.request) {
 			crashed = append(crashed, ru.request)
 		}
@@ -117,8 +118,8 @@
 	return crashed
 }
 
-// crashStart is from when on attempts broke off with a crash that shows now. What broke off
-// before, such as by a lost answer, has nothing to do with it.
+// crashStart returns the time from which on interruptions belong to a crash discovered now.
+// Earlier ones, such as a lost response, are unrelated to it.
 func (re *endpointRecord) crashStart(now time.Time) time.Time {
 	since := now.Add(-refusedWindow)
 	for _, ru := range re.attempts {
@@ -129,8 +130,8 @@
 	return since
 }
 
-// Pending tells whether attempts broke off at an endpoint of which it is not known whether it
-// is gone.
+// Pending reports whether an endpoint has interrupted attempts of which it is not yet known
+// whether the endpoint crashed.
 func (in *Interruptions) Pending(endpoint uint64) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -138,7 +139,8 @@
 	return re != nil && len(re.attempts) > 0
 }
 
-// recordOf is what is kept of an endpoint.
+// recordOf returns the record of an endpoint, which it makes if there is none, and empties if it was
+// last used more than replacedWindow ago.
 func (in *Interruptions) recordOf(now time.Time, endpoint uint64) *endpointRecord {
 	re := in.endpoints[endpoint]
 	if re == nil {
@@ -153,7 +155,7 @@
 	return re
 }
 
-// evict makes room for one more endpoint.
+// evict frees a slot for one more endpoint.
 func (in *Interruptions) evict(now time.Time) {
 	if in.endpoints == nil {
 		in.endpoints = map[uint64]*endpointRecord{}
@@ -167,7 +169,7 @@
 		}
 	}
 	if len(in.endpoints) >= maxEndpoints {
-		// So many at once are no crash of one request.
+		// Crashes of so many endpoints at once are not caused by a single request.
 		in.endpoints = map[uint64]*endpointRecord{}
 	}
 }
--- a/core/crash/interruptions_test.go
+++ b/core/crash/interruptions_test.go
@@ -23,34 +23,33 @@
 	return crash.Attempt{Endpoint: endpoint, Request: fp, StartedAt: after(beganMs)}
 }
 
-// Two requests break off at an endpoint, and the next connection is refused: both were
-// running there when it crashed, and so was a third whose end is read a moment later. One
-// that is sent afterwards, to the endpoint that is back, was not.
+// Guards against requests that are missed, or wrongly suspected, at a crash: those interrupted before
+// the first refused connection were running, and so was one whose interruption is read a moment
+// later. A request sent afterwards to the restarted endpoint was not.
 func TestAttemptsRunningAtACrash(t *testing.T) {
 	br := &crash.Interruptions{}
 	if br.Add(after(100), newAttempt(first, 0)) || br.Add(after(101), newAttempt(second, 50)) {
-		t.Error("a crash was known before anything told of it")
+		t.Error("a crash was reported before there was evidence of it")
 	}
 	if !br.Pending(endpoint) {
-		t.Error("nothing waits to be told of the endpoint")
+		t.Error("no interrupted attempts are pending for the endpoint")
 	}
 	if got := br.EndpointGone(after(103), endpoint, crash.Refused); len(got) != 2 || got[0] != first || got[1] != second {
 		t.Errorf("crashed: %v, want both", got)
 	}
 	if !br.Add(after(105), newAttempt(core.Fingerprint{3}, 90)) {
-		t.Error("an attempt that ended with the endpoint is not known to have run")
+		t.Error("an attempt that ended with the endpoint is not reported as running at the crash")
 	}
 	if br.Add(after(900), newAttempt(first, 500)) {
-		t.Error("an attempt at the endpoint that is back counts for its end before")
+		t.Error("an attempt at the restarted endpoint is attributed to the earlier crash")
 	}
 	if got := br.EndpointGone(after(905), endpoint, crash.Refused); len(got) != 1 || got[0] != first {
 		t.Errorf("crashed again: %v, want the first", got)
 	}
 }
 
-// An answer is lost, and five seconds later the endpoint crashes for another reason: what
-// broke off then was not running. If the endpoint had gone silent, it would be replaced
-// after such a time.
+// Guards against suspecting a request whose response was lost 5 s before the endpoint crashed for
+// another reason. Only an endpoint that stopped responding is replaced after such a time.
 func TestInterruptionLongBeforeACrash(t *testing.T) {
 	br := &crash.Interruptions{}
 	br.Add(after(0), newAttempt(first, -50))
@@ -59,7 +58,7 @@
 	}
 	br.Add(after(20000), newAttempt(first, 19000))
 	if got := br.EndpointGone(after(25000), endpoint, crash.Replaced); len(got) != 1 {
-		t.Errorf("crashed in silence: %v, want the one", got)
+		t.Errorf("crashed without refusing connections: %v, want the one", got)
 	}
 	br.Add(after(60000), newAttempt(first, 59000))
 	if got := br.EndpointGone(after(71000), endpoint, crash.Replaced); len(got) != 0 {
@@ -67,8 +66,9 @@
 	}
 }
 
-// Half of a pool crashes in one moment. A request that broke off elsewhere is sent, on a kept
-// connection, to an endpoint that has just crashed too: it was not running there.
+// Guards against suspecting a request that came after the crash: half of a pool crashes at once, and a
+// request that was interrupted elsewhere is sent over a kept-alive connection to an endpoint that
+// has just crashed too.
 func TestRequestSentAfterTheCrashIsNotSuspected(t *testing.T) {
 	br := &crash.Interruptions{}
 	br.Add(after(100), newAttempt(first, 0))
@@ -78,9 +78,9 @@
 	}
 }
 
-// An answer is lost at an endpoint that lives on, and a moment later a request crashes it: only
-// that one was running. On a day of lost answers every crash has such a break before it, and
-// would be laid to it while the cause goes on.
+// Guards against attributing a crash to a response lost shortly before it: only the later request was
+// running. When many responses are lost, every crash is preceded by such an interruption, which
+// would be suspected while the cause goes on.
 func TestInterruptionJustBeforeACrashIsUnrelated(t *testing.T) {
 	br := &crash.Interruptions{}
 	br.Add(after(0), newAttempt(first, -100))
@@ -90,7 +90,7 @@
 	}
 }
 
-// The fingerprint of a request is that of what it asks, not of how its fields run together.
+// The fingerprint depends on each field, not on the concatenation of the fields.
 func TestFingerprintDistinguishesRequests(t *testing.T) {
 	one := crash.Fingerprint("herb", "POST", "site.example", "/a/b?c", []byte("body"))
 	if one != crash.Fingerprint("herb", "POST", "site.example", "/a/b?c", []byte("body")) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// BenchmarkFingerprint is what each request pays, by the length of its body.
+// BenchmarkFingerprint measures the cost for each request, by the length of its body.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 64 << 10, 1 << 20} {
 		b.Run(fmt.Sprint("bytes=", size), func(b *testing.B) {
--- a/core/crash/quarantine.go
+++ b/core/crash/quarantine.go
@@ -8,49 +8,50 @@
 	"almondrill/core"
 )
 
-// Pauses before a quarantined request may be tried on one endpoint: a second time after the
-// first trial crashed it. A request that is quarantined wrongly is served again at its first
-// return after the pause; one that is not costs an endpoint each time. Where it is in doubt that
-// the request is the cause, the first trial shows it before its caller gives up.
+// Delays before the first trial of a quarantined request at one endpoint, and before the second if
+// the first crashed that endpoint. A wrongly quarantined request is served again when it returns
+// after the delay; one that is the cause costs an endpoint each time. Where it is uncertain whether
+// the request is the cause, the first trial comes before its caller gives up.
 var (
 	trialDelays          = [maxTrials]time.Duration{20 * time.Second, 2 * time.Minute}
 	uncertainTrialDelays = [maxTrials]time.Duration{time.Second, 20 * time.Second}
 )
 
 const (
-	// maxCrashesForTrial is at how many crashes a quarantined request may have been to be tried
-	// again. Three beyond mostCrashes are to be the most that one costs, and a crash may be
-	// unknown, as its router ended too.
+	// maxCrashesForTrial is the highest crash count at which a quarantined request is tried again.
+	// A request should cost at most three crashes beyond crashesToQuarantine, and a crash may be
+	// unknown because its router stopped as well.
 	maxCrashesForTrial = 4
-	// maxTrials bounds how often a quarantined request is tried.
+	// maxTrials bounds the trials of a quarantined request.
 	maxTrials = 2
-	// trialSpacing is between the trials of requests of one doubt.
+	// trialSpacing separates the first trials of uncertain requests that share crashes.
 	trialSpacing = 2 * time.Second
-	// outageWindow is within what time several endpoints may crash for one reason, such as a rack
-	// that loses power.
+	// outageWindow is the time within which several endpoints may crash for one common reason,
+	// such as a rack that loses power.
 	outageWindow = 2 * time.Second
-	// maxTrialTurns bounds how many requests of one doubt are tried one after the other.
+	// maxTrialTurns bounds how many requests that share crashes are tried one after the other.
 	maxTrialTurns = 4
 )
 
-// quarantine is a request that is not sent to endpoints.
+// quarantine is the state of a request that is not sent to endpoints.
 type quarantine struct {
 	crashes []core.Crash
-	// since is when this router learned of it, or of its last trial.
+	// since is when this router learned of the quarantine, or of its last trial.
 	since  time.Time
 	trials int
-	// storedCrashes is at how many crashes it was as the store's entry tells, where this router knows
-	// of fewer.
+	// storedCrashes is the crash count in the store's entry, which may exceed the crashes
+	// known to this router.
 	storedCrashes int
 	rev           core.Version
-	// entryLost is set while the store has lost its entry.
+	// entryLost is set while the store has lost the entry.
 	entryLost bool
-	// decidedHere is set if this router decided it, told is when a peer last told of it.
+	// decidedHere is set if this router decided the quarantine; notifiedAt is when a peer last
+	// sent it.
 	decidedHere bool
 	notifiedAt  time.Time
 }
 
-// add notes a further crash; false if it is known.
+// add records a further crash and returns false if it is already known or there are too many.
 func (qu *quarantine) add(cr core.Crash) bool {
 	if containsCrash(qu.crashes, cr) || len(qu.crashes) >= maxListedCrashes {
 		return false
@@ -59,14 +60,15 @@
 	return true
 }
 
-// crashCount is at how many crashes it was.
+// crashCount returns the number of crashes at which the request was running.
 func (qu *quarantine) crashCount() int { return max(qu.storedCrashes, len(qu.crashes)) }
 
 func (qu *quarantine) note(fp core.Fingerprint) core.BlameNote {
 	return core.BlameNote{Kind: core.BlameQuarantined, Request: fp, Crashes: slices.Clone(qu.crashes)}
 }
 
-// ensureQuarantine is a request's quarantine, begun if there is none; nil if there are too many.
+// ensureQuarantine returns the quarantine of a request, which it begins if there is none. It returns
+// nil if there are too many.
 func (ta *Table) ensureQuarantine(now time.Time, fp core.Fingerprint, ef *Effects) *quarantine {
 	if qu := ta.quarantined[fp]; qu != nil {
 		return qu
@@ -92,9 +94,9 @@
 	}
 }
 
-// uncertain tells whether a quarantined request may be innocent: all its crashes came at once, or
-// other quarantined requests were at each of them too. turn is how many of these come before
-// it, as they are tried one after the other: two that are tried at a time could meet again.
+// uncertain reports whether a quarantined request may be a bystander: its crashes came all at once,
+// or other quarantined requests were running at each of them as well. turn is the number of those
+// requests that are tried before this one: two that are tried at the same time could meet again.
 func (ta *Table) uncertain(fp core.Fingerprint, qu *quarantine) (turn int, unsure bool) {
 	shared := make([]bool, len(qu.crashes))
 	for other, qo := range ta.quarantined {
@@ -115,7 +117,7 @@
 	return min(turn, maxTrialTurns-1), unsure
 }
 
-// inOneOutage tells whether the crashes may be one outage.
+// inOneOutage reports whether the crashes may belong to one outage.
 func inOneOutage(crashes []core.Crash) bool {
 	first := slices.MinFunc(crashes, byTime)
 	last := slices.MaxFunc(crashes, byTime)
@@ -124,7 +126,8 @@
 
 func byTime(a, b core.Crash) int { return a.At.Compare(b.At) }
 
-// trialDelay is how long the request is quarantined before it is tried; false if it is not.
+// trialDelay returns how long the request is quarantined before its next trial; false if there is
+// none.
 func (ta *Table) trialDelay(fp core.Fingerprint, qu *quarantine) (time.Duration, bool) {
 	if qu.trials >= maxTrials || qu.crashCount() > maxCrashesForTrial {
 		return 0, false
@@ -139,12 +142,12 @@
 	return uncertainTrialDelays[qu.trials], true
 }
 
-// entry is what the store is to have of it.
+// entry returns the quarantine as it is to be stored.
 func (qu *quarantine) entry(fp core.Fingerprint) core.Quarantine {
 	return core.Quarantine{Request: fp, Trials: qu.trials, Crashes: qu.crashCount(), Rev: qu.rev}
 }
 
-// expired tells that a quarantine has lapsed. Entries of the store lapse there.
+// expired reports whether the quarantine has expired. Entries in the store expire there.
 func (qu *quarantine) expired(now time.Time) bool {
 	if qu.rev == 0 && !qu.decidedHere && !qu.entryLost {
 		return now.Sub(qu.notifiedAt) > unstoredTTL
--- a/core/crash/successes.go
+++ b/core/crash/successes.go
@@ -7,11 +7,11 @@
 	"almondrill/core"
 )
 
-// successSlots is how many requests that ended are remembered, 64 KB: those of the last minute
-// at 60 a second. A later one takes the place of an earlier one.
+// successSlots is how many successful requests are remembered, in 64 KB: those of the last minute
+// at 60 a second. A later request overwrites an earlier one of the same slot.
 const successSlots = 4096
 
-// recentSuccesses remembers which requests ended well lately, and when.
+// recentSuccesses remembers which requests succeeded recently, and when.
 type recentSuccesses struct{ slots []successSlot }
 
 type successSlot struct {
@@ -19,7 +19,7 @@
 	at      int64 // ns of the Unix epoch
 }
 
-// record takes that a request ended.
+// record stores the time at which a request succeeded.
 func (re *recentSuccesses) record(fp core.Fingerprint, at time.Time) {
 	if re.slots == nil {
 		re.slots = make([]successSlot, successSlots)
@@ -28,7 +28,7 @@
 	re.slots[short%successSlots] = successSlot{short, at.UnixNano()}
 }
 
-// succeededSince tells whether the request is known to have ended since then.
+// succeededSince reports whether the request is known to have succeeded at or after then.
 func (re *recentSuccesses) succeededSince(fp core.Fingerprint, then time.Time) bool {
 	if re.slots == nil {
 		return false
--- a/core/crash/suspect.go
+++ b/core/crash/suspect.go
@@ -7,16 +7,18 @@
 	"almondrill/core"
 )
 
-// attribution is a crash at which a quarantined request was, and at how many that was.
+// attribution is a crash for which a quarantined request is held responsible, with the number of
+// that request's crashes.
 type attribution struct {
 	at      time.Time
 	crashes int
 }
 
-// suspect is a request that was running at endpoints that crashed.
+// suspect is a request that was running at endpoints when they crashed.
 type suspect struct{ crashes []core.Crash }
 
-// ensureSuspect is what is held against a request, made if there is nothing yet.
+// ensureSuspect returns the record of a suspected request, which it makes if there is none. Crashes
+// older than recordTTL are dropped from it.
 func (ta *Table) ensureSuspect(now time.Time, fp core.Fingerprint) *suspect {
 	su := ta.suspects[fp]
 	if su != nil {
@@ -34,7 +36,7 @@
 	return su
 }
 
-// evictSuspects makes room: those with a single crash go, and all if that is not enough.
+// evictSuspects frees capacity: first the suspects with a single crash, then all if necessary.
 func (ta *Table) evictSuspects() {
 	for fp, su := range ta.suspects {
 		if len(su.crashes) < 2 {
@@ -46,14 +48,15 @@
 	}
 }
 
-// containsCrash tells whether the crash is one of them, that another router tells of.
+// containsCrash reports whether the crash is among the given ones, perhaps as reported by another
+// router.
 func containsCrash(crashes []core.Crash, cr core.Crash) bool {
 	return slices.ContainsFunc(crashes, func(other core.Crash) bool {
 		return other.Endpoint == cr.Endpoint && cr.At.Sub(other.At).Abs() < sameCrashWindow
 	})
 }
 
-// attribute notes the crashes at which a quarantined request was.
+// attribute records that a quarantined request was running at these crashes.
 func (ta *Table) attribute(crashes []core.Crash) {
 	if ta.attributed == nil || len(ta.attributed) >= maxAttributed {
 		ta.attributed = map[uint64]attribution{}
@@ -66,12 +69,13 @@
 	}
 }
 
-// unattributed is at how many crashes a suspect was that no quarantined request was at which
-// was at more.
+// unattributed returns the number of a suspect's crashes that are not attributed to a quarantined
+// request with more crashes.
 //
-// Failure: with each endpoint that a request crashes, all others that were running there break
-// off and come again, and may meet it at the next. Counted like it, they would be refused too.
-// One that was at as many crashes may be the cause itself: only the trials can tell.
+// Failure: when a request crashes an endpoint, all other requests running there are interrupted and
+// retried, and may meet it again at the next endpoint. If these crashes counted against them, they
+// would be quarantined too. A request with as many crashes as the quarantined one may be the cause
+// itself, which only trials can show.
 func (ta *Table) unattributed(su *suspect) int {
 	count := 0
 	for _, cr := range su.crashes {
--- a/core/crash/table.go
+++ b/core/crash/table.go
@@ -10,53 +10,55 @@
 )
 
 const (
-	// crashesToQuarantine is how many endpoints a request may crash before it is quarantined. A
-	// request that ran beside the cause by chance is rarely there three times.
+	// crashesToQuarantine is the number of crashes with which a request is quarantined. A
+	// bystander of the cause is rarely there three times by chance.
 	crashesToQuarantine = 3
-	// totalCrashesToQuarantine is at how many crashes a request may be that others explain: two causes
-	// that run side by side would explain each other's.
+	// totalCrashesToQuarantine is the number of crashes with which a request is quarantined even if
+	// they are attributed to other requests: two causes that run side by side would excuse each
+	// other.
 	totalCrashesToQuarantine = 5
-	// sameCrashWindow is within what time two crashes of the same endpoint are one that several
-	// routers tell of.
+	// sameCrashWindow is the time within which crashes of one endpoint, reported by several
+	// routers, count as one.
 	sameCrashWindow = 2 * time.Second
-	// successWindow is how long before a crash a request may have ended well, anywhere, to be
-	// innocent of it: identical requests of which many run at a time have others that end.
+	// successWindow is how long before a crash a success of the request, at any endpoint, clears
+	// it: when many identical requests run at a time, others of them succeed.
 	successWindow = 5 * time.Second
-	// recordTTL is how long a request is suspected, or quarantined, that does not come again.
+	// recordTTL is how long a request that does not return stays suspected or quarantined.
 	recordTTL = 10 * time.Minute
-	// unstoredTTL is how long a quarantine lasts at a router that was only told of it by a
-	// peer. The peer tells again every second until the store has it.
+	// unstoredTTL is how long a router keeps a quarantine that it knows only from a peer. The
+	// peer repeats it every second until the store has it.
 	unstoredTTL = 30 * time.Second
-	// maxSuspects and mostQuarantined bound what is kept, 0.5 MB and 50 KB. A crash makes
-	// suspects of some 20 requests; a request is quarantined once in three crashes at most.
+	// maxSuspects and maxQuarantined bound the records, to 0.5 MB and 50 KB. A crash makes some 20
+	// requests suspects; at most one request is quarantined for every three crashes.
 	maxSuspects    = 4096
 	maxQuarantined = 256
-	// maxListedCrashes bounds the crashes that are kept, and told, of one request.
+	// maxListedCrashes bounds the crashes that are kept, and sent to peers, for one request.
 	maxListedCrashes = 8
-	// maxAttributed bounds the crashes that are remembered to have a cause.
+	// maxAttributed bounds the crashes that are remembered as attributed.
 	maxAttributed = 1024
 )
 
-// Effects are what a router has to do for what it heard or saw.
+// Effects are the actions that a router has to take after a change of the Table.
 type Effects struct {
-	// ToOwners are for the routers that count the crashes of the request, ToAll for all.
+	// ToOwners are sent to the owners of the request, which count its crashes, ToAll to all
+	// routers.
 	ToOwners []core.BlameNote
 	ToAll    []core.BlameNote
-	// Remove are entries of the platform's store that hold no longer.
+	// Remove are entries of the platform's store that are no longer valid.
 	Remove []core.Quarantine
-	// Quarantined are requests that are quarantined from now on, Over those that are not any more.
+	// Quarantined are the newly quarantined requests, Released those whose quarantine has ended.
 	Quarantined, Released []core.Fingerprint
 }
 
-// Verdict tells whether a request may be sent to an endpoint.
+// Verdict is the decision whether a request may be sent to an endpoint.
 type Verdict struct {
 	Quarantined bool
-	// RetryAfter is when it might be tried.
+	// RetryAfter is the time until the request may be tried.
 	RetryAfter time.Duration
-	// Trial is set if it may be sent once, by the router that replaces Entry in the
+	// Trial is set if the request may be sent once, by the router that replaces Entry in the
 	// platform's store by one with a further trial.
 	Trial bool
-	// Renew is set if Entry is to be written again, or it will lapse.
+	// Renew is set if Entry has to be written again to keep it from expiring.
 	Renew bool
 	Entry core.Quarantine
 }
@@ -64,19 +66,19 @@
 // Table is what a router knows of requests that crash endpoints. It is safe for concurrent
 // use; the zero value is ready.
 type Table struct {
-	// quarantineCount is the number of quarantined requests, so that as a rule a request is
-	// let through without the lock.
+	// quarantineCount is the number of quarantined requests. While it is 0, which is usual,
+	// requests pass without taking the lock.
 	quarantineCount atomic.Int32
 
 	mu          sync.Mutex // guards all below
 	successes   recentSuccesses
 	suspects    map[core.Fingerprint]*suspect
 	quarantined map[core.Fingerprint]*quarantine
-	// attributed are crashes at which a quarantined request was, by endpoint.
+	// attributed holds the latest crash attributed to a quarantined request, by endpoint.
 	attributed map[uint64]attribution
 }
 
-// EndpointCrashed takes that an endpoint crashed while it ran requests of this router.
+// EndpointCrashed records that an endpoint crashed while it ran requests of this router.
 func (ta *Table) EndpointCrashed(now time.Time, endpoint uint64, requests []core.Fingerprint) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -92,7 +94,7 @@
 	return ef
 }
 
-// Succeeded takes that an attempt ended well: the request does not crash endpoints.
+// Succeeded records that an attempt succeeded, which shows that the request crashes no endpoint.
 func (ta *Table) Succeeded(now time.Time, fp core.Fingerprint) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -100,7 +102,7 @@
 	return ta.clear(fp)
 }
 
-// Lift ends the quarantine of a request; false if it has none.
+// Lift ends the quarantine of a request and returns false if there was none.
 func (ta *Table) Lift(fp core.Fingerprint) (Effects, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -108,7 +110,7 @@
 	return ta.clear(fp), was
 }
 
-// clear takes back what is held against a request.
+// clear drops all suspicion against a request, and its quarantine.
 func (ta *Table) clear(fp core.Fingerprint) Effects {
 	var ef Effects
 	cleared := core.BlameNote{Kind: core.BlameCleared, Request: fp}
@@ -125,7 +127,7 @@
 	return ef
 }
 
-// ApplyNote takes a peer's note.
+// ApplyNote applies a peer's note.
 func (ta *Table) ApplyNote(now time.Time, no core.BlameNote) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -157,7 +159,8 @@
 	return ef
 }
 
-// succeededBefore tells whether this router saw the request end around the time of its first crash.
+// succeededBefore reports whether this router saw the request succeed after, or shortly before, the
+// first crash in the note.
 func (ta *Table) succeededBefore(no core.BlameNote) bool {
 	if len(no.Crashes) == 0 {
 		return false
@@ -166,8 +169,8 @@
 	return ta.successes.succeededSince(no.Request, first.At.Add(-successWindow))
 }
 
-// recordCrash adds a crash to what is held against a request, and quarantines it with the last that
-// is allowed.
+// recordCrash adds a crash to the record of a request and quarantines the request once there are too
+// many.
 func (ta *Table) recordCrash(now time.Time, fp core.Fingerprint, cr core.Crash, ef *Effects) {
 	if qu := ta.quarantined[fp]; qu != nil {
 		if qu.add(cr) {
--- a/core/crash/table_test.go
+++ b/core/crash/table_test.go
@@ -9,7 +9,7 @@
 	"almondrill/core/crash"
 )
 
-// quarantined tells what a router judges of a request.
+// quarantined returns whether a router quarantines a request.
 func quarantined(ta *crash.Table, now time.Time, fp core.Fingerprint) bool {
 	return ta.Check(now, fp).Quarantined
 }
@@ -23,7 +23,7 @@
 }
 
 // crashThreeEndpoints has a request crash three endpoints of one router, at 0, 1 and 2 s, and
-// returns what follows from the third.
+// returns the effects of the third crash.
 func crashThreeEndpoints(ta *crash.Table, fp core.Fingerprint) crash.Effects {
 	var ef crash.Effects
 	for ix := range 3 {
@@ -32,8 +32,8 @@
 	return ef
 }
 
-// Three endpoints crash under a request, each seen by another router. The one that counts
-// for it hears of all three and tells all; a fourth router refuses it from then on.
+// Three endpoints crash under a request, each seen by another router. The owner of the request
+// receives all three notes and notifies all; a fourth router refuses it from then on.
 func TestThirdCrashQuarantinesEverywhere(t *testing.T) {
 	routers := []*crash.Table{{}, {}, {}, {}}
 	owner := routers[3]
@@ -41,13 +41,13 @@
 	for ix := range 3 {
 		ef := routers[ix].EndpointCrashed(after(1000*ix), uint64(10+ix), []core.Fingerprint{first, {byte(50 + ix)}})
 		if len(ef.ToAll) > 0 {
-			t.Errorf("router %d quarantined it after one crash of its own", ix)
+			t.Errorf("router %d quarantined it after a single crash of its own", ix)
 		}
 		for _, no := range ef.ToOwners {
 			effects = owner.ApplyNote(after(1000*ix+5), no)
-			// A message that comes twice, and another router's of the same crash, change nothing.
+			// A duplicate message, and another router's of the same crash, change nothing.
 			if again := owner.ApplyNote(after(1000*ix+6), no); len(again.ToAll) > 0 {
-				t.Error("a message that came twice counts twice")
+				t.Error("a duplicate message is counted twice")
 			}
 			if len(effects.ToAll) > 0 && ix < 2 {
 				t.Errorf("quarantined after %d crashes", ix+1)
@@ -62,13 +62,13 @@
 	}
 	for ix := range 3 {
 		if quarantined(owner, after(2020), core.Fingerprint{byte(50 + ix)}) {
-			t.Error("a request that was beside it once is quarantined too")
+			t.Error("a request that was a bystander once is quarantined too")
 		}
 	}
 }
 
-// An attempt ends well: the request is not the cause, whatever it was running beside. The
-// counts of the keeper start anew.
+// Guards against quarantining a request for crashes before and after a success, which shows that it
+// is not the cause. The owner's count has to start anew.
 func TestSuccessfulRequestIsCleared(t *testing.T) {
 	ta, owner := &crash.Table{}, &crash.Table{}
 	applyNotes := func(ms int, notes []core.BlameNote) {
@@ -82,38 +82,38 @@
 	applyNotes(20000, ta.EndpointCrashed(after(20000), 12, []core.Fingerprint{first}).ToOwners)
 	applyNotes(21000, ta.EndpointCrashed(after(21000), 13, []core.Fingerprint{first}).ToOwners)
 	if quarantined(ta, after(21001), first) || quarantined(owner, after(21001), first) {
-		t.Error("a request that ended well is quarantined by crashes before and after")
+		t.Error("a request that succeeded is quarantined by crashes before and after")
 	}
 	applyNotes(22000, ta.EndpointCrashed(after(22000), 14, []core.Fingerprint{first}).ToOwners)
 	if !quarantined(ta, after(22001), first) || !quarantined(owner, after(22001), first) {
-		t.Error("three crashes since it ended do not quarantine it")
+		t.Error("three crashes since its success do not quarantine it")
 	}
 }
 
-// A lookup ends well all the time, here and elsewhere, and some attempts at it are running
-// when endpoints crash. Neither the router that serves it tells of these, nor does a keeper
-// count them that heard of an end shortly before.
+// Guards against quarantining a request that keeps succeeding, some attempts at which are running
+// when endpoints crash. The router that serves it must not report these crashes, and an owner that
+// knows of a recent success must not count them.
 func TestCrashesRightAfterASuccessDoNotCount(t *testing.T) {
 	ta, owner := &crash.Table{}, &crash.Table{}
 	for ix := range 4 {
 		ta.Succeeded(after(1000*ix), first)
 		if ef := ta.EndpointCrashed(after(1000*ix+500), uint64(10+ix), []core.Fingerprint{first}); len(ef.ToOwners) > 0 {
-			t.Errorf("crash %d is told: %+v", ix, ef)
+			t.Errorf("crash %d is reported: %+v", ix, ef)
 		}
 		owner.ApplyNote(after(1000*ix), core.BlameNote{Kind: core.BlameCleared, Request: first})
 		owner.ApplyNote(after(1000*ix+510), suspected(first, uint64(10+ix), 1000*ix+500))
 	}
 	if quarantined(ta, after(5000), first) || quarantined(owner, after(5000), first) {
-		t.Error("a request that ends well all the time is quarantined")
+		t.Error("a request that keeps succeeding is quarantined")
 	}
 	if _, suspects := owner.Len(); suspects != 0 {
-		t.Error("the keeper holds something against it")
+		t.Error("the owner still suspects it")
 	}
 }
 
-// Many attempts at one lookup run at a time, and three endpoints crash in the same second for
-// a reason of their own. It ended well elsewhere a moment before, at a router that does not
-// know of the crashes: as that one hears of the quarantine it tells all that it is wrong.
+// Guards against quarantining a request of which many identical ones run when three endpoints crash
+// in one second for another reason. It succeeded a moment before at a router that does not know of
+// the crashes: when that router receives the quarantine, it has to clear the request everywhere.
 func TestIdenticalRequestsDuringAnOutageAreCleared(t *testing.T) {
 	witness, owner := &crash.Table{}, &crash.Table{}
 	witness.Succeeded(after(-1000), first)
@@ -122,7 +122,7 @@
 		ef = owner.ApplyNote(after(10*ix), suspected(first, uint64(10+ix), 10*ix))
 	}
 	if len(ef.ToAll) != 1 || !quarantined(owner, after(30), first) {
-		t.Fatalf("the test does not bring the quarantine about: %+v", ef)
+		t.Fatalf("the test does not cause the quarantine: %+v", ef)
 	}
 	objection := witness.ApplyNote(after(32), ef.ToAll[0])
 	if len(objection.ToAll) != 1 || objection.ToAll[0].Kind != core.BlameCleared {
@@ -130,18 +130,18 @@
 	}
 	owner.ApplyNote(after(34), objection.ToAll[0])
 	if quarantined(owner, after(35), first) || quarantined(witness, after(35), first) {
-		t.Error("the lookup is still quarantined")
+		t.Error("the request is still quarantined")
 	}
-	// An entry that was written meanwhile is removed as it is seen.
+	// An entry that was written in the meantime is removed when it is seen.
 	if ef = owner.EntryStored(after(60), core.Quarantine{Request: first, Rev: 9}); len(ef.Remove) != 1 || quarantined(owner, after(61), first) {
-		t.Errorf("an entry that was written too late stays: %+v", ef)
+		t.Errorf("an entry that was written too late is kept: %+v", ef)
 	}
 }
 
-// One request crashes four endpoints, and another runs beside it at three of them: it broke
-// off each time and came again. It is not counted for crashes that have a cause. If it was
-// quarantined before that was known, it is tried a second later, in its turn, and not when the
-// cause is; three crashes within a second are as doubtful.
+// Guards against quarantining a bystander: one request crashes four endpoints, and another is running
+// at three of them, as it is retried each time. Crashes with a known cause must not count. If the
+// bystander was quarantined before the cause was known, it has to be tried after a second, in turn
+// with the cause and not at the same time. Three crashes within a second are as uncertain.
 func TestBystanderIsNotQuarantined(t *testing.T) {
 	ta := &crash.Table{}
 	crashThreeEndpoints(ta, first)
@@ -150,7 +150,7 @@
 		ta.ApplyNote(after(2100+ix), suspected(second, uint64(10+ix), 1000*ix))
 	}
 	if quarantined(ta, after(2200), second) {
-		t.Error("a neighbour is quarantined for crashes that have a cause")
+		t.Error("a bystander is quarantined for crashes with a known cause")
 	}
 	late := &crash.Table{}
 	for ix := range 3 {
@@ -159,7 +159,7 @@
 	crashThreeEndpoints(late, first)
 	for fp, want := range map[core.Fingerprint]time.Duration{first: time.Second, second: 3 * time.Second} {
 		if ve := late.Check(after(2000), fp); !ve.Quarantined || ve.RetryAfter != want {
-			t.Errorf("two at the same crashes: %s is tried after %s, want %s", fp, ve.RetryAfter, want)
+			t.Errorf("two requests at the same crashes: %s is tried after %s, want %s", fp, ve.RetryAfter, want)
 		}
 	}
 	outage := &crash.Table{}
@@ -167,12 +167,12 @@
 		outage.ApplyNote(after(300*ix), suspected(first, uint64(10+ix), 300*ix))
 	}
 	if ve := outage.Check(after(600), first); ve.RetryAfter != time.Second {
-		t.Errorf("one at three crashes of one second is tried after %s, want 1s", ve.RetryAfter)
+		t.Errorf("a request at three crashes within a second is tried after %s, want 1s", ve.RetryAfter)
 	}
 }
 
-// Two causes run side by side at two endpoints, so that each explains the other's crashes: the
-// second is quarantined with its fifth crash at the latest, and not tried any more.
+// Two causes run side by side at the same endpoints, so that crashes of the second are attributed to
+// the first: the second is quarantined with its fifth crash at the latest, and not tried any more.
 func TestCausesSideBySide(t *testing.T) {
 	ta := &crash.Table{}
 	for ix := range 8 {
@@ -180,7 +180,7 @@
 	}
 	for ix := range 5 {
 		if quarantined(ta, after(10000), second) {
-			t.Errorf("quarantined at %d crashes that the other explains", ix)
+			t.Errorf("quarantined with %d crashes that are attributed to the other", ix)
 		}
 		ta.ApplyNote(after(10000+ix), suspected(second, uint64(10+ix), 1000*ix))
 	}
@@ -190,9 +190,9 @@
 	}
 }
 
-// A quarantine ends. The first return after a pause is a trial that one router wins in the
-// store; if it crashes an endpoint again, the next pause is longer, and after two trials there
-// is none. An entry that is asked for is renewed before it lapses.
+// A quarantine ends. The first return after a delay is a trial, which one router wins in the store.
+// If it crashes an endpoint again, the next delay is longer, and after two trials there is none. An
+// entry whose request still returns is renewed before it expires.
 func TestTrialsOfAQuarantinedRequest(t *testing.T) {
 	ta := &crash.Table{}
 	crashThreeEndpoints(ta, first)
@@ -204,7 +204,7 @@
 		}
 		return ve
 	}
-	check(60, false, false) // the store does not know of it: nobody can win a trial
+	check(60, false, false) // the store does not have it: no router can win a trial
 	ta.EntryStored(after(3000), core.Quarantine{Request: first, Rev: 5})
 	if ve := check(4, false, false); ve.RetryAfter != 18*time.Second {
 		t.Errorf("may return after %s, want 18s", ve.RetryAfter)
@@ -222,11 +222,11 @@
 	ta.EntryStored(after(500000), core.Quarantine{Request: first, Trials: 2, Rev: 8})
 	check(501, false, false)
 	if ef := ta.EntryRemoved(first, 9); !slices.Contains(ef.Released, first) || quarantined(ta, after(502000), first) {
-		t.Error("an entry that lapsed holds on")
+		t.Error("an expired entry is still in force")
 	}
 }
 
-// A trial ends well: the request was quarantined wrongly, and is served by all at once.
+// A trial succeeds: the request was quarantined wrongly, and all routers have to serve it at once.
 func TestSuccessfulTrialReleases(t *testing.T) {
 	ta, other := &crash.Table{}, &crash.Table{}
 	crashThreeEndpoints(ta, first)
@@ -236,17 +236,17 @@
 	}
 	ef := ta.Succeeded(after(24100), first)
 	if len(ef.ToAll) != 1 || len(ef.Remove) != 1 || ef.Remove[0].Rev != 6 {
-		t.Fatalf("the others are not told, or the entry stays: %+v", ef)
+		t.Fatalf("the other routers are not notified, or the entry is kept: %+v", ef)
 	}
 	other.ApplyNote(after(24110), ef.ToAll[0])
 	if quarantined(ta, after(24120), first) || quarantined(other, after(24120), first) {
-		t.Error("it is quarantined still")
+		t.Error("it is still quarantined")
 	}
 }
 
-// All routers were killed at once and know nothing but the store: what is quarantined stays
-// so. With the store away, a router that is only told by a peer goes by that for as long as
-// the peer repeats it.
+// Guards against quarantines that are lost when all routers are killed at once and know nothing but
+// the store. With the store away, a router keeps a quarantine that it knows from a peer for as long
+// as the peer repeats it.
 func TestQuarantineSurvivesRestartOfAllRouters(t *testing.T) {
 	fresh := &crash.Table{}
 	fresh.EntryStored(after(0), core.Quarantine{Request: first, Rev: 5})
@@ -259,15 +259,15 @@
 		notified.ApplyNote(after(1000*s), no)
 	}
 	if !quarantined(notified, after(60000), second) {
-		t.Error("a quarantine that a peer told of is forgotten 20 s later")
+		t.Error("a quarantine received from a peer is dropped 20 s later")
 	}
 	if quarantined(notified, after(80000), second) {
-		t.Error("a quarantine that nobody repeats lasts")
+		t.Error("a quarantine that no peer repeats is kept")
 	}
 }
 
-// A caller sends endless distinct requests that crash endpoints. What is kept of them stays
-// within its bounds, and those that come again are found all the same.
+// Guards against unbounded memory when a caller sends endless distinct requests that crash
+// endpoints. A request that returns has to be detected among them all the same.
 func TestEndlessCrashingRequestsAreBounded(t *testing.T) {
 	ta := &crash.Table{}
 	for ix := range 20000 {
@@ -281,12 +281,12 @@
 		ta.EndpointCrashed(after(30000+1000*ix), uint64(10+ix), []core.Fingerprint{first})
 	}
 	if !quarantined(ta, after(33000), first) {
-		t.Error("one that comes again is not found among them")
+		t.Error("a request that returns is not detected among them")
 	}
 }
 
-// Guards against a quarantine that ends as the store has lost its entry, at a router that knows of it from
-// the store alone: it is held, and written again when the request returns.
+// Guards against a quarantine that ends because the store has lost its entry, at a router that knows it
+// from the store alone: it is kept, and written again when the request returns.
 func TestLostEntryIsWrittenAgain(t *testing.T) {
 	var ta crash.Table
 	begin, fp := time.Unix(1_700_000_000, 0), core.Fingerprint{7}
--- a/core/crash/verdict.go
+++ b/core/crash/verdict.go
@@ -8,7 +8,7 @@
 	"almondrill/core"
 )
 
-// Check tells whether a request may be sent to an endpoint.
+// Check decides whether a request may be sent to an endpoint.
 func (ta *Table) Check(now time.Time, fp core.Fingerprint) Verdict {
 	if ta.quarantineCount.Load() == 0 {
 		return Verdict{}
@@ -31,13 +31,13 @@
 	return ve
 }
 
-// EntryStored takes an entry of the platform's store, as it is new or has changed.
+// EntryStored applies an entry of the platform's store that is new or has changed.
 func (ta *Table) EntryStored(now time.Time, en core.Quarantine) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var ef Effects
 	if en.Trials == 0 && ta.successes.succeededSince(en.Request, now.Add(-unstoredTTL)) {
-		// It was written while a peer or this router cleared the request.
+		// The entry was written while a peer or this router cleared the request.
 		ef.Remove = append(ef.Remove, en)
 		return ef
 	}
@@ -52,10 +52,10 @@
 	return ef
 }
 
-// EntryRemoved takes that an entry of the platform's store is gone: it has lapsed, or a router
-// has cleared the request. One that is missing in a later era than it was written in was lost as the
-// store came back from a copy; it is written again by the router that decided it, or where the
-// request returns.
+// EntryRemoved applies the removal of an entry from the platform's store: the entry expired, or a
+// router cleared the request. An entry that is missing in a later store era than it was written in
+// was lost when the store was restored from a backup. It is written again by the router that decided
+// the quarantine, or by one to which the request returns.
 func (ta *Table) EntryRemoved(fp core.Fingerprint, rev core.Version) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -73,14 +73,14 @@
 	return ef
 }
 
-// Decision is a quarantine that this router decided and the store does not have yet.
+// Decision is a quarantine that this router decided and that is not in the store yet.
 type Decision struct {
 	Note  core.BlameNote
 	Entry core.Quarantine
 }
 
-// Tick forgets quarantines that have lapsed. unstored are to be written into the store, and
-// told again.
+// Tick drops expired quarantines. It returns in unstored those that have to be written into the
+// store and sent to peers again.
 func (ta *Table) Tick(now time.Time) (unstored []Decision, ef Effects) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -96,7 +96,7 @@
 	return unstored, ef
 }
 
-// Report is a quarantine as people on call see it.
+// Report is a quarantine as it is shown to operators.
 type Report struct {
 	Request core.Fingerprint
 	// Since is when this router learned of it, or of its last trial.
@@ -106,7 +106,7 @@
 	Stored  bool
 }
 
-// Reports lists the quarantined requests, the latest first.
+// Reports lists the quarantined requests, most recent first.
 func (ta *Table) Reports() []Report {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -123,7 +123,7 @@
 	return all
 }
 
-// Len is how many requests are quarantined and suspected.
+// Len returns the numbers of quarantined and of suspected requests.
 func (ta *Table) Len() (quarantined, suspected int) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
