--- a/core/elect/elect.go
+++ b/core/elect/elect.go
@@ -1,24 +1,25 @@
-// Package elect decides which routers ask the platform's store for changes on behalf of all.
+// Package elect decides which routers watch the platform's store for changes on behalf of all.
 //
 // # Concepts
 //
-// A router whose own call was answered of late is a follower. Followers are told along with other
-// messages, by a hash and the age of the answer, so that all know them within a second, however many
-// routers there are. The first Leaders in the order of hashes lead; those behind them stand down once
-// they know of as many before them. Where the confirmations stop, routers ask by themselves one after
-// the other, in the same order: few have to, and whoever reaches the store becomes a follower.
+// A router whose own call to the store was answered recently is a watcher. Messages between routers
+// carry the watchers, as a hash and the age of the answer, so that all routers know them within a
+// second, however many there are. The first ElectedCount watchers in the order of hashes are elected;
+// a later one stops once it knows of that many before it. When the store's confirmations stop
+// arriving, routers call the store on their own, one after the other in the same order: few have to,
+// and one that reaches the store becomes a watcher.
 //
-// Load pattern: the store is silent, or turns its followers away. Among hundreds of routers, all
-// would ask it at the same moment, again and again.
+// Load pattern: the store does not respond, or rejects its watchers. Without an order, hundreds of
+// routers would call it at the same moment, again and again.
 //
 // # Usage
 //
 // A Table is not safe for concurrent use.
 //
-//	ta := &lead.Table{}
-//	ta.Take(now, followers)                 // told by a peer
-//	followers := ta.Told(now)               // to be told
-//	if ta.Leads(now, hash, rank, followed) { ... }
+//	ta := &elect.Table{}
+//	ta.Apply(now, watchers)     // received from a peer
+//	watchers := ta.Elected(now) // to be sent to peers
+//	if ta.IsElected(now, hash, rank, sinceAnswer) { ... }
 package elect
 
 import (
@@ -27,30 +28,30 @@
 	"time"
 )
 
-// ElectedCount is how many routers lead; with two, one may end at any time.
+// ElectedCount is how many routers watch the store; with two, either may stop at any time.
 const ElectedCount = 2
 
 const (
-	// watcherTTL is how old a follower's last answer may be: a wait for changes, and the time
-	// that rumors take to reach all.
+	// watcherTTL is how old a watcher's last answer may be: the duration of a wait for changes, and
+	// the time that gossip takes to reach all routers.
 	watcherTTL = 1500 * time.Millisecond
-	// maxWatchers bounds the followers that are remembered.
+	// maxWatchers bounds the watchers that are remembered.
 	maxWatchers = 16
-	// rankDelay is when the first router asks by itself; the one of the nth rank waits for the square
-	// of n times as long, so that those that ask grow with the root of the time alone.
+	// rankDelay is the delay of the first router that calls the store on its own. The nth waits n² times
+	// as long, so that the number of callers grows only with the square root of the time.
 	rankDelay = 10 * time.Millisecond
 )
 
-// Hash is what orders routers.
+// Hash orders routers.
 type Hash uint32
 
-// Watcher is a router whose call to the store was answered at a time.
+// Watcher is a router whose call to the store was answered at the given time.
 type Watcher struct {
 	Hash Hash
 	At   time.Time
 }
 
-// Table is the followers that one router knows of.
+// Table holds the watchers that one router knows of.
 type Table struct {
 	// watchers are in the order of their hashes.
 	watchers []Watcher
@@ -58,7 +59,7 @@
 
 func byHash(wa Watcher, ha Hash) int { return cmp.Compare(wa.Hash, ha) }
 
-// Apply takes what a peer, or this router, knows of followers.
+// Apply adds watchers that a peer, or this router, knows of.
 func (ta *Table) Apply(now time.Time, watchers []Watcher) {
 	for _, wa := range watchers {
 		if now.Sub(wa.At) >= watcherTTL {
@@ -79,14 +80,14 @@
 	ta.watchers = slices.DeleteFunc(ta.watchers, func(fo Watcher) bool { return now.Sub(fo.At) >= watcherTTL })
 }
 
-// Elected are the followers to be told to peers: those that lead.
+// Elected returns the elected watchers, which are sent to peers.
 func (ta *Table) Elected(now time.Time) []Watcher {
 	ta.expire(now)
 	return ta.watchers[:min(ElectedCount, len(ta.watchers))]
 }
 
-// IsElected tells whether a router is to ask the store. rank is how many peers that are well come before
-// it, followed how long ago its own call was answered.
+// IsElected reports whether a router has to watch the store. rank is the number of healthy peers
+// before it, sinceAnswer the time since its own call was last answered.
 func (ta *Table) IsElected(now time.Time, own Hash, rank int, sinceAnswer time.Duration) bool {
 	if rank >= ElectedCount && sinceAnswer >= watcherTTL {
 		return false
@@ -101,8 +102,8 @@
 	return before < ElectedCount
 }
 
-// AskDelay is how much longer than the first ones a router waits for a confirmation before it asks the
-// store by itself, where so many peers come before it.
+// AskDelay returns how much longer than the first ones a router of this rank waits for a confirmation
+// before it calls the store on its own.
 func AskDelay(rank int) time.Duration {
 	behind := time.Duration(max(0, rank-ElectedCount+1))
 	return behind * behind * rankDelay
--- a/core/elect/elect_test.go
+++ b/core/elect/elect_test.go
@@ -10,14 +10,14 @@
 	"almondrill/core/elect"
 )
 
-// fleet is routers that ask a store and tell each other of followers, on virtual time.
+// fleet simulates routers that watch a store and exchange the watchers they know, in virtual time.
 type fleet struct {
 	rand    *rand.Rand
 	now     time.Time
 	routers []*router // by rank
-	// rejects tells which routers the store does not answer.
+	// rejects reports whether the store rejects a router's calls.
 	rejects func(ro *router) bool
-	// calls counts those to the store.
+	// calls counts the calls to the store.
 	calls int
 }
 
@@ -25,14 +25,15 @@
 	elect.Table
 	hash elect.Hash
 	rank int
-	// confirmed is when the store confirmed what is known here, asked until when the own call lasts,
-	// followed when one was answered.
+	// confirmed is the time of the store's latest confirmation known here, busyUntil the end of the
+	// router's own call, answeredAt when one was last answered.
 	confirmed, busyUntil, answeredAt time.Time
 }
 
 const (
 	step = 50 * time.Millisecond
-	// A call lasts for a wait, or until its timeout; words are how many peers are told in a step.
+	// A call ends after watchDuration, or callTimeout if it is rejected. In each step a router sends
+	// messagesPerStep messages.
 	watchDuration   = 600 * time.Millisecond
 	callTimeout     = 1300 * time.Millisecond
 	takeoverDelay   = 1300 * time.Millisecond
@@ -95,7 +96,7 @@
 	return count
 }
 
-// oldestConfirmation is the age of the confirmation at the router that has the oldest.
+// oldestConfirmation returns the greatest age of a router's latest confirmation.
 func (fl *fleet) oldestConfirmation() time.Duration {
 	var most time.Duration
 	for _, ro := range fl.routers {
@@ -104,7 +105,8 @@
 	return most
 }
 
-// sizes are those of the whole fleet, and twice and four times as many; the latter on request.
+// sizes returns the size of the whole fleet, a small one, and twice and four times the whole; the last
+// on request.
 func sizes() []int {
 	if *large {
 		return []int{4, 357, 714, 1428}
@@ -112,10 +114,10 @@
 	return []int{4, 357, 714}
 }
 
-var large = flag.Bool("large", false, "play fleets of 1,428 routers too")
+var large = flag.Bool("large", false, "simulate fleets of 1,428 routers too")
 
-// Guards against followers whose number grows with the fleet, as each router hears the others only
-// every few seconds.
+// Guards against a number of watchers that grows with the fleet, because each router receives messages
+// from any other one only every few seconds.
 func TestTwoWatchTheStoreAtAnySize(t *testing.T) {
 	for _, size := range sizes() {
 		fl := newFleet(size)
@@ -123,19 +125,19 @@
 		fl.calls = 0
 		fl.run(10 * time.Second)
 		if got := fl.electedCount(); got != elect.ElectedCount {
-			t.Errorf("%d routers: %d lead", size, got)
+			t.Errorf("%d routers: %d are elected", size, got)
 		}
 		if limit := 2 * int(10*time.Second/watchDuration); fl.calls > limit {
 			t.Errorf("%d routers: %d calls in 10 s, at most %d", size, fl.calls, limit)
 		}
 		if old := fl.oldestConfirmation(); old > takeoverDelay {
-			t.Errorf("%d routers: the store's word is %s old somewhere", size, old)
+			t.Errorf("%d routers: the oldest confirmation of the store is %s old", size, old)
 		}
 	}
 }
 
-// Guards against a silent store that is asked by all routers at once, again and again, and against
-// beliefs that stay old after its return.
+// Guards against all routers calling an unresponsive store at once, again and again, and against views
+// that stay stale after its return.
 func TestSilentStoreIsCalledByFew(t *testing.T) {
 	for _, size := range sizes() {
 		fl := newFleet(size)
@@ -145,22 +147,22 @@
 		const silence = 8 * time.Second
 		fl.run(silence)
 		if fl.calls > 150 {
-			t.Errorf("%d routers: %d calls in a silence of %s", size, fl.calls, silence)
+			t.Errorf("%d routers: %d calls while the store did not respond for %s", size, fl.calls, silence)
 		}
 		fl.rejects = func(*router) bool { return false }
 		fl.run(time.Second)
 		if old := fl.oldestConfirmation(); old > time.Second {
-			t.Errorf("%d routers: the store's word is %s old somewhere, 1 s after its return", size, old)
+			t.Errorf("%d routers: the oldest confirmation of the store is %s old, 1 s after its return", size, old)
 		}
 		fl.run(5 * time.Second)
 		if got := fl.electedCount(); got != elect.ElectedCount {
-			t.Errorf("%d routers: %d lead after the store's return", size, got)
+			t.Errorf("%d routers: %d are elected after the store's return", size, got)
 		}
 	}
 }
 
-// Guards against news that stays away while the store turns away the routers that lead, and a third
-// of the others, or the routers that lead have ended.
+// Guards against changes that are not received while the store rejects the elected routers and a third
+// of the others, or once the elected routers have ended.
 func TestOthersTakeOverFromRejectedWatchers(t *testing.T) {
 	for _, size := range sizes()[1:] {
 		for name, rejects := range map[string]func(ro *router) bool{
@@ -176,18 +178,18 @@
 				oldest = max(oldest, fl.oldestConfirmation())
 			}
 			if oldest > 2500*time.Millisecond {
-				t.Errorf("%d routers, %s turned away: the store's word was %s old somewhere", size, name, oldest)
+				t.Errorf("%d routers, %s rejected: the oldest confirmation of the store was %s old", size, name, oldest)
 			}
 			fl.rejects = func(*router) bool { return false }
 			fl.run(5 * time.Second)
 			if got := fl.electedCount(); got != elect.ElectedCount {
-				t.Errorf("%d routers: %d lead once nobody is turned away", size, got)
+				t.Errorf("%d routers: %d are elected once no router is rejected", size, got)
 			}
 		}
 	}
 }
 
-// Guards against a table that grows, and against followers of long ago.
+// Guards against a table that grows without bound, and against watchers that are kept too long.
 func TestOnlyRecentWatchersAreKept(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	ta := &elect.Table{}
