--- a/core/gauge/gauge.go
+++ b/core/gauge/gauge.go
@@ -1,24 +1,24 @@
-// Package gauge estimates how many calls an endpoint has from what it said last and what
-// is known to have been sent since.
+// Package gauge estimates how many calls an endpoint has from its last report and the calls that are
+// known to have begun and ended since.
 //
 // # Concepts
 //
-// An endpoint tells with each answer how many calls it has, running and waiting. A Count
-// holds the latest such figure and the changes after it. A Table holds the Counts of the
-// endpoints that a router keeps for its peers: they tell it what endpoints said, and ask it
-// before they place a call. Each ask counts as a call placed, so that routers that ask one
-// after the other do not all see the same gap.
+// An endpoint reports with each response how many calls it has, running and queued. A Count holds
+// the latest such report and the changes after it. A Table holds the Counts of the endpoints that a
+// router owns: its peers forward it the endpoints' reports and ask it before they place a call. Each
+// request for a count counts as a call placed, so that routers that ask one after the other do not
+// all see the same free slot.
 //
 // # Invariants
 //
-//   - A figure is used for Lasts; after it, the Count is unknown, not zero.
-//   - A Table holds at most mostKept Counts.
+//   - A report is used for ReportTTL; after that the count is unknown, not zero.
+//   - A Table holds at most maxEndpoints Counts.
 //
 // # Usage
 //
 //	ta := &gauge.Table{}
-//	ta.Said(now, endpoint, calls)
-//	calls, known := ta.Ask(now, endpoint)
+//	ta.Report(now, endpoint, calls)
+//	calls, known := ta.AddCall(now, endpoint)
 package gauge
 
 import (
@@ -30,17 +30,17 @@
 )
 
 const (
-	// ReportTTL is how long a figure is used: beyond it, calls of some hundred milliseconds have
-	// come and gone unseen.
+	// ReportTTL is how long a report is used: beyond it, calls of some hundred milliseconds have
+	// begun and ended unseen.
 	ReportTTL = 1500 * time.Millisecond
-	// maxChanges bounds the changes remembered since a figure.
+	// maxChanges bounds the changes remembered since a report.
 	maxChanges = 256
-	// maxEndpoints bounds the Counts of a Table: with 2,100 endpoints and 420 routers, each
-	// keeps 5, and all if it believes to be alone.
+	// maxEndpoints bounds the Counts of a Table. With 2,100 endpoints and 420 routers each router
+	// owns 5, but all if it assumes to be the only one.
 	maxEndpoints = 4096
 )
 
-// Count is an endpoint's own count of its calls at a time, and the changes since.
+// Count is an endpoint's reported number of calls, and the changes since that report.
 type Count struct {
 	reported int
 	at       time.Time
@@ -54,7 +54,7 @@
 	by int
 }
 
-// Update keeps a newer figure.
+// Update records a report unless a later one is known.
 func (co *Count) Update(calls int, at time.Time) {
 	if !at.After(co.at) {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// Add counts calls that began, or ended where by is negative.
+// Add records calls that began, or ended if by is negative.
 func (co *Count) Add(at time.Time, by int) {
 	if len(co.changes) >= maxChanges {
 		for _, ch := range co.changes[:maxChanges/2] {
@@ -79,15 +79,15 @@
 	co.delta += by
 }
 
-// Expired tells that there is no figure that is used still.
+// Expired reports whether there is no report recent enough to be used.
 func (co *Count) Expired(now time.Time) bool { return co.at.IsZero() || now.Sub(co.at) > ReportTTL }
 
-// Fresh tells that the figure was made within that time.
+// Fresh reports whether the last report is at most this old.
 func (co *Count) Fresh(now time.Time, within time.Duration) bool {
 	return !co.at.IsZero() && now.Sub(co.at) <= within
 }
 
-// Estimate is the figure, brought forward by the changes since; false if it is too old.
+// Estimate returns the last report plus the changes since; false if the report is too old.
 func (co *Count) Estimate(now time.Time) (int, bool) {
 	if co.Expired(now) {
 		return 0, false
@@ -95,11 +95,11 @@
 	return max(0, co.reported+co.delta), true
 }
 
-// Latest is the figure itself, and when it was made; the zero time if there is none.
+// Latest returns the last report and its time, which is zero if there is none.
 func (co *Count) Latest() (int, time.Time) { return co.reported, co.at }
 
-// Table holds the Counts of endpoints, by the hashes of their ids and starts, and who could
-// not reach them. It is safe for concurrent use.
+// Table holds the Counts of endpoints, by the hash of their ID and start, and which routers could not
+// reach them. It is safe for concurrent use.
 type Table struct {
 	mu          sync.Mutex // guards all below
 	counts      map[uint64]*Count
@@ -107,25 +107,25 @@
 	grants      map[uint64]*quota.Window
 }
 
-// unreachableReport is the latest that was heard of an endpoint that could not be reached.
+// unreachableReport is the latest report that an endpoint could not be reached.
 type unreachableReport struct {
 	at   time.Time
 	from string
-	// broadcastAt is when two had said so.
+	// broadcastAt is when two routers had reported it.
 	broadcastAt time.Time
 }
 
 const (
-	// unreachableWindow is within what time two have to find an endpoint down: with a few requests
-	// a second for each endpoint, others find out within it.
+	// unreachableWindow is the time within which two routers have to find an endpoint unreachable:
+	// with a few requests a second for each endpoint, another one notices within it.
 	unreachableWindow = time.Second
-	// rebroadcastInterval is how often it is told that an endpoint is down.
+	// rebroadcastInterval is the shortest time between broadcasts that an endpoint is unreachable.
 	rebroadcastInterval = 500 * time.Millisecond
 )
 
-// ReportUnreachable takes that a router could not reach the endpoint. It returns whether that is to be told
-// to all: two have found so, as one alone may be cut off itself, and it was not told a
-// moment ago.
+// ReportUnreachable records that a router could not reach the endpoint. It reports whether all routers
+// have to be notified: two routers found it so, as a single one may be cut off itself, and
+// none was sent within rebroadcastInterval.
 func (ta *Table) ReportUnreachable(now time.Time, endpoint uint64, from string) bool {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -146,8 +146,8 @@
 	return true
 }
 
-// Grant takes one of the requests that the endpoint gets in a second; false, and how long until
-// another is free, if there is none.
+// Grant takes one of the requests that the endpoint is allowed per second. If none is left it returns
+// false and the time until the next.
 func (ta *Table) Grant(now time.Time, endpoint uint64, perSecond int) (bool, time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -168,8 +168,8 @@
 	return true, 0
 }
 
-// evictGrants makes room for one more window. Those in use are kept, however many: forgotten,
-// they would grant what was granted before.
+// evictGrants frees a slot for one more window. Windows in use are kept, however many there are: a
+// new one would grant again what was granted already.
 func (ta *Table) evictGrants(now time.Time) {
 	if len(ta.grants) < maxEndpoints {
 		return
@@ -181,7 +181,7 @@
 	}
 }
 
-// Report takes what an endpoint said.
+// Report records an endpoint's report of its calls.
 func (ta *Table) Report(now time.Time, endpoint uint64, calls int) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -194,8 +194,8 @@
 	co.Update(calls, now)
 }
 
-// AddCall tells how many calls the endpoint has, before the one that is asked for; false if
-// that is unknown.
+// AddCall returns the number of the endpoint's calls, false if unknown, and then counts one more for
+// the call that is about to be placed.
 func (ta *Table) AddCall(now time.Time, endpoint uint64) (int, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -208,7 +208,7 @@
 	return calls, known
 }
 
-// evictCounts makes room for one more Count.
+// evictCounts frees a slot for one more Count.
 func (ta *Table) evictCounts(now time.Time) {
 	if ta.counts == nil {
 		ta.counts = map[uint64]*Count{}
@@ -222,11 +222,11 @@
 		}
 	}
 	if len(ta.counts) >= maxEndpoints {
-		ta.counts = map[uint64]*Count{} // they are known again within a second
+		ta.counts = map[uint64]*Count{} // they are reported again within a second
 	}
 }
 
-// Len is how many endpoints' Counts are held.
+// Len returns the number of Counts held.
 func (ta *Table) Len() int {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
--- a/core/gauge/gauge_test.go
+++ b/core/gauge/gauge_test.go
@@ -11,8 +11,8 @@
 	"almondrill/core/gauge"
 )
 
-// TestMain gives rapid a fixed seed, so that every run draws the same; another is
-// tried with -rapid.seed.
+// TestMain gives rapid a fixed seed, so that every run draws the same values; another one can be set
+// with -rapid.seed.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -23,9 +23,9 @@
 
 var begin = time.Unix(1_700_000_000, 0)
 
-// Figures and calls arrive in any order, late ones too. The count has to be the newest
-// figure and what began and ended after it: a call counted twice makes an endpoint look
-// busy, one left out lets it be overrun.
+// Guards against counting a call twice, which makes an endpoint look busy, or not at all, which lets it
+// be overloaded. Reports and calls arrive in any order, some late: the count has to be the latest
+// report plus the calls that began and ended after it.
 func TestCountIsTheLatestReportAndLaterChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type change struct {
@@ -40,7 +40,7 @@
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(rt, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(rt, "said") {
-				// Half a millisecond apart, so that no change is at the figure's own instant.
+				// Half a millisecond apart, so that no change coincides with a report.
 				late := time.Duration(rapid.IntRange(0, 300).Draw(rt, "late")) * time.Millisecond
 				at := now.Add(-late - time.Millisecond/2)
 				calls := rapid.IntRange(0, 50).Draw(rt, "calls")
@@ -70,8 +70,8 @@
 	})
 }
 
-// An endpoint is asked about thousands of times and says nothing, as it is silent. Its calls
-// are kept within bounds, and the count is unknown rather than huge.
+// Guards against unbounded memory, and a huge count, when routers ask thousands of times for an
+// endpoint that does not respond: its count has to become unknown.
 func TestSilentEndpointIsUnknown(t *testing.T) {
 	var ta gauge.Table
 	ta.Report(begin, 1, 3)
@@ -79,30 +79,30 @@
 		ta.AddCall(begin.Add(time.Duration(ix)*time.Millisecond), 1)
 	}
 	if calls, known := ta.AddCall(begin.Add(10*time.Second), 1); known {
-		t.Errorf("%d calls are told of an endpoint that was silent for 10 s", calls)
+		t.Errorf("%d calls are returned for an endpoint that did not report for 10 s", calls)
 	}
 	ta.Report(begin.Add(10*time.Second), 1, 5)
 	if calls, known := ta.AddCall(begin.Add(10*time.Second), 1); !known || calls != 5 {
-		t.Errorf("%d calls are told, known %v; want the 5 that it said", calls, known)
+		t.Errorf("%d calls are returned, known %v; want the 5 reported", calls, known)
 	}
 }
 
-// Two routers ask about one endpoint before it says anything new. The second hears of the
-// first one's call: both would fill the same gap else.
+// Guards against two routers filling the same free slot: both ask for an endpoint before it reports
+// anew, and the second has to see the first one's call.
 func TestAddCallCountsTheCall(t *testing.T) {
 	var ta gauge.Table
 	ta.Report(begin, 1, 7)
 	for want := 7; want < 10; want++ {
 		if calls, known := ta.AddCall(begin.Add(time.Millisecond), 1); !known || calls != want {
-			t.Errorf("%d calls are told, known %v; want %d", calls, known, want)
+			t.Errorf("%d calls are returned, known %v; want %d", calls, known, want)
 		}
 	}
 	if _, known := ta.AddCall(begin, 2); known {
-		t.Error("calls are told of an endpoint that never said anything")
+		t.Error("calls are returned for an endpoint that never reported")
 	}
 }
 
-// A router keeps counts for years, of endpoints that come and go. What it keeps stays bounded.
+// Guards against unbounded memory as endpoints come and go for years.
 func TestTableIsBounded(t *testing.T) {
 	var ta gauge.Table
 	for ix := range uint64(50_000) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// One router is cut off and finds every endpoint down. All would go by it, if one were enough.
-// Found down by two, it is told at once, and not for each request that fails.
+// Guards against a router that is cut off and makes all others treat every endpoint as unreachable. With
+// the reports of two it is broadcast at once, and not again for each request that fails.
 func TestTwoReportsMakeAnEndpointUnreachable(t *testing.T) {
 	var ta gauge.Table
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
@@ -125,17 +125,17 @@
 	}{
 		{0, "a", false},
 		{10, "a", false},   // the same router again
-		{2000, "b", false}, // the first one's word is old
+		{2000, "b", false}, // the first report is too old
 		{2010, "a", true},  // two within a second
-		{2020, "b", false}, // told a moment ago
-		{2600, "a", true},  // still down
-		{2610, "c", false}, // told a moment ago
-		{9000, "c", false}, // the words before are old
-		{9001, "c", false}, // and this is the same router
-		{9002, "bb", true}, // found anew
+		{2020, "b", false}, // broadcast a moment ago
+		{2600, "a", true},  // still unreachable
+		{2610, "c", false}, // broadcast a moment ago
+		{9000, "c", false}, // the earlier reports are too old
+		{9001, "c", false}, // the same router again
+		{9002, "bb", true}, // unreachable again
 	} {
 		if got := ta.ReportUnreachable(at(step.ms), 1, step.from); got != step.want {
-			t.Errorf("step %d, %s after %d ms: told %v, want %v", ix, step.from, step.ms, got, step.want)
+			t.Errorf("step %d, %s after %d ms: broadcast %v, want %v", ix, step.from, step.ms, got, step.want)
 		}
 	}
 }
