--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -1,25 +1,25 @@
-// Package mirror keeps a copy of the platform's store that several processes
-// bring up to date from each other.
+// Package mirror keeps a copy of the platform's store that several processes update from each
+// other.
 //
 // # Concepts
 //
-// The store numbers its changes. A Mirror holds the newest item of each key and
-// AsOf, the version up to which nothing is missing. It is fed by the store's
-// watch and, while the store turns this process away, by the mirrors of others. A store that
-// comes back from a copy begins a new era; all of its versions are later than those before.
+// The store numbers its changes. A Mirror holds the latest item of each key and AsOf, the version up
+// to which it is complete. It is updated from the store's watch and, while the store rejects this
+// process, from the mirrors of peers. A store that is restored from a backup begins a new era, whose
+// versions are all later than those of earlier eras.
 //
 // # Invariants
 //
-//   - An item is only ever replaced by one of a higher version, so that what was
-//     learned never goes back, in whichever order news arrives.
+//   - An item is replaced only by one of a higher version, so that state never goes back,
+//     in whichever order changes arrive.
 //   - A deletion is kept as an item too: an older copy cannot bring the key back.
-//   - A value that outranks what a later era has in its place is kept, under that version.
+//   - A value that outranks its counterpart from a later era is kept, under the later version.
 //
 // # Usage
 //
 //	mi := &mirror.Mirror{Changed: func(it core.Item) { ... }}
 //	mi.Apply(items, asOf)
-//	news, asOf := mi.Since(theirs)
+//	changes, asOf, whole := mi.Since(theirs)
 package mirror
 
 import (
@@ -29,30 +29,30 @@
 	"almondrill/core"
 )
 
-// maxDeletions bounds how many deletions are remembered. A key is deleted for each
-// endpoint that ends; at 200 a day this covers weeks.
+// maxDeletions bounds the deletions that are remembered. A key is deleted for each endpoint that
+// ends; at 200 a day this covers weeks.
 const maxDeletions = 8192
 
 const (
-	// minPastSize is the size, in bytes, from which on an item's earlier values are kept,
-	// as what peers have; below it, what differs is hardly smaller than the item.
+	// minPastSize is the size, in bytes, from which earlier values of an item are kept, as the base of
+	// deltas for peers that have them. Below it, a delta is hardly smaller than the item.
 	minPastSize = 4 << 10
-	// maxPastValues is how many earlier values are kept of an item. A peer lacks one change
-	// as a rule; after a series of changes that it missed it gets all.
+	// maxPastValues is how many earlier values of an item are kept. A peer usually lacks one change;
+	// one that missed more of them gets the whole value.
 	maxPastValues = 4
 )
 
-// Mirror is the copy. Set Changed before use.
+// Mirror is a copy of the store. Set the exported fields before use.
 type Mirror struct {
-	// Changed is told of each item that became the newest of its key, in the
-	// order in which they were taken, unless it was not written again: all items of a store that
-	// came back from a copy have later versions. It must not call the Mirror.
+	// Changed is called with each item that becomes the latest of its key, in the order in which
+	// they are applied. It is not called for items that only have a new version because the store was
+	// restored from a backup. It must not call the Mirror.
 	Changed func(it core.Item)
-	// Restored is told, before the items, that the store has come back from a copy since. It must
-	// not call the Mirror.
+	// Restored is called, before the items, when the store has been restored from a backup since the
+	// last listing. It must not call the Mirror.
 	Restored func(from, to core.Version)
-	// Outranks tells that an item is later than another of its key whatever their versions: a
-	// store that came back from a copy tells what it had before. Nil if none does.
+	// Outranks reports whether an item is later than another of its key, whatever their versions: a
+	// store that was restored from a backup returns earlier values. Nil if no item outranks another.
 	Outranks func(it, other core.Item) bool
 
 	mu    sync.Mutex // guards all below
@@ -60,20 +60,20 @@
 	// deletions are the deleted keys in the order of their deletion.
 	deletions []string
 	asOf      core.Version
-	// deletionsFrom is the revision from which on all deletions are known.
+	// deletionsFrom is the version from which on all deletions are known.
 	deletionsFrom core.Version
 	// past are earlier values of large items, the latest last.
 	past map[string][]core.Item
 }
 
-// AsOf is the revision up to which nothing is missing; 0 if nothing is known.
+// AsOf returns the version up to which the mirror is complete; 0 if nothing is known.
 func (mi *Mirror) AsOf() core.Version {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
 	return mi.asOf
 }
 
-// Apply takes items that, with what was there before, are complete up to asOf.
+// Apply adds items with which the mirror is complete up to asOf.
 func (mi *Mirror) Apply(items []core.Item, asOf core.Version) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
@@ -83,9 +83,9 @@
 	mi.asOf = max(mi.asOf, asOf)
 }
 
-// Preview takes a part of the first listing, which is complete for nothing; Replace with
-// the whole takes out what is gone by then. Once anything complete is known, it does
-// nothing: an item that was deleted meanwhile would come back for good.
+// Preview adds a part of the first listing, which makes nothing complete; Replace with the whole
+// listing removes what was deleted in the meantime. Once a complete version is known, Preview does
+// nothing: it could bring back a deleted item for good.
 func (mi *Mirror) Preview(some []core.Item) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
@@ -97,8 +97,8 @@
 	}
 }
 
-// Replace takes a complete listing that was begun at asOf: keys that are not in
-// it and were not changed since were deleted unseen.
+// Replace applies a complete listing that was begun at asOf: keys that it lacks, and that were not
+// changed since, were deleted without this mirror's knowledge.
 func (mi *Mirror) Replace(items []core.Item, asOf core.Version) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
@@ -115,13 +115,13 @@
 			mi.applyItem(core.Item{Key: key, Rev: asOf, Deleted: true})
 		}
 	}
-	// What came and went between two listings left no trace here.
+	// Keys that were added and deleted between two listings are unknown here.
 	mi.deletionsFrom = max(mi.deletionsFrom, asOf)
 	mi.asOf = max(mi.asOf, asOf)
 }
 
-// applyItem keeps the item if it is newer. A deletion found by a listing bears the
-// listing's revision, which the key's own last one may equal.
+// applyItem keeps the item if it is newer. A deletion found by a listing has the listing's version,
+// which may equal the key's own last one.
 func (mi *Mirror) applyItem(it core.Item) {
 	if mi.items == nil {
 		mi.items = map[string]core.Item{}
@@ -133,7 +133,7 @@
 		case mi.Outranks(old, it):
 			it.Value, it.Deleted, unchanged = old.Value, false, true
 		case mi.Outranks(it, old) && it.Rev <= old.Rev:
-			it.Rev, known = old.Rev, false // it replaces what it does not follow
+			it.Rev, known = old.Rev, false // it replaces an item of a higher version
 		}
 	}
 	if known && (it.Rev < old.Rev || it.Rev == old.Rev && (old.Deleted || !it.Deleted)) {
@@ -153,14 +153,15 @@
 	}
 }
 
-// renumbered tells that an item is as it was before the store came back from a copy that has it.
+// renumbered reports whether an item differs from the old one only by the era of its version, because
+// the store was restored from a backup that contains it.
 func renumbered(old, it core.Item) bool {
 	return old.Rev.Era() != it.Rev.Era() && old.Rev.Revision() == it.Rev.Revision() &&
 		!old.Deleted && !it.Deleted && bytes.Equal(old.Value, it.Value)
 }
 
-// mayBeRestored tells whether one of the items may be from a copy that the store came back from: they are
-// of two eras, or differ under one version.
+// mayBeRestored reports whether one of the items may come from a backup that the store was restored
+// from: they are of two eras, or differ under one version.
 func (mi *Mirror) mayBeRestored(old, it core.Item) bool {
 	if mi.Outranks == nil || it.Rev != old.Rev && it.Rev.Era() == old.Rev.Era() {
 		return false
@@ -168,7 +169,7 @@
 	return it.Deleted != old.Deleted || !bytes.Equal(it.Value, old.Value)
 }
 
-// keepPast remembers a value that was replaced.
+// keepPast remembers a replaced value if it is large.
 func (mi *Mirror) keepPast(old core.Item) {
 	if len(old.Value) < minPastSize {
 		return
@@ -180,7 +181,7 @@
 	mi.past[old.Key] = list[max(0, len(list)-maxPastValues):]
 }
 
-// Largest is the item with the largest value, the zero Item if there is none.
+// Largest returns the item with the largest value, the zero Item if there is none.
 func (mi *Mirror) Largest() core.Item {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
@@ -193,7 +194,7 @@
 	return best
 }
 
-// Value is what the key had at that revision, nil if it is not known any more.
+// Value returns the key's value at the given version, nil if it is unknown.
 func (mi *Mirror) Value(key string, rev core.Version) []byte {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// forgetDeletions drops the oldest deletions once there are too many.
+// forgetDeletions drops the oldest deletions beyond maxDeletions.
 func (mi *Mirror) forgetDeletions() {
 	for len(mi.deletions) > maxDeletions {
 		if it := mi.items[mi.deletions[0]]; it.Deleted {
@@ -219,10 +220,9 @@
 	}
 }
 
-// Since is everything newer than rev, with the revision up to which it is complete.
-// Deletions before this mirror's first listing, and those that were forgotten, are
-// not known here: to whoever lacks them it gives everything there is, whole, which
-// is to be taken with Replace.
+// Since returns the changes after rev, and the version up to which they are complete. Deletions before
+// this mirror's first listing, and forgotten ones, are unknown here: to a peer that may lack them it
+// returns all items, with whole set, which the peer has to apply with Replace.
 func (mi *Mirror) Since(rev core.Version) (changes []core.Item, asOf core.Version, whole bool) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
--- a/core/mirror/mirror_test.go
+++ b/core/mirror/mirror_test.go
@@ -12,8 +12,8 @@
 	"almondrill/core/mirror"
 )
 
-// A router that the store turns away is fed by two peers, one of which lags. What
-// the lagging one brings last must not put an older configuration back in force.
+// Guards against an older configuration that comes back into force: a router that the store rejects is
+// updated by two peers, one of which lags and answers last.
 func TestItemsInAnyOrderNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		last := map[string]core.Version{}
@@ -43,8 +43,8 @@
 	})
 }
 
-// An endpoint ends while the store's history is dropped, so no deletion is told. The
-// listing that follows lacks its key, and that has to count as its end.
+// Guards against a missed deletion: an endpoint ends while the store's history is compacted, so that no
+// deletion is reported. The next listing lacks its key, which has to count as its deletion.
 func TestListingShowsUnseenDeletions(t *testing.T) {
 	var changed []core.Item
 	mi := &mirror.Mirror{Changed: func(it core.Item) { changed = append(changed, it) }}
@@ -56,7 +56,7 @@
 	}
 	mi.Apply([]core.Item{{Key: "b", Rev: 2}}, 9)
 	if len(changed) != 1 {
-		t.Errorf("an old copy brought a deleted key back: %+v", changed)
+		t.Errorf("an older copy brought a deleted key back: %+v", changed)
 	}
 }
 
@@ -65,11 +65,11 @@
 	mi.Apply([]core.Item{{Key: "a", Rev: 3}, {Key: "b", Rev: 5}, {Key: "c", Rev: 6, Deleted: true}}, 7)
 	changes, asOf, _ := mi.Since(3)
 	if len(changes) != 2 || asOf != 7 {
-		t.Errorf("news %+v as of %d, want b and c as of 7", changes, asOf)
+		t.Errorf("changes %+v as of %d, want b and c as of 7", changes, asOf)
 	}
 }
 
-// Endpoints come and go for weeks; the record of those that are gone stays bounded.
+// Guards against unbounded memory as endpoints come and go for weeks.
 func TestRememberedDeletionsAreBounded(t *testing.T) {
 	mi := &mirror.Mirror{}
 	for rev := core.Version(1); rev < 20000; rev++ {
@@ -80,9 +80,9 @@
 	}
 }
 
-// A router restarts and lists the store just after an endpoint has left without a
-// word. A peer that is one revision behind asks it for news: the deletion has to be
-// among it, or that peer sends requests to the endpoint until it exits.
+// Guards against a peer that misses a deletion, and sends requests to an endpoint until it exits: a
+// router restarts and lists the store just after the endpoint was removed, and a peer that is one
+// revision behind asks that router for changes. They have to include the deletion.
 func TestFreshMirrorSendsDeletionsItNeverSaw(t *testing.T) {
 	before := []core.Item{{Key: "a", Rev: 1}, {Key: "b", Rev: 2}}
 	behind := &mirror.Mirror{}
@@ -92,7 +92,7 @@
 	copyChanges(fresh, behind)
 	for _, it := range items(behind) {
 		if it.Key == "b" && !it.Deleted {
-			t.Error("the peer still has what was deleted")
+			t.Error("the peer still has the deleted item")
 		}
 	}
 	if behind.AsOf() != 24 {
@@ -100,7 +100,7 @@
 	}
 }
 
-// Whoever asks whom in which order, all mirrors that end at one revision hold the same.
+// In whichever order mirrors copy from each other, those of the same version hold the same items.
 func TestMirrorsThatCopyFromEachOtherAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &mirror.Mirror{}
@@ -134,7 +134,7 @@
 	})
 }
 
-// copyChanges brings a mirror up to date from another, as routers do.
+// copyChanges updates a mirror from another one, as routers do.
 func copyChanges(from, to *mirror.Mirror) {
 	if from.AsOf() <= to.AsOf() {
 		return
@@ -170,8 +170,9 @@
 	return out
 }
 
-// The store drops its history. A router lists anew and cannot see an endpoint that came
-// and left in between; a peer that knew it asks that router for news.
+// Guards against a deletion that no listing shows: the store compacts its history, and a router lists
+// anew without seeing an endpoint that came and went in between. A peer that knew it asks that
+// router for changes.
 func TestRelistedMirrorSendsWhatItMissed(t *testing.T) {
 	peer := &mirror.Mirror{}
 	peer.Replace([]core.Item{{Key: "x", Rev: 11}, {Key: "y", Rev: 12}}, 12)
@@ -184,8 +185,8 @@
 	}
 }
 
-// A page of a listing arrives late, after a peer has told everything. An endpoint on it has
-// left meanwhile: taken over, it would get calls for good, as nobody tells of it again.
+// Guards against a late page of a listing that restores a deleted endpoint. It would get calls for
+// good, as its deletion is not reported again.
 func TestLatePageRestoresNoDeletedItem(t *testing.T) {
 	mi := &mirror.Mirror{}
 	mi.Preview([]core.Item{{Key: "a", Rev: 1}, {Key: "gone", Rev: 2}})
@@ -200,8 +201,8 @@
 	}
 }
 
-// Guards against mirrors that keep what a store lost when it came back from a copy, or miss what was
-// written under its revisions after that.
+// Guards against mirrors that keep what a store lost when it was restored from a backup, or miss what
+// was later written under the same revisions.
 func TestMirrorsAgreeAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type state struct {
@@ -259,7 +260,7 @@
 	})
 }
 
-// Guards against a value that goes back as the store tells, or peers tell, what a copy has of it.
+// Guards against a value that goes back when the store or a peer returns the older one of a backup.
 func TestLaterValueSurvivesARestore(t *testing.T) {
 	outranks := func(it, other core.Item) bool {
 		return it.Key == "doc" && !it.Deleted && (other.Deleted || string(it.Value) > string(other.Value))
@@ -283,7 +284,7 @@
 			mi.Apply([]core.Item{doc(1, 8, "v2")}, core.VersionOf(1, 9))
 		}
 		if !slices.Equal(seen, []string{"v2", "v3"}) || !slices.Equal(seenFresh[len(listed):], []string{"v2", "v3"}) {
-			t.Errorf("told %v and %v", seen, seenFresh)
+			t.Errorf("changed to %v and %v", seen, seenFresh)
 		}
 	}
 }
