--- a/core/swim/fleet_test.go
+++ b/core/swim/fleet_test.go
@@ -13,14 +13,14 @@
 	"almondrill/core/swim"
 )
 
-// fleet is routers that exchange probes, and words with rumors, on virtual time.
+// fleet simulates routers that exchange probes, and messages with rumors, in virtual time.
 type fleet struct {
 	t       *testing.T
 	rand    *rand.Rand
 	now     time.Time
 	routers []*router
 	byAddr  map[string]*router
-	// lossRate is the part of messages that are lost; cut tells those that cannot arrive.
+	// lossRate is the fraction of messages that are lost; cut reports those that cannot arrive.
 	lossRate float64
 	cut      func(from, to *router) bool
 	// sent counts messages.
@@ -30,21 +30,22 @@
 type router struct {
 	*swim.Table
 	addr string
-	// down takes no messages and sends none, as a process that is paused or gone.
+	// down is set while the process neither receives nor sends, because it is paused or gone.
 	down bool
-	// started is when its process did.
+	// started is when its process started.
 	started time.Time
 }
 
 const (
 	step = 100 * time.Millisecond
-	// A router introduces itself to two peers every intro, or soon within settling of its start, and
-	// is told of others.
+	// A router sends join messages to two peers every joinInterval, or joinIntervalAtStart within
+	// startPeriod of its start, and learns of others from the replies.
 	joinInterval        = 1200 * time.Millisecond
 	joinIntervalAtStart = 300 * time.Millisecond
 	startPeriod         = 5 * time.Second
 	maxJoinPeers        = 120
-	// messagesPerStep is how many a router sends in a step, bounded as its bytes are; mostRumors go with each.
+	// messagesPerStep is how many a router sends in a step, as its bytes are bounded; maxRumors are in
+	// each.
 	messagesPerStep = 4
 	maxRumors       = 16
 )
@@ -64,7 +65,7 @@
 	return fl
 }
 
-// start starts a router's process anew.
+// start restarts a router's process.
 func (fl *fleet) start(ro *router) {
 	ro.Table = &swim.Table{Self: ro.addr, Rand: fl.rand}
 	ro.down, ro.started = false, fl.now
@@ -73,7 +74,7 @@
 	}
 }
 
-// connectAll lets all routers know of each other, as those do that have run for long.
+// connectAll makes all routers know each other, as those do that have run for long.
 func (fl *fleet) connectAll() {
 	for _, ro := range fl.routers {
 		for _, other := range fl.routers {
@@ -82,13 +83,13 @@
 	}
 }
 
-// delivered tells whether a message does.
+// delivered reports whether a message arrives.
 func (fl *fleet) delivered(from, to *router) bool {
 	fl.sent++
 	return to != nil && !from.down && !to.down && fl.rand.Float64() >= fl.lossRate && !fl.cut(from, to)
 }
 
-// send brings what each message has from one router to another.
+// send sends the part that all messages have in common, and reports whether it arrived.
 func (fl *fleet) send(from, to *router) bool {
 	rumors := from.Rumors(maxRumors)
 	if !fl.delivered(from, to) {
@@ -99,7 +100,7 @@
 	return true
 }
 
-// probe asks a router, and tells whether its answer came.
+// probe probes a router and reports whether its reply arrived.
 func (fl *fleet) probe(from, to *router, about swim.Rumor) bool {
 	if !fl.send(from, to) {
 		return false
@@ -135,7 +136,7 @@
 	}
 }
 
-// join has a router tell two others how many it knows. Who knows more names some.
+// join has a router tell two others how many peers it knows. One that knows more returns some.
 func (fl *fleet) join(ro *router) {
 	every := joinInterval
 	if fl.now.Sub(ro.started) < startPeriod {
@@ -169,7 +170,7 @@
 	}
 }
 
-// aliveTo is how many of the routers that run take that one for alive.
+// aliveTo returns how many of the running routers treat a router as alive.
 func (fl *fleet) aliveTo(of *router) int {
 	count := 0
 	for _, ro := range fl.routers {
@@ -180,7 +181,7 @@
 	return count
 }
 
-// waitUntil runs until something holds, and tells how long it took.
+// waitUntil runs the fleet until the condition holds and returns how long it took.
 func (fl *fleet) waitUntil(limit time.Duration, what string, holds func() bool) time.Duration {
 	fl.t.Helper()
 	for took := time.Duration(0); took <= limit; took += step {
@@ -193,7 +194,7 @@
 	return limit
 }
 
-// agreement is the mean share of the running routers that mean the same keeper of a key.
+// agreement returns the mean share of the running routers that agree on the owner of a key.
 func (fl *fleet) agreement() float64 {
 	const keys = 50
 	var up []*router
@@ -208,7 +209,7 @@
 	}
 	total := 0.0
 	for key := range uint64(keys) {
-		order := make([]int, len(fl.routers)) // by claim, the highest first
+		order := make([]int, len(fl.routers)) // by rendezvous hash, the highest first
 		for ix := range order {
 			order[ix] = ix
 		}
--- a/core/swim/rumor.go
+++ b/core/swim/rumor.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ApplyRumors takes the rumors of a message.
+// ApplyRumors applies the rumors in a message.
 func (ta *Table) ApplyRumors(now time.Time, rumors []Rumor) {
 	for _, ru := range rumors {
 		if ru.State < Alive || ru.State > Left {
@@ -20,7 +20,7 @@
 	}
 }
 
-// refute raises the own incarnation above that of a rumor that this router is not alive.
+// refute raises this router's incarnation above that of a rumor that it is not alive.
 func (ta *Table) refute(ru Rumor) {
 	if ru.State == Alive {
 		return
@@ -29,7 +29,7 @@
 	ta.enqueue(Rumor{ta.Self, Alive, ta.incarnation})
 }
 
-// applyRumor takes a rumor of a peer, unless more is known.
+// applyRumor applies a rumor of a peer unless it is outdated.
 func (ta *Table) applyRumor(now time.Time, ru Rumor) {
 	if ta.members[ru.Addr] == nil && !ru.State.live() {
 		return
@@ -40,7 +40,7 @@
 		return
 	case ru.Incarnation < me.incarnation:
 		if me.state == Alive && ru.State > Alive {
-			ta.enqueue(Rumor{ru.Addr, Alive, me.incarnation}) // whoever told it has missed a refutation
+			ta.enqueue(Rumor{ru.Addr, Alive, me.incarnation}) // its sender has missed a refutation
 		}
 		return
 	case ru.Incarnation == me.incarnation && ru.State <= me.state && !me.deadByIsolation:
@@ -57,10 +57,10 @@
 	ta.enqueue(ru)
 }
 
-// Leave makes a rumor that this router ends.
+// Leave queues a rumor that this router shuts down.
 func (ta *Table) Leave() { ta.enqueue(Rumor{ta.Self, Left, ta.incarnation}) }
 
-// enqueue puts a rumor among those that are told, in place of an earlier one of that peer.
+// enqueue queues a rumor for sending, in place of an earlier one of the same peer.
 func (ta *Table) enqueue(ru Rumor) {
 	for _, qu := range ta.rumors {
 		if qu.Addr == ru.Addr {
@@ -71,7 +71,7 @@
 	ta.rumors = append(ta.rumors, &queuedRumor{Rumor: ru})
 }
 
-// Rumors are those to go with a message, at most so many, the least told first.
+// Rumors returns up to limit rumors to be sent with a message, those sent least often first.
 func (ta *Table) Rumors(limit int) []Rumor {
 	if len(ta.rumors) == 0 {
 		return nil
--- a/core/swim/swim.go
+++ b/core/swim/swim.go
@@ -1,21 +1,22 @@
-// Package swim tells which peers are alive, at a cost for each of them that does not grow with
-// their number.
+// Package swim detects which peers are alive, at a cost for each router that does not grow with their
+// number.
 //
 // # Concepts
 //
-// Each period a Table probes one peer, in a shuffled order, so that every peer is probed by some
-// other within a few periods, however many there are. One that does not answer is probed through
-// others. If that fails too it is suspected, and dead after a time that grows with the logarithm of
-// the number of peers, unless it refutes the suspicion. Rumors of suspicions, refutations and deaths
-// travel with other messages, each a bounded number of times. This is the protocol of Das, Gupta and
-// Motivala, SWIM (2002), with refutation by incarnation numbers.
+// In each period a Table probes one peer, in shuffled order, so that every peer is probed by some
+// router within a few periods, however many there are. A peer that does not reply is probed through
+// others. If that fails too it is suspected, and declared dead after a time that grows with the
+// logarithm of the number of peers, unless it refutes the suspicion. Rumors of suspicions, refutations
+// and deaths travel with other messages, each a bounded number of times. This is the protocol of Das,
+// Gupta and Motivala, SWIM (2002), with refutation by incarnation numbers.
 //
 // # Invariants
 //
 //   - Of two rumors of a peer the one with the higher incarnation counts; of equal ones the worse.
 //     Only the peer itself raises its incarnation.
-//   - A peer that was heard within heardFor is not dead here by a rumor of the same incarnation.
-//   - A router that hears nobody spreads no suspicion: it is cut off itself.
+//   - A peer from which a message came within directContactWindow is not declared dead by a rumor of
+//     the same incarnation.
+//   - A router that receives no messages spreads no suspicion: it is isolated itself.
 //
 // # Usage
 //
@@ -24,10 +25,10 @@
 //
 //	ta := &swim.Table{Self: addr, Rand: rand}
 //	ta.Add(now, seed)
-//	for _, pi := range ta.Tick(now) { ... } // send a probe
-//	ta.Heard(now, from, incarnation)        // for each message that came
-//	ta.Take(now, rumors)                    // the rumors in it
-//	rumors := ta.Rumors(most)               // to go with a message
+//	for _, pr := range ta.Tick(now) { ... }    // send a probe
+//	ta.MessageReceived(now, from, incarnation) // for each message
+//	ta.ApplyRumors(now, rumors)                // the rumors in it
+//	rumors := ta.Rumors(limit)                 // to be sent with a message
 package swim
 
 import (
@@ -38,86 +39,86 @@
 	"almondrill/core"
 )
 
-// Period is how often Tick is to be called.
+// Period is the interval at which Tick has to be called.
 const Period = 200 * time.Millisecond
 
 const (
-	// probeTimeout is how long a peer has to answer a probe, helpWait how long through others:
-	// a few ways between zones, and turns at busy processors.
+	// probeTimeout is how long a peer has to reply to a probe, indirectProbeTimeout how long through
+	// others: a few transit delays between zones, and scheduling delays on busy processors.
 	probeTimeout         = 200 * time.Millisecond
 	indirectProbeTimeout = 400 * time.Millisecond
-	// indirectProbes is through how many others a peer is probed.
+	// indirectProbes is the number of others through which a peer is probed.
 	indirectProbes = 3
-	// suspicionTimeout is how long a suspected peer may refute, for each doubling of their number:
-	// rumors take as many turns to reach all.
+	// suspicionTimeout is how long a suspected peer may refute, for each doubling of the number of
+	// peers: rumors take as many rounds to reach all.
 	suspicionTimeout = 300 * time.Millisecond
-	// rumorRetransmits is how often a rumor is passed on, for each doubling of the number of peers.
+	// rumorRetransmits is how often a rumor is sent, for each doubling of the number of peers.
 	rumorRetransmits = 2
-	// directContactWindow is how long a peer's own word counts more than rumors.
+	// directContactWindow is how long a message from a peer itself overrides rumors.
 	directContactWindow = time.Second
-	// isolatedAfter is how long nobody may be heard before this router takes itself for cut off, and
-	// aloneFor before those that are silent count as dead all the same.
+	// isolatedAfter is how long a router may receive no message before it considers itself isolated;
+	// isolatedDeadAfter is when it treats its peers as dead all the same.
 	isolatedAfter     = 500 * time.Millisecond
 	isolatedDeadAfter = 3 * time.Second
-	// rejoinPeriods is how often, in periods, a dead peer is probed: two parts of a fleet that
-	// were cut from each other find together again.
+	// rejoinPeriods is the interval, in periods, at which a dead peer is probed, so that two
+	// partitions of a fleet rejoin.
 	rejoinPeriods = 5
-	// ForgetAfter is how long a dead peer is remembered, longer than regions are cut off from each
-	// other; leftFor how long one that left.
+	// ForgetAfter is how long a dead peer is remembered, longer than regions are partitioned;
+	// forgetLeftAfter how long one that announced its shutdown.
 	ForgetAfter     = 10 * time.Minute
 	forgetLeftAfter = 30 * time.Second
 )
 
-// State is what is believed of a peer; a higher one is worse.
+// State is the assumed state of a peer; a higher one is worse.
 type State uint8
 
 // States of peers.
 const (
-	// Named: others know of it, and it was not heard yet.
+	// Unverified: others know of it, but no message from it has arrived yet.
 	Unverified State = iota
 	Alive
-	// Suspect: it did not answer, and may refute that.
+	// Suspect: it did not reply, and may refute the suspicion.
 	Suspect
 	Dead
-	// Left: it said that it ends.
+	// Left: it announced its shutdown.
 	Left
 )
 
 // Incarnation counts the refutations of a peer.
 type Incarnation uint32
 
-// Rumor is what one tells of a peer.
+// Rumor is a report of a peer's state.
 type Rumor struct {
 	Addr        string
 	State       State
 	Incarnation Incarnation
 }
 
-// Probe is a question to be sent to a peer.
+// Probe asks a peer, or a third one through it, for a reply.
 type Probe struct {
 	To string
-	// Target is to be asked by To in turn; "" if To itself is asked.
+	// Target is the peer that To has to probe in turn; "" if To itself is probed.
 	Target string
-	// About is what was rumored of To, for it to refute; its State is Named if there is nothing.
+	// About is a rumor of To that it may refute; its State is Unverified if there is none.
 	About Rumor
 }
 
-// Table is what one router believes of its peers.
+// Table is one router's view of its peers.
 type Table struct {
 	Self string
 	Rand core.Rand
 
 	members     map[string]*member
 	incarnation Incarnation
-	// order is in which peers are probed, from next on.
+	// order is the order in which peers are probed; next is the index of the next one.
 	order []string
 	next  int
-	// probes are those without an answer.
+	// probes are those without a reply.
 	probes  []*probe
 	periods int
-	// startedAt is the first Tick, heard when anybody was heard last.
+	// startedAt is the first Tick, lastHeard when the last message arrived.
 	startedAt, lastHeard time.Time
-	// rumors are passed on, owed tells peers what was rumored of themselves.
+	// rumors are queued for sending; notices inform peers of rumors about themselves.
 	rumors  []*queuedRumor
 	notices []Probe
 	// live counts the members that are alive or suspected.
@@ -129,9 +130,9 @@
 	state       State
 	incarnation Incarnation
 	lastHeard   time.Time
-	// since is when the state began, until when a suspicion ends.
+	// since is when the state began, suspectedUntil when a suspicion ends.
 	since, suspectedUntil time.Time
-	// deadByIsolation is set if it was taken for dead by a router that heard nobody.
+	// deadByIsolation is set if it was declared dead because this router was isolated.
 	deadByIsolation bool
 }
 
@@ -141,16 +142,16 @@
 	indirect bool
 }
 
-// queuedRumor is a rumor and how often it was told.
+// queuedRumor is a rumor and how often it was sent.
 type queuedRumor struct {
 	Rumor
 	sent int
 }
 
-// Add makes an address known that may be nobody's.
+// Add adds an address at which there may be no peer.
 func (ta *Table) Add(now time.Time, addr string) { ta.member(now, addr) }
 
-// Join takes a peer's word that another is alive.
+// Join adds a peer that another one reports as alive.
 func (ta *Table) Join(now time.Time, addr string) {
 	me := ta.member(now, addr)
 	if me != nil && (me.state == Unverified || me.deadByIsolation) {
@@ -174,7 +175,7 @@
 	return me
 }
 
-// scheduleProbe puts a new peer at a random place of those that are still to be probed.
+// scheduleProbe inserts a new peer at a random position among those still to be probed.
 func (ta *Table) scheduleProbe(addr string) {
 	at := ta.next + ta.draw(len(ta.order)-ta.next+1)
 	ta.order = slices.Insert(ta.order, at, addr)
@@ -194,8 +195,8 @@
 	me.state, me.since, me.deadByIsolation = st, now, false
 }
 
-// MessageReceived takes that a message came from the address, whose sender told its incarnation, or 0. It
-// returns true if it was not alive here.
+// MessageReceived records a message from the address, with its sender's incarnation, or 0 if unknown.
+// It returns true if the peer was neither alive nor suspected.
 func (ta *Table) MessageReceived(now time.Time, addr string, in Incarnation) bool {
 	me := ta.member(now, addr)
 	if me == nil {
@@ -217,7 +218,7 @@
 	return before != Suspect
 }
 
-// Sample draws peers that are alive, at most so many.
+// Sample returns up to limit random peers that are alive.
 func (ta *Table) Sample(limit int) []string {
 	all := make([]string, 0, ta.live)
 	for addr, me := range ta.members {
@@ -225,7 +226,7 @@
 			all = append(all, addr)
 		}
 	}
-	slices.Sort(all) // a run repeats from its seed
+	slices.Sort(all) // for reproducible runs with the same seed
 	limit = min(limit, len(all))
 	for ix := range limit {
 		other := ix + ta.draw(len(all)-ix)
@@ -234,28 +235,28 @@
 	return all[:limit]
 }
 
-// KnowsMore tells whether a peer that knows so many others is to be told of more.
+// KnowsMore reports whether this router has peers to name to one that knows this many.
 func (ta *Table) KnowsMore(known int) bool { return known < ta.live }
 
-// Live is how many peers are alive, those that are suspected among them.
+// Live returns the number of peers that are alive, including suspected ones.
 func (ta *Table) Live() int { return ta.live }
 
-// Alive tells whether a peer is alive or merely suspected.
+// Alive reports whether a peer is alive or only suspected.
 func (ta *Table) Alive(addr string) bool {
 	me := ta.members[addr]
 	return me != nil && me.state.live()
 }
 
-// MayAnswer tells whether a message to the peer makes sense: it is not taken for dead.
+// MayAnswer reports whether a peer may receive a message, as it is not known to be dead.
 func (ta *Table) MayAnswer(addr string) bool {
 	me := ta.members[addr]
 	return me != nil && me.state <= Suspect
 }
 
-// Known tells whether the peer is remembered.
+// Known reports whether the peer is remembered.
 func (ta *Table) Known(addr string) bool { return ta.members[addr] != nil }
 
-// CountNotLongDead is how many peers there are that are not dead, or have been for less than that.
+// CountNotLongDead returns the number of peers that are not dead, or have been for less than within.
 func (ta *Table) CountNotLongDead(now time.Time, within time.Duration) int {
 	count := 0
 	for _, me := range ta.members {
@@ -266,7 +267,7 @@
 	return count
 }
 
-// LastHeard is when a peer was heard last; the zero time if never.
+// LastHeard returns when the last message from a peer arrived; zero if none did.
 func (ta *Table) LastHeard(addr string) time.Time {
 	if me := ta.members[addr]; me != nil {
 		return me.lastHeard
@@ -274,7 +275,7 @@
 	return time.Time{}
 }
 
-// SilentFor tells for how long nobody was heard.
+// SilentFor returns the time since the last message from any peer, or since the first Tick if there was none.
 func (ta *Table) SilentFor(now time.Time) time.Duration {
 	if ta.lastHeard.IsZero() {
 		return now.Sub(ta.startedAt)
@@ -282,13 +283,14 @@
 	return now.Sub(ta.lastHeard)
 }
 
-// Incarnation is the own one, to be told with probes and their answers.
+// Incarnation returns this router's incarnation, to be sent with probes and their replies.
 func (ta *Table) Incarnation() Incarnation { return ta.incarnation }
 
-// doublings is how many times their number doubles from one: the rounds that a rumor takes.
+// doublings returns how many times the number of live peers doubles from one: the number of rounds
+// that a rumor takes.
 func (ta *Table) doublings() int { return max(1, bits.Len(uint(ta.live+1))) }
 
-// Tick goes on by a period. It returns the probes to be sent.
+// Tick advances by a period and returns the probes to be sent.
 func (ta *Table) Tick(now time.Time) []Probe {
 	if ta.startedAt.IsZero() {
 		ta.startedAt = now
@@ -309,7 +311,8 @@
 	return out
 }
 
-// expireStates takes for dead who did not refute in time, and forgets who has long been.
+// expireStates declares dead the peers that did not refute in time, and forgets those that have been
+// dead or gone for long.
 func (ta *Table) expireStates(now time.Time) {
 	isolated := ta.SilentFor(now) > isolatedDeadAfter
 	var ended []string
@@ -324,7 +327,7 @@
 			delete(ta.members, addr)
 		}
 	}
-	slices.Sort(ended) // a run repeats from its seed
+	slices.Sort(ended) // for reproducible runs with the same seed
 	for _, addr := range ended {
 		me := ta.members[addr]
 		ta.setState(now, me, Dead)
@@ -332,7 +335,8 @@
 	}
 }
 
-// checkProbes looks after the probes that were not answered.
+// checkProbes returns indirect probes for peers that did not reply in time, and suspects those that
+// did not reply to these either.
 func (ta *Table) checkProbes(now time.Time) []Probe {
 	var out []Probe
 	ta.probes = slices.DeleteFunc(ta.probes, func(pr *probe) bool {
@@ -366,7 +370,7 @@
 	ta.enqueue(Rumor{me.addr, Suspect, me.incarnation})
 }
 
-// maxDraws bounds the search for a peer of some kind.
+// maxDraws bounds the attempts to draw a suitable peer.
 const maxDraws = 8
 
 // indirectProber draws a live peer other than the target; "" if none was found.
@@ -383,8 +387,8 @@
 	return ""
 }
 
-// nextTarget is the peer that is probed next, "" if there is none. One that was heard within the
-// last period need not be.
+// nextTarget returns the peer to be probed next, "" if there is none. It skips peers from which a
+// message arrived within the last period.
 func (ta *Table) nextTarget(now time.Time) string {
 	for range len(ta.order) {
 		if ta.next >= len(ta.order) {
@@ -403,7 +407,7 @@
 	return ""
 }
 
-// shuffle begins a new round over all that may be alive.
+// shuffle begins a new round over all peers that may be alive.
 func (ta *Table) shuffle() {
 	ta.next = 0
 	ta.order = ta.order[:0]
@@ -412,14 +416,14 @@
 			ta.order = append(ta.order, addr)
 		}
 	}
-	slices.Sort(ta.order) // a run repeats from its seed
+	slices.Sort(ta.order) // for reproducible runs with the same seed
 	for ix := range ta.order {
 		other := ix + ta.draw(len(ta.order)-ix)
 		ta.order[ix], ta.order[other] = ta.order[other], ta.order[ix]
 	}
 }
 
-// randomDead draws a dead peer that may be back.
+// randomDead draws a dead peer, which may be back.
 func (ta *Table) randomDead() string {
 	var dead []string
 	for addr, me := range ta.members {
--- a/core/swim/swim_test.go
+++ b/core/swim/swim_test.go
@@ -9,16 +9,16 @@
 	"almondrill/core/swim"
 )
 
-var large = flag.Bool("large", false, "play churn among 714 routers too")
+var large = flag.Bool("large", false, "simulate churn among 714 routers too")
 
-// sizes are those of the fleets: the whole one, and twice as many.
+// sizes are those of the fleets: small ones, the whole one, and twice as many.
 var sizes = []int{4, 30, 357, 714}
 
-// deadWithin is the time within which all are to know of a lost router, whatever their number.
+// deadWithin is the time within which all routers have to know of a lost one, whatever their number.
 const deadWithin = 7 * time.Second
 
-// Guards against detection that takes as long as a round of words to all peers, which grows with
-// their number, so that routers mean different keepers of an endpoint's count for that long.
+// Guards against detection by a round of messages to all peers, which takes longer the more there are.
+// For that long, routers would disagree on the owner of an endpoint's count.
 func TestLostRouterIsKnownToAllAtAnySize(t *testing.T) {
 	t.Parallel()
 	for _, size := range sizes {
@@ -27,18 +27,18 @@
 		fl.run(2 * time.Second)
 		lost := fl.routers[size/2]
 		lost.down = true
-		first := fl.waitUntil(deadWithin, "one knows of the lost router", func() bool { return fl.aliveTo(lost) < size-1 })
-		half := fl.waitUntil(deadWithin, "half know of the lost router", func() bool { return fl.aliveTo(lost) <= size/2 })
-		all := fl.waitUntil(deadWithin, "all know of the lost router", func() bool { return fl.aliveTo(lost) == 0 })
-		t.Logf("%d routers: lost one known to the first after %s, half %s, all %s", size, first, first+half, first+half+all)
+		first := fl.waitUntil(deadWithin, "one router knows of the lost one", func() bool { return fl.aliveTo(lost) < size-1 })
+		half := fl.waitUntil(deadWithin, "half of the routers know of the lost one", func() bool { return fl.aliveTo(lost) <= size/2 })
+		all := fl.waitUntil(deadWithin, "all routers know of the lost one", func() bool { return fl.aliveTo(lost) == 0 })
+		t.Logf("%d routers: lost one detected by the first after %s, half %s, all %s", size, first, first+half, first+half+all)
 		if first+half+all > deadWithin {
-			t.Errorf("%d routers: known to all after %s, want %s", size, first+half+all, deadWithin)
+			t.Errorf("%d routers: detected by all after %s, want %s", size, first+half+all, deadWithin)
 		}
 	}
 }
 
-// Guards against routers that mean different keepers for good: grants for cold endpoints and counts
-// of calls hold only while they mean the same one.
+// Guards against routers that disagree on owners for good: grants for cold endpoints and call counts
+// hold only while all agree on one.
 func TestRoutersAgreeOnOwnersThroughChurn(t *testing.T) {
 	t.Parallel()
 	churned := []int{30, 357}
@@ -70,14 +70,14 @@
 			total, least = total+ag, min(least, ag)
 		}
 		end := fl.agreement()
-		t.Logf("%d routers: mean the same keeper %.3f on average, %.3f at least, %.3f at the end", size, total/seconds, least, end)
+		t.Logf("%d routers: agree on the owner %.3f on average, %.3f at least, %.3f at the end", size, total/seconds, least, end)
 		if mean := total / seconds; mean < 0.9 || end < 0.99 {
-			t.Errorf("%d routers: %.3f mean the same keeper, %.3f at the end; want 0.9 and 0.99", size, mean, end)
+			t.Errorf("%d routers: %.3f agree on the owner, %.3f at the end; want 0.9 and 0.99", size, mean, end)
 		}
 	}
 }
 
-// Guards against routers that are taken for dead though they run: what they keep is forgotten.
+// Guards against running routers that are declared dead, which loses the counts that they own.
 func TestNoRouterIsFalselyDeclaredDead(t *testing.T) {
 	t.Parallel()
 	for name, disturb := range map[string]func(fl *fleet){
@@ -101,7 +101,7 @@
 				fl.run(time.Second)
 				for ix, ro := range fl.routers {
 					if got := fl.aliveTo(ro); got < size-1 {
-						t.Fatalf("router %d is alive to %d of %d others", ix, got, size-1)
+						t.Fatalf("router %d is considered alive by %d of %d others", ix, got, size-1)
 					}
 				}
 			}
@@ -109,7 +109,7 @@
 	}
 }
 
-// Guards against two parts of a fleet that take each other for dead for good after a cut between them.
+// Guards against two partitions of a fleet that treat each other as dead for good after a network cut.
 func TestPartitionsRejoinAfterACut(t *testing.T) {
 	t.Parallel()
 	const size = 100
@@ -122,11 +122,11 @@
 		sides[ro] = side(ro)
 	}
 	fl.cut = func(from, to *router) bool { return sides[from] != sides[to] }
-	fl.waitUntil(30*time.Second, "each part takes the other for dead", func() bool {
+	fl.waitUntil(30*time.Second, "each partition treats the other as dead", func() bool {
 		return fl.aliveTo(fl.routers[0]) == size/2-1 && fl.aliveTo(fl.routers[size-1]) == size/2-1
 	})
 	fl.cut = func(_, _ *router) bool { return false }
-	fl.waitUntil(30*time.Second, "all are alive to all", func() bool {
+	fl.waitUntil(30*time.Second, "all routers consider each other alive", func() bool {
 		for _, ro := range fl.routers {
 			if fl.aliveTo(ro) < size-1 {
 				return false
@@ -136,8 +136,8 @@
 	})
 }
 
-// Guards against a router that is cut off and has all others believe that everybody is dead, and
-// against one of two that goes on counting on the other after its end.
+// Guards against an isolated router that convinces all others that their peers are dead, and against
+// one of two routers that keeps counting on the other after its end.
 func TestIsolatedRouter(t *testing.T) {
 	t.Parallel()
 	fl := newFleet(t, 50)
@@ -147,10 +147,10 @@
 	fl.cut = func(from, to *router) bool { return from == alone || to == alone }
 	fl.run(4 * time.Second)
 	if got := alone.Live(); got > 0 {
-		t.Errorf("%d peers are alive to a router that has heard nobody for 4 s", got)
+		t.Errorf("%d peers are considered alive by a router that has received no message for 4 s", got)
 	}
 	fl.cut = func(_, _ *router) bool { return false }
-	fl.waitUntil(5*time.Second, "all are alive to all", func() bool {
+	fl.waitUntil(5*time.Second, "all routers consider each other alive", func() bool {
 		for _, ro := range fl.routers {
 			if fl.aliveTo(ro) < 49 {
 				return false
@@ -160,7 +160,7 @@
 	})
 }
 
-// Guards against a router that leaves and stays a keeper to those that did not hear its last words.
+// Guards against a router that has shut down and still owns keys for peers that missed its last messages.
 func TestAnnouncedShutdownIsKnownToAll(t *testing.T) {
 	t.Parallel()
 	fl := newFleet(t, 100)
@@ -172,16 +172,16 @@
 		fl.send(ro, to)
 	}
 	ro.down = true
-	fl.waitUntil(2*time.Second, "all know that it left", func() bool { return fl.aliveTo(ro) == 0 })
+	fl.waitUntil(2*time.Second, "all know of its shutdown", func() bool { return fl.aliveTo(ro) == 0 })
 	fl.start(ro)
-	fl.waitUntil(5*time.Second, "it is alive again", func() bool { return fl.aliveTo(ro) == 99 })
+	fl.waitUntil(5*time.Second, "all consider it alive again", func() bool { return fl.aliveTo(ro) == 99 })
 }
 
-// Guards against a start of all routers at once after which some do not know each other.
+// Guards against routers that do not know each other after all of them started at once.
 func TestAllRoutersStartAtOnce(t *testing.T) {
 	t.Parallel()
 	fl := newFleet(t, 357)
-	took := fl.waitUntil(4*time.Second, "all are alive to all", func() bool {
+	took := fl.waitUntil(4*time.Second, "all routers consider each other alive", func() bool {
 		for _, ro := range fl.routers {
 			if ro.Live() < 356 {
 				return false
@@ -189,10 +189,10 @@
 		}
 		return true
 	})
-	t.Logf("all know all after %s", took)
+	t.Logf("all routers know all after %s", took)
 }
 
-// Guards against a cost for each router that grows with their number.
+// Guards against a cost for each router that grows with the number of routers.
 func TestMessagesDoNotGrowWithTheFleet(t *testing.T) {
 	t.Parallel()
 	perSecond := func(size int) float64 {
@@ -204,13 +204,13 @@
 		return float64(fl.sent) / 5 / float64(size)
 	}
 	small, large := perSecond(100), perSecond(700)
-	t.Logf("messages a router and second: %.1f of 100, %.1f of 700", small, large)
+	t.Logf("messages per router and second: %.1f of 100, %.1f of 700", small, large)
 	if large > 1.1*small {
 		t.Errorf("%.1f messages a second of 700 routers, %.1f of 100", large, small)
 	}
 }
 
-// Guards against a rumor that brings back what is known to be older.
+// Guards against an outdated rumor that overrides a later one.
 func TestOlderRumorsAreDropped(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_000_000, 0)
@@ -242,6 +242,6 @@
 	}
 	ta.ApplyRumors(now, []swim.Rumor{{Addr: "self:1", State: swim.Dead, Incarnation: 6}})
 	if ta.Incarnation() != 7 {
-		t.Errorf("incarnation %d after a rumor of the own death in 6, want 7", ta.Incarnation())
+		t.Errorf("incarnation %d after a rumor of its own death in 6, want 7", ta.Incarnation())
 	}
 }
