--- a/core/crash/fleet_test.go
+++ b/core/crash/fleet_test.go
@@ -197,11 +197,11 @@
 		fl.lateSends[at.fp]++
 	}
 	fl.running[endpoint] = append(fl.running[endpoint], at)
-	lasts := time.Duration(fl.ra.ExpFloat64() * float64(500*time.Millisecond))
+	duration := time.Duration(fl.ra.ExpFloat64() * float64(500*time.Millisecond))
 	if at.cause {
-		lasts = fl.crashAfter
+		duration = fl.crashAfter
 	}
-	fl.schedule(lasts, func() { fl.finish(endpoint, at) })
+	fl.schedule(duration, func() { fl.finish(endpoint, at) })
 }
 
 // winTrial writes a further trial to the store if its entry is the one that the router knows.
@@ -282,9 +282,9 @@
 		}
 	}
 	for router := range fleetRouters {
-		if list := byRouter[router]; len(list) > 0 {
+		if requests := byRouter[router]; len(requests) > 0 {
 			fl.schedule(time.Duration(2+fl.ra.IntN(10))*time.Millisecond, func() {
-				fl.apply(router, fl.routers[router].EndpointCrashed(fl.time(), id, list))
+				fl.apply(router, fl.routers[router].EndpointCrashed(fl.time(), id, requests))
 			})
 		}
 	}
@@ -294,12 +294,12 @@
 func (fl *fleet) apply(router int, ef crash.Effects) {
 	for _, no := range ef.ToOwners {
 		owner := int(no.Request[1]) % fleetRouters
-		fl.sendNote(router, owner, no)
-		fl.sendNote(router, (owner+1)%fleetRouters, no)
+		fl.sendNotice(router, owner, no)
+		fl.sendNotice(router, (owner+1)%fleetRouters, no)
 	}
 	for _, no := range ef.ToAll {
 		for to := range fleetRouters {
-			fl.sendNote(router, to, no)
+			fl.sendNotice(router, to, no)
 		}
 		if no.Kind == core.BlameQuarantined {
 			fl.schedule(50*time.Millisecond, func() { fl.storeDecisions(router, false) })
@@ -317,7 +317,7 @@
 	}
 }
 
-func (fl *fleet) sendNote(from, to int, no core.BlameNote) {
+func (fl *fleet) sendNotice(from, to int, no core.BlameNote) {
 	if from == to || fl.ra.Float64() < fl.lossRate {
 		return
 	}
--- a/core/crash/interruptions.go
+++ b/core/crash/interruptions.go
@@ -102,12 +102,12 @@
 	if ev == Refused {
 		since = re.crashStart(now)
 	}
-	re.attempts = slices.DeleteFunc(re.attempts, func(ru interruptedAttempt) bool { return ru.interruptedAt.Before(since) })
+	re.attempts = slices.DeleteFunc(re.attempts, func(at interruptedAttempt) bool { return at.interruptedAt.Before(since) })
 	var crashed []core.Fingerprint
-	for _, ru := range re.attempts {
+	for _, at := range re.attempts {
 		// attempts[0] is the one that was interrupted first.
-		if ru.startedAt.Before(re.attempts[0].interruptedAt) && !slices.Contains(crashed, ru.request) {
-			crashed = append(crashed, ru.request)
+		if at.startedAt.Before(re.attempts[0].interruptedAt) && !slices.Contains(crashed, at.request) {
+			crashed = append(crashed, at.request)
 		}
 	}
 	re.goneAt, re.crashedAt = now, now
@@ -122,8 +122,8 @@
 // Earlier ones, such as a lost response, are unrelated to it.
 func (re *endpointRecord) crashStart(now time.Time) time.Time {
 	since := now.Add(-refusedWindow)
-	for _, ru := range re.attempts {
-		if moment := ru.interruptedAt.Add(-crashSpread); moment.After(since) {
+	for _, at := range re.attempts {
+		if moment := at.interruptedAt.Add(-crashSpread); moment.After(since) {
 			since = moment
 		}
 	}
--- a/core/crash/quarantine.go
+++ b/core/crash/quarantine.go
@@ -63,7 +63,7 @@
 // crashCount returns the number of crashes at which the request was running.
 func (qu *quarantine) crashCount() int { return max(qu.storedCrashes, len(qu.crashes)) }
 
-func (qu *quarantine) note(fp core.Fingerprint) core.BlameNote {
+func (qu *quarantine) notice(fp core.Fingerprint) core.BlameNote {
 	return core.BlameNote{Kind: core.BlameQuarantined, Request: fp, Crashes: slices.Clone(qu.crashes)}
 }
 
--- a/core/crash/table.go
+++ b/core/crash/table.go
@@ -142,7 +142,7 @@
 		delete(ta.suspects, no.Request)
 		ta.release(no.Request, &ef)
 	case core.BlameQuarantined:
-		if ta.succeededBefore(no) {
+		if ta.clearedBySuccess(no) {
 			ef.ToAll = append(ef.ToAll, core.BlameNote{Kind: core.BlameCleared, Request: no.Request})
 			break
 		}
@@ -159,9 +159,9 @@
 	return ef
 }
 
-// succeededBefore reports whether this router saw the request succeed after, or shortly before, the
+// clearedBySuccess reports whether this router saw the request succeed after, or shortly before, the
 // first crash in the note.
-func (ta *Table) succeededBefore(no core.BlameNote) bool {
+func (ta *Table) clearedBySuccess(no core.BlameNote) bool {
 	if len(no.Crashes) == 0 {
 		return false
 	}
@@ -175,7 +175,7 @@
 	if qu := ta.quarantined[fp]; qu != nil {
 		if qu.add(cr) {
 			ta.attribute(qu.crashes)
-			ef.ToAll = append(ef.ToAll, qu.note(fp))
+			ef.ToAll = append(ef.ToAll, qu.notice(fp))
 		}
 		return
 	}
@@ -197,5 +197,5 @@
 	qu.decidedHere, qu.crashes = true, su.crashes
 	delete(ta.suspects, fp)
 	ta.attribute(qu.crashes)
-	ef.ToAll = append(ef.ToAll, qu.note(fp))
+	ef.ToAll = append(ef.ToAll, qu.notice(fp))
 }
--- a/core/crash/table_test.go
+++ b/core/crash/table_test.go
@@ -71,20 +71,20 @@
 // is not the cause. The owner's count has to start anew.
 func TestSuccessfulRequestIsCleared(t *testing.T) {
 	ta, owner := &crash.Table{}, &crash.Table{}
-	applyNotes := func(ms int, notes []core.BlameNote) {
+	applyNotices := func(ms int, notes []core.BlameNote) {
 		for _, no := range notes {
 			owner.ApplyNote(after(ms), no)
 		}
 	}
-	applyNotes(0, ta.EndpointCrashed(after(0), 10, []core.Fingerprint{first}).ToOwners)
-	applyNotes(1000, ta.EndpointCrashed(after(1000), 11, []core.Fingerprint{first}).ToOwners)
-	applyNotes(2000, ta.Succeeded(after(2000), first).ToOwners)
-	applyNotes(20000, ta.EndpointCrashed(after(20000), 12, []core.Fingerprint{first}).ToOwners)
-	applyNotes(21000, ta.EndpointCrashed(after(21000), 13, []core.Fingerprint{first}).ToOwners)
+	applyNotices(0, ta.EndpointCrashed(after(0), 10, []core.Fingerprint{first}).ToOwners)
+	applyNotices(1000, ta.EndpointCrashed(after(1000), 11, []core.Fingerprint{first}).ToOwners)
+	applyNotices(2000, ta.Succeeded(after(2000), first).ToOwners)
+	applyNotices(20000, ta.EndpointCrashed(after(20000), 12, []core.Fingerprint{first}).ToOwners)
+	applyNotices(21000, ta.EndpointCrashed(after(21000), 13, []core.Fingerprint{first}).ToOwners)
 	if quarantined(ta, after(21001), first) || quarantined(owner, after(21001), first) {
 		t.Error("a request that succeeded is quarantined by crashes before and after")
 	}
-	applyNotes(22000, ta.EndpointCrashed(after(22000), 14, []core.Fingerprint{first}).ToOwners)
+	applyNotices(22000, ta.EndpointCrashed(after(22000), 14, []core.Fingerprint{first}).ToOwners)
 	if !quarantined(ta, after(22001), first) || !quarantined(owner, after(22001), first) {
 		t.Error("three crashes since its success do not quarantine it")
 	}
--- a/core/crash/verdict.go
+++ b/core/crash/verdict.go
@@ -89,7 +89,7 @@
 		case qu.expired(now):
 			ta.release(fp, &ef)
 		case qu.decidedHere && qu.rev == 0:
-			unstored = append(unstored, Decision{qu.note(fp), qu.entry(fp)})
+			unstored = append(unstored, Decision{qu.notice(fp), qu.entry(fp)})
 		}
 	}
 	slices.SortFunc(unstored, func(a, b Decision) int { return bytes.Compare(a.Entry.Request[:], b.Entry.Request[:]) })
--- a/core/elect/elect.go
+++ b/core/elect/elect.go
@@ -77,7 +77,7 @@
 }
 
 func (ta *Table) expire(now time.Time) {
-	ta.watchers = slices.DeleteFunc(ta.watchers, func(fo Watcher) bool { return now.Sub(fo.At) >= watcherTTL })
+	ta.watchers = slices.DeleteFunc(ta.watchers, func(wa Watcher) bool { return now.Sub(wa.At) >= watcherTTL })
 }
 
 // Elected returns the elected watchers, which are sent to peers.
--- a/core/elect/elect_test.go
+++ b/core/elect/elect_test.go
@@ -34,10 +34,10 @@
 	step = 50 * time.Millisecond
 	// A call ends after watchDuration, or callTimeout if it is rejected. In each step a router sends
 	// messagesPerStep messages.
-	watchDuration   = 600 * time.Millisecond
-	callTimeout     = 1300 * time.Millisecond
-	takeoverDelay   = 1300 * time.Millisecond
-	messagesPerStep = 2
+	watchDuration       = 600 * time.Millisecond
+	callTimeout         = 1300 * time.Millisecond
+	confirmationTimeout = 1300 * time.Millisecond
+	messagesPerStep     = 2
 )
 
 func newFleet(count int) *fleet {
@@ -52,8 +52,8 @@
 	return fl
 }
 
-func (fl *fleet) run(lasting time.Duration) {
-	for end := fl.now.Add(lasting); fl.now.Before(end); {
+func (fl *fleet) run(duration time.Duration) {
+	for end := fl.now.Add(duration); fl.now.Before(end); {
 		fl.now = fl.now.Add(step)
 		for _, ro := range fl.routers {
 			fl.stepRouter(ro)
@@ -62,7 +62,7 @@
 }
 
 func (fl *fleet) stepRouter(ro *router) {
-	if fl.now.After(ro.busyUntil) && (fl.isElected(ro) || fl.now.Sub(ro.confirmed) > takeoverDelay+elect.AskDelay(ro.rank)) {
+	if fl.now.After(ro.busyUntil) && (fl.isElected(ro) || fl.now.Sub(ro.confirmed) > confirmationTimeout+elect.AskDelay(ro.rank)) {
 		fl.calls++
 		duration := watchDuration
 		if fl.rejects(ro) {
@@ -130,7 +130,7 @@
 		if limit := 2 * int(10*time.Second/watchDuration); fl.calls > limit {
 			t.Errorf("%d routers: %d calls in 10 s, at most %d", size, fl.calls, limit)
 		}
-		if old := fl.oldestConfirmation(); old > takeoverDelay {
+		if old := fl.oldestConfirmation(); old > confirmationTimeout {
 			t.Errorf("%d routers: the oldest confirmation of the store is %s old", size, old)
 		}
 	}
--- a/core/swim/fleet_test.go
+++ b/core/swim/fleet_test.go
@@ -111,8 +111,8 @@
 	return fl.send(to, from)
 }
 
-func (fl *fleet) run(lasting time.Duration) {
-	for end := fl.now.Add(lasting); fl.now.Before(end); {
+func (fl *fleet) run(duration time.Duration) {
+	for end := fl.now.Add(duration); fl.now.Before(end); {
 		fl.now = fl.now.Add(step)
 		for _, ro := range fl.routers {
 			if !ro.down {
@@ -170,8 +170,8 @@
 	}
 }
 
-// aliveTo returns how many of the running routers treat a router as alive.
-func (fl *fleet) aliveTo(of *router) int {
+// countSeeingAlive returns how many of the running routers treat the given one as alive.
+func (fl *fleet) countSeeingAlive(of *router) int {
 	count := 0
 	for _, ro := range fl.routers {
 		if ro != of && !ro.down && ro.Alive(of.addr) {
--- a/core/swim/swim_test.go
+++ b/core/swim/swim_test.go
@@ -27,9 +27,9 @@
 		fl.run(2 * time.Second)
 		lost := fl.routers[size/2]
 		lost.down = true
-		first := fl.waitUntil(deadWithin, "one router knows of the lost one", func() bool { return fl.aliveTo(lost) < size-1 })
-		half := fl.waitUntil(deadWithin, "half of the routers know of the lost one", func() bool { return fl.aliveTo(lost) <= size/2 })
-		all := fl.waitUntil(deadWithin, "all routers know of the lost one", func() bool { return fl.aliveTo(lost) == 0 })
+		first := fl.waitUntil(deadWithin, "one router knows of the lost one", func() bool { return fl.countSeeingAlive(lost) < size-1 })
+		half := fl.waitUntil(deadWithin, "half of the routers know of the lost one", func() bool { return fl.countSeeingAlive(lost) <= size/2 })
+		all := fl.waitUntil(deadWithin, "all routers know of the lost one", func() bool { return fl.countSeeingAlive(lost) == 0 })
 		t.Logf("%d routers: lost one detected by the first after %s, half %s, all %s", size, first, first+half, first+half+all)
 		if first+half+all > deadWithin {
 			t.Errorf("%d routers: detected by all after %s, want %s", size, first+half+all, deadWithin)
@@ -100,7 +100,7 @@
 			for range 15 {
 				fl.run(time.Second)
 				for ix, ro := range fl.routers {
-					if got := fl.aliveTo(ro); got < size-1 {
+					if got := fl.countSeeingAlive(ro); got < size-1 {
 						t.Fatalf("router %d is considered alive by %d of %d others", ix, got, size-1)
 					}
 				}
@@ -123,12 +123,12 @@
 	}
 	fl.cut = func(from, to *router) bool { return sides[from] != sides[to] }
 	fl.waitUntil(30*time.Second, "each partition treats the other as dead", func() bool {
-		return fl.aliveTo(fl.routers[0]) == size/2-1 && fl.aliveTo(fl.routers[size-1]) == size/2-1
+		return fl.countSeeingAlive(fl.routers[0]) == size/2-1 && fl.countSeeingAlive(fl.routers[size-1]) == size/2-1
 	})
 	fl.cut = func(_, _ *router) bool { return false }
 	fl.waitUntil(30*time.Second, "all routers consider each other alive", func() bool {
 		for _, ro := range fl.routers {
-			if fl.aliveTo(ro) < size-1 {
+			if fl.countSeeingAlive(ro) < size-1 {
 				return false
 			}
 		}
@@ -152,7 +152,7 @@
 	fl.cut = func(_, _ *router) bool { return false }
 	fl.waitUntil(5*time.Second, "all routers consider each other alive", func() bool {
 		for _, ro := range fl.routers {
-			if fl.aliveTo(ro) < 49 {
+			if fl.countSeeingAlive(ro) < 49 {
 				return false
 			}
 		}
@@ -172,9 +172,9 @@
 		fl.send(ro, to)
 	}
 	ro.down = true
-	fl.waitUntil(2*time.Second, "all know of its shutdown", func() bool { return fl.aliveTo(ro) == 0 })
+	fl.waitUntil(2*time.Second, "all know of its shutdown", func() bool { return fl.countSeeingAlive(ro) == 0 })
 	fl.start(ro)
-	fl.waitUntil(5*time.Second, "all consider it alive again", func() bool { return fl.aliveTo(ro) == 99 })
+	fl.waitUntil(5*time.Second, "all consider it alive again", func() bool { return fl.countSeeingAlive(ro) == 99 })
 }
 
 // Guards against routers that do not know each other after all of them started at once.
