--- a/core/crash/interruptions_test.go
+++ b/core/crash/interruptions_test.go
@@ -19,31 +19,31 @@
 
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func newAttempt(fp core.Fingerprint, beganMs int) crash.Attempt {
-	return crash.Attempt{Endpoint: endpoint, Request: fp, StartedAt: after(beganMs)}
+func newAttempt(fp core.Fingerprint, startedMs int) crash.Attempt {
+	return crash.Attempt{Endpoint: endpoint, Request: fp, StartedAt: after(startedMs)}
 }
 
 // Guards against requests that are missed, or wrongly suspected, at a crash: those interrupted before
 // the first refused connection were running, and so was one whose interruption is read a moment
 // later. A request sent afterwards to the restarted endpoint was not.
 func TestAttemptsRunningAtACrash(t *testing.T) {
-	br := &crash.Interruptions{}
-	if br.Add(after(100), newAttempt(first, 0)) || br.Add(after(101), newAttempt(second, 50)) {
+	in := &crash.Interruptions{}
+	if in.Add(after(100), newAttempt(first, 0)) || in.Add(after(101), newAttempt(second, 50)) {
 		t.Error("a crash was reported before there was evidence of it")
 	}
-	if !br.Pending(endpoint) {
+	if !in.Pending(endpoint) {
 		t.Error("no interrupted attempts are pending for the endpoint")
 	}
-	if got := br.EndpointGone(after(103), endpoint, crash.Refused); len(got) != 2 || got[0] != first || got[1] != second {
+	if got := in.EndpointGone(after(103), endpoint, crash.Refused); len(got) != 2 || got[0] != first || got[1] != second {
 		t.Errorf("crashed: %v, want both", got)
 	}
-	if !br.Add(after(105), newAttempt(core.Fingerprint{3}, 90)) {
+	if !in.Add(after(105), newAttempt(core.Fingerprint{3}, 90)) {
 		t.Error("an attempt that ended with the endpoint is not reported as running at the crash")
 	}
-	if br.Add(after(900), newAttempt(first, 500)) {
+	if in.Add(after(900), newAttempt(first, 500)) {
 		t.Error("an attempt at the restarted endpoint is attributed to the earlier crash")
 	}
-	if got := br.EndpointGone(after(905), endpoint, crash.Refused); len(got) != 1 || got[0] != first {
+	if got := in.EndpointGone(after(905), endpoint, crash.Refused); len(got) != 1 || got[0] != first {
 		t.Errorf("crashed again: %v, want the first", got)
 	}
 }
@@ -51,17 +51,17 @@
 // Guards against suspecting a request whose response was lost 5 s before the endpoint crashed for
 // another reason. Only an endpoint that stopped responding is replaced after such a time.
 func TestInterruptionLongBeforeACrash(t *testing.T) {
-	br := &crash.Interruptions{}
-	br.Add(after(0), newAttempt(first, -50))
-	if got := br.EndpointGone(after(5000), endpoint, crash.Refused); len(got) != 0 {
+	in := &crash.Interruptions{}
+	in.Add(after(0), newAttempt(first, -50))
+	if got := in.EndpointGone(after(5000), endpoint, crash.Refused); len(got) != 0 {
 		t.Errorf("crashed: %v, want none", got)
 	}
-	br.Add(after(20000), newAttempt(first, 19000))
-	if got := br.EndpointGone(after(25000), endpoint, crash.Replaced); len(got) != 1 {
+	in.Add(after(20000), newAttempt(first, 19000))
+	if got := in.EndpointGone(after(25000), endpoint, crash.Replaced); len(got) != 1 {
 		t.Errorf("crashed without refusing connections: %v, want the one", got)
 	}
-	br.Add(after(60000), newAttempt(first, 59000))
-	if got := br.EndpointGone(after(71000), endpoint, crash.Replaced); len(got) != 0 {
+	in.Add(after(60000), newAttempt(first, 59000))
+	if got := in.EndpointGone(after(71000), endpoint, crash.Replaced); len(got) != 0 {
 		t.Errorf("crashed: %v, want none after so long", got)
 	}
 }
@@ -70,10 +70,10 @@
 // request that was interrupted elsewhere is sent over a kept-alive connection to an endpoint that
 // has just crashed too.
 func TestRequestSentAfterTheCrashIsNotSuspected(t *testing.T) {
-	br := &crash.Interruptions{}
-	br.Add(after(100), newAttempt(first, 0))
-	br.Add(after(102), newAttempt(second, 101))
-	if got := br.EndpointGone(after(103), endpoint, crash.Refused); len(got) != 1 || got[0] != first {
+	in := &crash.Interruptions{}
+	in.Add(after(100), newAttempt(first, 0))
+	in.Add(after(102), newAttempt(second, 101))
+	if got := in.EndpointGone(after(103), endpoint, crash.Refused); len(got) != 1 || got[0] != first {
 		t.Errorf("crashed: %v, want the first", got)
 	}
 }
@@ -82,10 +82,10 @@
 // running. When many responses are lost, every crash is preceded by such an interruption, which
 // would be suspected while the cause goes on.
 func TestInterruptionJustBeforeACrashIsUnrelated(t *testing.T) {
-	br := &crash.Interruptions{}
-	br.Add(after(0), newAttempt(first, -100))
-	br.Add(after(600), newAttempt(second, 300))
-	if got := br.EndpointGone(after(605), endpoint, crash.Refused); len(got) != 1 || got[0] != second {
+	in := &crash.Interruptions{}
+	in.Add(after(0), newAttempt(first, -100))
+	in.Add(after(600), newAttempt(second, 300))
+	if got := in.EndpointGone(after(605), endpoint, crash.Refused); len(got) != 1 || got[0] != second {
 		t.Errorf("crashed: %v, want the second", got)
 	}
 }
--- a/core/crash/table_test.go
+++ b/core/crash/table_test.go
@@ -71,8 +71,8 @@
 // is not the cause. The owner's count has to start anew.
 func TestSuccessfulRequestIsCleared(t *testing.T) {
 	ta, owner := &crash.Table{}, &crash.Table{}
-	applyNotices := func(ms int, notes []core.BlameNote) {
-		for _, no := range notes {
+	applyNotices := func(ms int, notices []core.BlameNote) {
+		for _, no := range notices {
 			owner.ApplyNote(after(ms), no)
 		}
 	}
--- a/core/elect/elect_test.go
+++ b/core/elect/elect_test.go
@@ -32,8 +32,9 @@
 
 const (
 	step = 50 * time.Millisecond
-	// A call ends after watchDuration, or callTimeout if it is rejected. In each step a router sends
-	// messagesPerStep messages.
+	// A call ends after watchDuration, or callTimeout if it is rejected. A router whose confirmation is
+	// older than confirmationTimeout calls the store on its own. In each step it sends messagesPerStep
+	// messages.
 	watchDuration       = 600 * time.Millisecond
 	callTimeout         = 1300 * time.Millisecond
 	confirmationTimeout = 1300 * time.Millisecond
