--- a/core/crash/fleet_test.go
+++ b/core/crash/fleet_test.go
@@ -321,7 +321,7 @@
 	if from == to || fl.ra.Float64() < fl.lossRate {
 		return
 	}
-	fl.schedule(time.Duration(1+fl.ra.IntN(5))*time.Millisecond, func() { fl.apply(to, fl.routers[to].ApplyNote(fl.time(), no)) })
+	fl.schedule(time.Duration(1+fl.ra.IntN(5))*time.Millisecond, func() { fl.apply(to, fl.routers[to].ApplyNotice(fl.time(), no)) })
 }
 
 // tick stores decisions that are not in the store yet.
@@ -337,7 +337,7 @@
 	fl.apply(router, ef)
 	for _, de := range unstored {
 		if broadcast {
-			fl.apply(router, crash.Effects{ToAll: []core.CrashNotice{de.Note}})
+			fl.apply(router, crash.Effects{ToAll: []core.CrashNotice{de.Notice}})
 		}
 		if fl.store[de.Entry.Request].Rev == 0 {
 			fl.writeEntry(de.Entry)
--- a/core/crash/table.go
+++ b/core/crash/table.go
@@ -127,8 +127,8 @@
 	return ef
 }
 
-// ApplyNote applies a peer's note.
-func (ta *Table) ApplyNote(now time.Time, no core.CrashNotice) Effects {
+// ApplyNotice applies a peer's note.
+func (ta *Table) ApplyNotice(now time.Time, no core.CrashNotice) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var ef Effects
--- a/core/crash/table_test.go
+++ b/core/crash/table_test.go
@@ -44,16 +44,16 @@
 			t.Errorf("router %d quarantined it after a single crash of its own", ix)
 		}
 		for _, no := range ef.ToOwners {
-			effects = owner.ApplyNote(after(1000*ix+5), no)
+			effects = owner.ApplyNotice(after(1000*ix+5), no)
 			// A duplicate message, and another router's of the same crash, change nothing.
-			if again := owner.ApplyNote(after(1000*ix+6), no); len(again.ToAll) > 0 {
+			if again := owner.ApplyNotice(after(1000*ix+6), no); len(again.ToAll) > 0 {
 				t.Error("a duplicate message is counted twice")
 			}
 			if len(effects.ToAll) > 0 && ix < 2 {
 				t.Errorf("quarantined after %d crashes", ix+1)
 			}
 			if no.Request == first && ix == 2 && len(effects.ToAll) == 1 {
-				routers[0].ApplyNote(after(2010), effects.ToAll[0])
+				routers[0].ApplyNotice(after(2010), effects.ToAll[0])
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 	ta, owner := &crash.Table{}, &crash.Table{}
 	applyNotices := func(ms int, notices []core.CrashNotice) {
 		for _, no := range notices {
-			owner.ApplyNote(after(ms), no)
+			owner.ApplyNotice(after(ms), no)
 		}
 	}
 	applyNotices(0, ta.EndpointCrashed(after(0), 10, []core.Fingerprint{first}).ToOwners)
@@ -100,8 +100,8 @@
 		if ef := ta.EndpointCrashed(after(1000*ix+500), uint64(10+ix), []core.Fingerprint{first}); len(ef.ToOwners) > 0 {
 			t.Errorf("crash %d is reported: %+v", ix, ef)
 		}
-		owner.ApplyNote(after(1000*ix), core.CrashNotice{Kind: core.NoticeCleared, Request: first})
-		owner.ApplyNote(after(1000*ix+510), suspected(first, uint64(10+ix), 1000*ix+500))
+		owner.ApplyNotice(after(1000*ix), core.CrashNotice{Kind: core.NoticeCleared, Request: first})
+		owner.ApplyNotice(after(1000*ix+510), suspected(first, uint64(10+ix), 1000*ix+500))
 	}
 	if quarantined(ta, after(5000), first) || quarantined(owner, after(5000), first) {
 		t.Error("a request that keeps succeeding is quarantined")
@@ -119,16 +119,16 @@
 	witness.Succeeded(after(-1000), first)
 	var ef crash.Effects
 	for ix := range 3 {
-		ef = owner.ApplyNote(after(10*ix), suspected(first, uint64(10+ix), 10*ix))
+		ef = owner.ApplyNotice(after(10*ix), suspected(first, uint64(10+ix), 10*ix))
 	}
 	if len(ef.ToAll) != 1 || !quarantined(owner, after(30), first) {
 		t.Fatalf("the test does not cause the quarantine: %+v", ef)
 	}
-	objection := witness.ApplyNote(after(32), ef.ToAll[0])
+	objection := witness.ApplyNotice(after(32), ef.ToAll[0])
 	if len(objection.ToAll) != 1 || objection.ToAll[0].Kind != core.NoticeCleared {
 		t.Fatalf("the router that served it does not object: %+v", objection)
 	}
-	owner.ApplyNote(after(34), objection.ToAll[0])
+	owner.ApplyNotice(after(34), objection.ToAll[0])
 	if quarantined(owner, after(35), first) || quarantined(witness, after(35), first) {
 		t.Error("the request is still quarantined")
 	}
@@ -147,14 +147,14 @@
 	crashThreeEndpoints(ta, first)
 	ta.EndpointCrashed(after(2050), 13, []core.Fingerprint{first})
 	for ix := range 3 {
-		ta.ApplyNote(after(2100+ix), suspected(second, uint64(10+ix), 1000*ix))
+		ta.ApplyNotice(after(2100+ix), suspected(second, uint64(10+ix), 1000*ix))
 	}
 	if quarantined(ta, after(2200), second) {
 		t.Error("a bystander is quarantined for crashes with a known cause")
 	}
 	late := &crash.Table{}
 	for ix := range 3 {
-		late.ApplyNote(after(1000*ix), suspected(second, uint64(10+ix), 1000*ix))
+		late.ApplyNotice(after(1000*ix), suspected(second, uint64(10+ix), 1000*ix))
 	}
 	crashThreeEndpoints(late, first)
 	for fp, want := range map[core.Fingerprint]time.Duration{first: time.Second, second: 3 * time.Second} {
@@ -164,7 +164,7 @@
 	}
 	outage := &crash.Table{}
 	for ix := range 3 {
-		outage.ApplyNote(after(300*ix), suspected(first, uint64(10+ix), 300*ix))
+		outage.ApplyNotice(after(300*ix), suspected(first, uint64(10+ix), 300*ix))
 	}
 	if ve := outage.Check(after(600), first); ve.RetryAfter != time.Second {
 		t.Errorf("a request at three crashes within a second is tried after %s, want 1s", ve.RetryAfter)
@@ -182,7 +182,7 @@
 		if quarantined(ta, after(10000), second) {
 			t.Errorf("quarantined with %d crashes that are attributed to the other", ix)
 		}
-		ta.ApplyNote(after(10000+ix), suspected(second, uint64(10+ix), 1000*ix))
+		ta.ApplyNotice(after(10000+ix), suspected(second, uint64(10+ix), 1000*ix))
 	}
 	ve := ta.Check(after(300000), second)
 	if !ve.Quarantined || ve.Trial {
@@ -238,7 +238,7 @@
 	if len(ef.ToAll) != 1 || len(ef.Remove) != 1 || ef.Remove[0].Rev != 6 {
 		t.Fatalf("the other routers are not notified, or the entry is kept: %+v", ef)
 	}
-	other.ApplyNote(after(24110), ef.ToAll[0])
+	other.ApplyNotice(after(24110), ef.ToAll[0])
 	if quarantined(ta, after(24120), first) || quarantined(other, after(24120), first) {
 		t.Error("it is still quarantined")
 	}
@@ -256,7 +256,7 @@
 	notified := &crash.Table{}
 	no := core.CrashNotice{Kind: core.NoticeQuarantined, Request: second, Crashes: crashAt(10, -2000)}
 	for s := range 40 {
-		notified.ApplyNote(after(1000*s), no)
+		notified.ApplyNotice(after(1000*s), no)
 	}
 	if !quarantined(notified, after(60000), second) {
 		t.Error("a quarantine received from a peer is dropped 20 s later")
--- a/core/crash/verdict.go
+++ b/core/crash/verdict.go
@@ -75,8 +75,8 @@
 
 // Decision is a quarantine that this router decided and that is not in the store yet.
 type Decision struct {
-	Note  core.CrashNotice
-	Entry core.Quarantine
+	Notice core.CrashNotice
+	Entry  core.Quarantine
 }
 
 // Tick drops expired quarantines. It returns in unstored those that have to be written into the
--- a/core/elect/elect_test.go
+++ b/core/elect/elect_test.go
@@ -63,7 +63,7 @@
 }
 
 func (fl *fleet) stepRouter(ro *router) {
-	if fl.now.After(ro.busyUntil) && (fl.isElected(ro) || fl.now.Sub(ro.confirmed) > confirmationTimeout+elect.AskDelay(ro.rank)) {
+	if fl.now.After(ro.busyUntil) && (fl.isElected(ro) || fl.now.Sub(ro.confirmed) > confirmationTimeout+elect.TakeoverDelay(ro.rank)) {
 		fl.calls++
 		duration := watchDuration
 		if fl.rejects(ro) {
--- a/io/gossip/lead.go
+++ b/io/gossip/lead.go
@@ -67,5 +67,5 @@
 	if gr.membership.SilentFor(time.Now()) > isolatedAfter {
 		return 0
 	}
-	return elect.AskDelay(gr.rank(anyMember))
+	return elect.TakeoverDelay(gr.rank(anyMember))
 }
--- a/io/guard/ledger.go
+++ b/io/guard/ledger.go
@@ -102,7 +102,7 @@
 	some := le.nextOf(unstored)
 	for _, de := range some {
 		if again {
-			le.Peers.TellAll(now, de.Note)
+			le.Peers.TellAll(now, de.Notice)
 		}
 	}
 	for _, de := range some {
@@ -188,7 +188,7 @@
 
 // Hear takes a peer's note.
 func (le *Ledger) Hear(now time.Time, from string, no core.CrashNotice) {
-	ef := le.table.ApplyNote(now, no)
+	ef := le.table.ApplyNotice(now, no)
 	if len(ef.Quarantined)+len(ef.Released) > 0 {
 		le.Log.Info("A peer told of a request.", zap.Stringer("Fingerprint", no.Request), zap.String("From", from),
 			zap.Int("Crashes", len(no.Crashes)), zap.Bool("Quarantined", no.Kind == core.NoticeQuarantined))
