--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -15,26 +15,26 @@
 	"almondrill/io/stats"
 )
 
-// maxBuffered bounds what is kept of an answer, in bytes, to be able to ask another
-// endpoint if it breaks off. A router's memory holds some hundred of them.
+// maxBuffered is how much of a response is buffered, in bytes, before any of it is forwarded: until
+// then, another endpoint can be tried if it ends early. A router's memory fits some hundred of them.
 const maxBuffered = 1 << 20
 
-// exchange is one attempt at one endpoint.
+// exchange is one attempt to run a request at an endpoint.
 type exchange struct {
 	rq *request
 	co *conns.Conn
 	rs *http.Response
 	tk *place.Ticket
-	// stall may give the attempt up, and ended stops what interrupts it when the
-	// request's time is over.
+	// stall may abandon the attempt for another. stopInterrupt disarms the interrupt at the
+	// request's deadline and reports false if it has already fired.
 	stall         stallTimer
 	stopInterrupt func() bool
-	// connRefused is set if the endpoint refused the connection.
+	// connRefused is set if the connection was refused: nothing listens at the address.
 	connRefused bool
 }
 
-// attempt sends the request to the ticket's endpoint and passes the answer on.
-// It returns nil if the answer was passed on whole.
+// attempt sends the request to the ticket's endpoint and forwards the response. It returns nil if
+// the response was forwarded completely.
 func (rq *request) attempt(ctx context.Context, header http.Header) *core.Refusal {
 	ex := &exchange{rq: rq, tk: rq.ticket}
 	began := time.Now()
@@ -92,13 +92,13 @@
 	return ex.handleHead(ctx)
 }
 
-// isOwn tells whether an answer is for this request.
+// isOwn reports whether a response belongs to this request.
 func (ex *exchange) isOwn(hd http.Header) bool {
 	echoed := hd.Get(ex.rq.re.Dialect.RequestID)
 	return echoed == "" || echoed == ex.rq.id
 }
 
-// head is the request's head for this endpoint.
+// head returns the request head for this endpoint.
 func (ex *exchange) head(header http.Header) []byte {
 	di := &ex.rq.re.Dialect
 	left := max(1, time.Until(ex.rq.deadline).Milliseconds())
@@ -115,13 +115,13 @@
 	return conns.FormatHead(hr.Method, hr.RequestURI, hr.Host, header, len(ex.rq.body))
 }
 
-// received notes that something came from the endpoint.
+// received records that the endpoint has sent something.
 func (ex *exchange) received() {
 	ex.tk.RecordActivity(time.Now())
 	ex.stall.reset()
 }
 
-// handleHead decides what the answer's head means.
+// handleHead handles the response according to its status and header.
 func (ex *exchange) handleHead(ctx context.Context) (*core.Refusal, place.Result) {
 	rs, di := ex.rs, &ex.rq.re.Dialect
 	refused := rs.Header.Get(di.NotRun) != "" && rs.StatusCode != http.StatusBadRequest
@@ -143,13 +143,14 @@
 }
 
 var (
-	errAddressReused = errors.New("another endpoint has the address")
-	errNoLongerOpen  = errors.New("the endpoint was closed to new requests after it was chosen")
+	errAddressReused = errors.New("the address now belongs to another endpoint")
+	errNoLongerOpen  = errors.New("the endpoint stopped accepting requests after it was chosen")
 	errCallerGone    = errors.New("the caller's connection was closed before the request was sent")
-	errNoStamp       = errors.New("the answer bears no stamp, or is encoded: it is not the endpoint's")
+	errNoStamp       = errors.New("the response has no stamp or is encoded, so it is not the endpoint's")
 )
 
-// handleFailure keeps an endpoint's failure, to be passed on if nothing better comes.
+// handleFailure keeps an endpoint's failure response, to be forwarded if no other attempt succeeds.
+// One that is too large to be buffered is forwarded at once.
 func (ex *exchange) handleFailure(ctx context.Context) (*core.Refusal, place.Result) {
 	body, whole, err := ex.readBuffered()
 	if err != nil {
@@ -172,8 +173,8 @@
 	return rf, place.Failed
 }
 
-// forwardBuffered passes an answer on that is read whole first, so that one that breaks
-// off can still be asked for again.
+// forwardBuffered reads the complete response before it forwards it, so that the request can be
+// retried if the response ends early. One that is too large is forwarded as it arrives.
 func (ex *exchange) forwardBuffered(ctx context.Context) (*core.Refusal, place.Result) {
 	body, whole, err := ex.readBuffered()
 	if err != nil {
@@ -190,10 +191,11 @@
 	return nil, place.Served
 }
 
-// forwardUnbuffered passes an answer on as it comes that is too long to be kept. One that
-// breaks off is cut at the caller too: it has the beginning already.
+// forwardUnbuffered forwards a response that is too large to be buffered as it arrives, beginning
+// with what was read of it. If it ends early, the caller's connection is closed, as the caller
+// already has a part.
 func (ex *exchange) forwardUnbuffered(ctx context.Context, start []byte, re place.Result) (*core.Refusal, place.Result) {
-	// The caller gets the beginning: no other endpoint can take over from here.
+	// No other endpoint can continue once the caller has a part of this response.
 	ex.rq.reserved = ex.stall.stop()
 	ex.rq.writeHead(ex.rs.StatusCode, ex.rs.Header, ex.rs.ContentLength)
 	if _, err := ex.rq.wr.Write(start); err != nil {
@@ -220,8 +222,8 @@
 	}
 }
 
-// readBuffered reads an answer up to mostKept, or as far as the memory for that goes; whole tells
-// whether that was all.
+// readBuffered reads up to maxBuffered bytes of a response, or fewer if Relay.Memory is exhausted.
+// whole reports whether the response ended there.
 func (ex *exchange) readBuffered() (body []byte, whole bool, err error) {
 	body, err = ex.rq.readBounded(io.LimitReader(ex.rs.Body, maxBuffered+1), -1)
 	if errors.Is(err, errNoMemory) {
@@ -230,16 +232,16 @@
 	return body, len(body) <= maxBuffered, err
 }
 
-// drainBody reads the rest of an answer that is not passed on, so that its
-// connection can be used again.
+// drainBody reads the rest of a response that is not forwarded, so that its connection can be
+// reused.
 func (ex *exchange) drainBody(ctx context.Context) {
 	if _, whole, err := ex.readBuffered(); whole && err == nil && ctx.Err() == nil {
 		ex.returnConn()
 	}
 }
 
-// returnConn gives the connection back for another request, unless it is being interrupted: the
-// next request on it would be, too.
+// returnConn returns the connection to the pool, unless it is being interrupted: that would
+// interrupt the next request on it, too.
 func (ex *exchange) returnConn() {
 	if ex.stall.stop() != nil || !ex.stopInterrupt() {
 		return
@@ -249,13 +251,14 @@
 	ex.co = nil
 }
 
-// returnUnusedConn gives a connection back on which nothing was sent.
+// returnUnusedConn returns a connection to the pool on which nothing was sent.
 func (ex *exchange) returnUnusedConn() {
 	ex.rq.re.Conns.PutUnused(ex.co)
 	ex.co = nil
 }
 
-// classifyError judges an exchange that broke off. Whatever was sent may have run.
+// classifyError returns the refusal for an exchange that failed with an I/O error. If any byte of
+// the request was sent, it may have run.
 func (ex *exchange) classifyError(ctx context.Context, step string, err error) (*core.Refusal, place.Result) {
 	switch {
 	case ex.rq.hr.Context().Err() != nil:
@@ -272,7 +275,8 @@
 	return ex.refusal(core.Unknown, core.ReasonCutShort, step, err), place.Failed
 }
 
-// unlessCallerGone is the result unless the caller has left, which is not the endpoint's doing.
+// unlessCallerGone returns the result, or place.Neutral if the caller has disconnected, for which
+// the endpoint is not responsible.
 func (ex *exchange) unlessCallerGone(re place.Result) place.Result {
 	if ex.rq.hr.Context().Err() != nil {
 		return place.Neutral
@@ -286,5 +290,5 @@
 	}
 }
 
-// defaultRetryAfter is when a caller may return whose request an endpoint refused.
+// defaultRetryAfter is the least Retry-After of a refusal, before jitter.
 const defaultRetryAfter = 250 * time.Millisecond
--- a/io/relay/crash.go
+++ b/io/relay/blame.go
@@ -11,7 +11,8 @@
 	"almondrill/core/crash"
 )
 
-// computeFingerprint works out the request's fingerprint.
+// computeFingerprint identifies the request across attempts, by customer, method, host, URI and
+// body.
 func (rq *request) computeFingerprint() core.Fingerprint {
 	customer := core.CustomerID("")
 	if rq.customer != nil {
@@ -20,9 +21,10 @@
 	return crash.Fingerprint(customer, rq.hr.Method, rq.hr.Host, rq.hr.URL.RequestURI(), rq.body)
 }
 
-// checkQuarantine refuses a request that crashes the endpoints that run it, before each send: it
-// comes again as another attempt, through any router, and each costs an endpoint with all
-// that runs there. It is told when to return, as whether it is the cause is inferred.
+// checkQuarantine refuses a request that appears to crash the endpoints that run it. It is called
+// before each send, since callers retry such a request through any router and each execution costs
+// an endpoint with all of its other requests. The refusal has a Retry-After, since it is only
+// inferred that the request is the cause.
 func (rq *request) checkQuarantine(ctx context.Context) *core.Refusal {
 	if rq.re.Crashes == nil {
 		return nil
@@ -36,8 +38,9 @@
 	return rf
 }
 
-// reportOutcome tells how the attempt ended. A success clears the request; a failure that the
-// endpoint answers does not, as endpoints fail requests that they have hardly begun.
+// reportOutcome reports to the crash detection how the attempt ended. A success clears the request
+// of suspicion; a failure response does not, as endpoints also fail requests that they have barely
+// started.
 func (ex *exchange) reportOutcome(began time.Time, rf *core.Refusal) {
 	bl := ex.rq.re.Crashes
 	if bl == nil {
@@ -56,11 +59,11 @@
 	}
 }
 
-// possibleCrash are the reasons for which an attempt ends when its endpoint crashes: the
-// connection ends, or nothing comes any more.
+// possibleCrash are the reasons for which an attempt ends when its endpoint crashes: the connection
+// is closed, or the endpoint stops responding.
 var possibleCrash = map[core.Reason]bool{
 	core.ReasonCutShort: true, core.ReasonStalled: true, core.ReasonDeadline: true,
 }
 
-// isConnRefused tells whether the endpoint's VM is there but nothing listens.
+// isConnRefused reports whether the endpoint's VM is reachable but nothing listens on the port.
 func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/io/relay/crash_test.go
+++ b/io/relay/blame_test.go
@@ -14,7 +14,7 @@
 	"almondrill/core/route"
 )
 
-// fakeCrashWatch keeps what a relay tells, and refuses after some asks.
+// fakeCrashWatch records what a relay reports, and allows a number of sends.
 type fakeCrashWatch struct {
 	mu         sync.Mutex // guards all below
 	allowed    int
@@ -53,9 +53,9 @@
 
 func crashing(*received, net.Conn) bool { return false }
 
-// A request that crashed endpoints comes again. It is answered at once, with the promise that
-// it did not run and the time after which it may be tried, and no endpoint gets it. A caller
-// that returned sooner would be refused for nothing.
+// A request that has crashed endpoints is sent again. It must be refused at once as not run, without
+// reaching an endpoint, and Retry-After must not be shorter than the quarantine: an earlier retry
+// would only be refused again.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	fl := newFleet(t, respond(200, "x")).configure(route.Route{Kind: route.OnceOnly})
 	fl.re.Crashes = &fakeCrashWatch{retryAfter: 20 * time.Second}
@@ -68,12 +68,12 @@
 		}
 	}
 	if got := fl.re.Stats.Refusals(core.ReasonQuarantined); got != 20 {
-		t.Errorf("%d refusals are counted, want 20", got)
+		t.Errorf("%d refusals counted, want 20", got)
 	}
 }
 
-// A lookup crashes its endpoint and is quarantined by that. It is not sent to the next, though
-// lookups may be repeated, and the caller is not told that it did not run.
+// An idempotent request crashes its endpoint and is quarantined for that. It must not be retried at
+// another endpoint, and the caller must not be told that it did not run.
 func TestQuarantineAppliesBetweenAttempts(t *testing.T) {
 	fl := newFleet(t, crashing, crashing).configure(route.Route{Kind: route.Idempotent, MaxAttempts: 2})
 	bl := &fakeCrashWatch{allowed: 1}
@@ -81,13 +81,12 @@
 	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, http.StatusBadGateway, 1)
 	if len(bl.broken) != 1 || len(bl.ended) != 0 {
-		t.Errorf("%d attempts are told to have broken off, %d to have ended", len(bl.broken), len(bl.ended))
+		t.Errorf("%d attempts reported as broken, %d as ended; want 1, 0", len(bl.broken), len(bl.ended))
 	}
 }
 
-// What a request ran to clears it, or not: a whole answer does. An endpoint's own failure tells
-// nothing, as endpoints fail requests that they have hardly begun, and a refusal or a connection
-// that breaks off do not either.
+// Only a complete success clears a request of suspicion. A failure response does not, since endpoints
+// also fail requests that they have barely started, and neither does a refusal or a closed connection.
 func TestOutcomesReportedToCrashWatch(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -117,9 +116,9 @@
 	}
 }
 
-// An endpoint answers a failure that is too long to be kept, and it is passed on as it comes. The
-// caller gets all of it: a fault after its end would cut the connection, so that the answer
-// looks broken off.
+// An endpoint's failure response is too large to be buffered and is forwarded as it arrives. The
+// caller must get all of it. A panic after its end would close the connection, so that the response
+// would look truncated.
 func TestLongFailureIsForwardedWhole(t *testing.T) {
 	long := strings.Repeat("x", 3<<20)
 	fl := newFleet(t, respond(500, long)).configure(route.Route{Kind: route.OnceOnly})
@@ -128,14 +127,14 @@
 	rs, body, err := fl.send("POST", "/r/x", "b")
 	fl.expect(rs, err, http.StatusInternalServerError, 1)
 	if len(body) != len(long) {
-		t.Errorf("%d bytes came, want %d", len(body), len(long))
+		t.Errorf("got %d bytes, want %d", len(body), len(long))
 	}
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	if len(bl.ended)+len(bl.broken) > 0 {
-		t.Errorf("told as %d ends and %d that broke off", len(bl.ended), len(bl.broken))
+		t.Errorf("%d attempts reported as ended, %d as broken; want none", len(bl.ended), len(bl.broken))
 	}
 	if got := fl.faults.Load(); got != 0 {
-		t.Errorf("%d faults while it was served", got)
+		t.Errorf("%d panics while it was served", got)
 	}
 }
--- a/io/relay/counts_test.go
+++ b/io/relay/counts_test.go
@@ -12,7 +12,7 @@
 	"almondrill/io/stand/local"
 )
 
-// fakeCounts tells the same count of each endpoint, and remembers what it was told.
+// fakeCounts returns the same count for each endpoint, and records what is reported to it.
 type fakeCounts struct {
 	calls int
 	known bool
@@ -21,7 +21,7 @@
 	asked    []uint64
 	reported map[uint64]int
 	down     []uint64
-	// draining are the endpoints that announced that they leave.
+	// draining are the endpoints reported as draining.
 	draining []uint64
 }
 
@@ -53,14 +53,14 @@
 	ke.reported[endpoint] = calls
 }
 
-// newSharedPool is a router before two engines of a pool that another router shares.
+// newSharedPool returns a router with two engines that it shares with another router.
 func newSharedPool(t *testing.T, ke *fakeCounts) *fleet {
 	t.Helper()
 	fl := newFleet(t, respond(http.StatusOK, "x"), respond(http.StatusOK, "x"))
 	fl.re.Placer.RouterCount = func() int { return 2 }
 	fl.re.Dialect.Calls = func(http.Header) (int, bool) { return 5, true }
 	fl.re.Counts = ke
-	for range 6 { // the pool is in use
+	for range 6 { // occupy some slots
 		if _, rf := fl.re.Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true}); rf != nil {
 			t.Fatal(rf)
 		}
@@ -68,8 +68,8 @@
 	return fl.configurePool(route.Route{Kind: route.Idempotent}, route.Pool{ID: "pool", Engine: true})
 }
 
-// The engine that a router would choose has more calls than places, by other routers' calls,
-// of which it has not heard yet. Told so when it asks, it sends the request to the other.
+// The engine that the router would choose has no free slot, because of other routers' calls that this
+// router has not learned of yet. It must ask for the count and send the request to the other engine.
 func TestFullEngineIsFoundBeforeSend(t *testing.T) {
 	ke := &fakeCounts{calls: 12, known: true}
 	fl := newSharedPool(t, ke)
@@ -78,27 +78,27 @@
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	if len(ke.asked) != 1 {
-		t.Fatalf("counts of %v were asked for, want that of one engine", ke.asked)
+		t.Fatalf("asked for the counts of %v, want one engine", ke.asked)
 	}
 	if _, told := ke.reported[ke.asked[0]]; told || len(ke.reported) != 1 {
-		t.Errorf("engines said %v, want an answer of the one that was not asked about", ke.reported)
+		t.Errorf("counts reported by %v, want only the engine that was not asked about", ke.reported)
 	}
 }
 
-// Nobody knows the engine's count, as its keeper is lost. The request goes on by what is
-// believed.
+// No router knows the engine's count, because its owner is lost. The request must be sent according
+// to the router's own estimate.
 func TestRequestProceedsWithoutCount(t *testing.T) {
 	ke := &fakeCounts{}
 	fl := newSharedPool(t, ke)
 	rs, _, err := fl.send(http.MethodGet, "/r/a", "")
 	fl.expect(rs, err, http.StatusOK, 1)
 	if len(ke.asked) != 1 {
-		t.Errorf("counts were asked for %d times, want once", len(ke.asked))
+		t.Errorf("asked for counts %d times, want once", len(ke.asked))
 	}
 }
 
-// An engine has crashed, and the router that finds out is one of many. It says so, or each of
-// the others has to find out by a request of its own.
+// A router finds that an engine has crashed. It must report this to the other routers, or each of
+// them would find out only by a failed request of its own.
 func TestDeadEngineIsReported(t *testing.T) {
 	ke := &fakeCounts{}
 	fl := newSharedPool(t, ke)
@@ -112,6 +112,6 @@
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	if len(ke.down) == 0 {
-		t.Error("nobody was told of an engine that refuses connections")
+		t.Error("an engine that refuses connections was not reported")
 	}
 }
--- a/io/relay/forward_test.go
+++ b/io/relay/forward_test.go
@@ -14,9 +14,9 @@
 	"almondrill/io/relay"
 )
 
-// A caller names headers that concern only its own connection. Passed on, they would
-// change what the router's connection to the endpoint means: an upgrade, a length that
-// is not the body's, credentials for a proxy.
+// A caller sends headers that apply only to its own connection. If they were forwarded, they would
+// change the router's connection to the endpoint: an upgrade, a length other than the body's,
+// credentials for a proxy.
 func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	co, err := net.Dial("tcp", fl.front.Listener.Addr().String())
@@ -35,13 +35,13 @@
 	}
 	for _, name := range []string{"Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "Te", "Upgrade"} {
 		if value := got[0].request.Header.Get(name); value != "" {
-			t.Errorf("%s was passed on: %q", name, value)
+			t.Errorf("%s was forwarded: %q", name, value)
 		}
 	}
 }
 
-// One endpoint breaks off while it runs a request that may be repeated; the other has
-// no room. A 503 would promise that the request has not run.
+// One endpoint closes the connection while it runs an idempotent request, and the other one is full.
+// A 503 would claim that the request has not run.
 func TestRefusalAfterExecutionIsNotReportedAsNotRun(t *testing.T) {
 	full := respondWith(func(*received) string {
 		return "HTTP/1.1 503 X\r\nX-Id: id-1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
@@ -58,8 +58,8 @@
 	fl.expect(rs, err, http.StatusBadGateway, 2)
 }
 
-// A late answer to another caller's request, complete and stamped, comes before the one
-// that is awaited. The caller must get its own.
+// A late response to another caller's request, complete and stamped, arrives before the awaited one.
+// The caller must get the response to its own request.
 func TestResponseToAnotherRequestIsNotForwarded(t *testing.T) {
 	fl := newFleet(t, respondWith(func(se *received) string {
 		others := "HTTP/1.1 200 X\r\nX-Id: other\r\nX-Stamp: s0\r\nContent-Length: 6\r\n\r\nothers"
@@ -67,12 +67,12 @@
 	})).configure(onceOnly)
 	rs, body, err := fl.send("POST", "/r/x", "hello")
 	if err != nil || rs.StatusCode != http.StatusOK || body != "mine" {
-		t.Errorf("%v %q %v, want the own answer", rs, body, err)
+		t.Errorf("%v %q %v, want the response to this request", rs, body, err)
 	}
 }
 
-// A caller gives up while its request waits for the processor; the close is there, but
-// the server has not read it yet. Sent on, the request would run for nobody.
+// A caller disconnects while its request waits for the CPU. The close has arrived, but the server has
+// not read it yet. If the request were sent, an endpoint would run it in vain.
 func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	left := httptest.NewUnstartedServer(fl.re)
@@ -87,8 +87,8 @@
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 }
 
-// All endpoints fail a request that may be repeated. It goes to as many as its route
-// allows: callers' failures must not multiply the load on a pool that is in trouble.
+// All endpoints fail an idempotent request. It must be sent to no more of them than its route allows:
+// retries must not multiply the load on a failing pool.
 func TestAttemptsAreBounded(t *testing.T) {
 	fl := newFleet(t, respond(500, "a"), respond(500, "b"), respond(500, "c"), respond(500, "d")).configure(idempotent)
 	rs, _, err := fl.send("GET", "/r/x", "")
--- a/io/relay/grants_test.go
+++ b/io/relay/grants_test.go
@@ -13,7 +13,7 @@
 	"almondrill/core/route"
 )
 
-// fakeGrants grants that many requests to each endpoint, and counts what it was asked.
+// fakeGrants grants a number of requests per endpoint, and counts the queries.
 type fakeGrants struct {
 	perEndpoint int
 
@@ -33,7 +33,7 @@
 
 var coldPool = route.Pool{ID: "pool", Engine: true, ColdDuration: time.Minute, ColdRate: 100}
 
-// makeCold makes an endpoint of a fleet cold.
+// makeCold registers an endpoint as cold for a minute.
 func (fl *fleet) makeCold(ix int) {
 	fl.re.Placer.Register(time.Now(), place.Endpoint{
 		ID: core.EndpointID(fmt.Sprint("e", ix)), Addr: fl.addrs[ix], Pool: "pool", Zone: "a", Slots: 8,
@@ -41,8 +41,8 @@
 	})
 }
 
-// Guards against requests to a cold endpoint that were not granted: they go to a warm one,
-// and a denied endpoint is not asked for again at once.
+// Guards against requests to a cold endpoint without a grant: they must go to a warm one, and grants
+// for a denied endpoint must not be requested again at once.
 func TestRequestsDeniedByColdEndpointGoElsewhere(t *testing.T) {
 	fl := newFleet(t, respond(http.StatusOK, "cold"), respond(http.StatusOK, "warm")).configurePool(onceOnly, coldPool)
 	gr := &fakeGrants{perEndpoint: 2}
@@ -57,16 +57,16 @@
 		served[body]++
 	}
 	if served["cold"] > 2 || served["warm"] < 10 {
-		t.Errorf("served by %v, 2 requests are granted to the cold endpoint", served)
+		t.Errorf("served by %v, want at most 2 requests at the cold endpoint", served)
 	}
 	for endpoint, asked := range gr.asked {
 		if asked > 3 {
-			t.Errorf("endpoint %x was asked for %d times after it had been denied for a minute", endpoint, asked)
+			t.Errorf("endpoint %x: %d grants requested, although it was denied for a minute", endpoint, asked)
 		}
 	}
 }
 
-// Guards against callers that wait where all endpoints are cold and none is granted: they are
+// Guards against callers that wait when all endpoints are cold and none is granted: they must be
 // refused at once, as not run.
 func TestRequestIsRefusedWhenAllEndpointsAreCold(t *testing.T) {
 	fl := newFleet(t, respond(http.StatusOK, "a"), respond(http.StatusOK, "b")).configurePool(onceOnly, coldPool)
@@ -77,6 +77,6 @@
 	rs, _, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 	if rs.Header.Get("Retry-After") == "" || time.Since(began) > time.Second {
-		t.Errorf("after %s, to return after %q", time.Since(began), rs.Header.Get("Retry-After"))
+		t.Errorf("refused after %s with Retry-After %q", time.Since(began), rs.Header.Get("Retry-After"))
 	}
 }
--- a/io/relay/harness_test.go
+++ b/io/relay/harness_test.go
@@ -27,7 +27,7 @@
 	"almondrill/io/stats"
 )
 
-// dialect has names of its own, so that the tests hold whatever a platform's are.
+// dialect uses its own header names, so that the tests do not depend on a platform's.
 var dialect = relay.Dialect{
 	RequestID: "X-Id", Deadline: "X-Wait", Key: "X-Key", Customer: "X-Customer", Expect: "X-Expect",
 	NotRun: "X-Not-Run", Stamp: "X-Stamp", Rank: "X-Rank", MaxRank: 9, Resume: "Last-Event-Id", Fetch: "X-Fetch",
@@ -37,21 +37,21 @@
 	Notice:     notice,
 }
 
-// notice reads what the harness' endpoints announce.
+// notice is the dialect's Notice function.
 func notice(_ int, hd http.Header) relay.Notice {
 	backoff, _ := time.ParseDuration(hd.Get("X-Backoff"))
 	return relay.Notice{Draining: hd.Get("X-Leaving") != "", Backoff: backoff}
 }
 
-// received is a request as an endpoint got it.
+// received is a request as received by an endpoint.
 type received struct {
-	endpoint int // which endpoint
+	endpoint int // index of the endpoint
 	request  *http.Request
 	body     string
 	closed   chan struct{} // closed when the router closes the connection
 }
 
-// fleet is a router before scripted endpoints.
+// fleet is a router with scripted endpoints.
 type fleet struct {
 	t            *testing.T
 	re           *relay.Relay
@@ -60,18 +60,17 @@
 	viewAge      time.Duration
 	shuttingDown bool
 
-	// faults counts requests whose serving ended by a fault of the program.
+	// faults counts requests whose handler panicked, other than with http.ErrAbortHandler.
 	faults atomic.Int64
 
 	mu  sync.Mutex // guards got
 	got []*received
 }
 
-// script answers a request of an endpoint by writing to the connection; it returns
-// false to close it.
+// script responds to a request by writing to the connection. It returns false to close it.
 type script func(se *received, co net.Conn) bool
 
-// formatResponse is a well-formed answer of an endpoint.
+// formatResponse returns a well-formed response of an endpoint.
 func formatResponse(se *received, status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\nX-Stamp: s%d\r\nContent-Length: %d\r\n\r\n%s",
 		status, se.request.Header.Get("X-Id"), se.endpoint, len(body), body)
@@ -88,7 +87,7 @@
 	return respondWith(func(se *received) string { return formatResponse(se, status, body) })
 }
 
-// newFleet starts a router before endpoints with these scripts, all of one pool.
+// newFleet starts a router, and an endpoint per script, all in one pool.
 func newFleet(t *testing.T, scripts ...script) *fleet {
 	t.Helper()
 	fl := &fleet{t: t}
@@ -113,7 +112,7 @@
 	return fl
 }
 
-// serveCaller serves a caller, and counts faults.
+// serveCaller serves a caller's request, and counts panics.
 func (fl *fleet) serveCaller(wr http.ResponseWriter, rq *http.Request) {
 	defer func() {
 		fault := recover()
@@ -151,7 +150,8 @@
 	}
 }
 
-// readRequests takes the requests of a connection, and notices when it is closed.
+// readRequests reads a connection's requests. When the router closes the connection, it closes the
+// last request's closed channel.
 func (fl *fleet) readRequests(ix int, co net.Conn) <-chan *received {
 	requests := make(chan *received, 1)
 	go func() {
@@ -185,12 +185,12 @@
 	return append([]*received(nil), fl.got...)
 }
 
-// configure puts a configuration in force with the route at /.
+// configure installs a configuration with this route, under /r/.
 func (fl *fleet) configure(ro route.Route) *fleet {
 	return fl.configurePool(ro, route.Pool{ID: "pool"})
 }
 
-// configurePool is serve with the pool's limits.
+// configurePool is configure with a pool other than the default one.
 func (fl *fleet) configurePool(ro route.Route, po route.Pool) *fleet {
 	fl.t.Helper()
 	ro.Name, ro.Host, ro.Prefix = "r", "127.0.0.1", "/r/"
@@ -210,7 +210,7 @@
 	return fl
 }
 
-// send sends a request of the customer's.
+// send sends a caller's request and reads the response.
 func (fl *fleet) send(method, path, body string, header ...string) (*http.Response, string, error) {
 	fl.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -233,7 +233,7 @@
 	return rs, string(data), err
 }
 
-// expect checks a call's status, and how many requests reached endpoints.
+// expect checks a response's status, and how many requests have reached endpoints.
 func (fl *fleet) expect(rs *http.Response, err error, status, requests int) {
 	fl.t.Helper()
 	if err != nil {
--- a/io/relay/log_test.go
+++ b/io/relay/log_test.go
@@ -11,8 +11,8 @@
 	"almondrill/core/place"
 )
 
-// Someone on call looks for the other turns of a chat whose request failed. As a JSON
-// number its name loses its last digits in most readers, and nothing is found.
+// An on-call engineer searches the log for the other turns of a chat whose request failed. A chat id
+// that is logged as a JSON number loses its last digits in most readers, so that nothing is found.
 func TestLoggedChatIDIsExact(t *testing.T) {
 	fl := newFleet(t, respond(200, "ok"))
 	fl.re.Dialect.Prompt = func(http.Header) []place.Part {
@@ -27,9 +27,9 @@
 	fl.expect(rs, err, 200, 1)
 	served := lines.FilterMessage("Served.").All()
 	if len(served) != 1 {
-		t.Fatalf("%d lines", len(served))
+		t.Fatalf("%d lines of served requests, want 1", len(served))
 	}
 	if chat, ok := served[0].ContextMap()["Chat"].(string); !ok || len(chat) < 10 {
-		t.Errorf("the chat is named %v, want hexadecimal digits as text", served[0].ContextMap()["Chat"])
+		t.Errorf("chat id logged as %v, want a string of hexadecimal digits", served[0].ContextMap()["Chat"])
 	}
 }
--- a/io/relay/memory.go
+++ b/io/relay/memory.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Load pattern: many callers send long bodies slowly, or read long answers slowly. Each is held for
-// seconds, and the process would be ended for its memory.
+// Load pattern: many callers send long bodies slowly, or read long responses slowly. Each of these is
+// buffered for seconds, and without a limit the process would be killed for its memory use.
 
-// Memory bounds what a router holds of bodies and answers, for callers and endpoints that are slow.
-// The zero value bounds nothing.
+// Memory limits the total size of a router's buffers of request and response bodies. The zero value
+// sets no limit.
 type Memory struct {
-	// Limit is how many bytes are held at most; 0 if nothing bounds them.
+	// Limit is the maximum number of bytes; 0 means no limit.
 	Limit int64
 
 	held atomic.Int64
 }
 
-// Held is how many bytes are held.
+// Held returns the number of bytes in use.
 func (me *Memory) Held() int64 { return me.held.Load() }
 
-// reserve holds so many bytes more, unless that is beyond the bound.
+// reserve adds to the bytes in use, and returns false if that would exceed the limit.
 func (me *Memory) reserve(size int64) bool {
 	if held := me.held.Add(size); me.Limit > 0 && held > me.Limit {
 		me.held.Add(-size)
@@ -32,18 +32,18 @@
 }
 
 const (
-	// initialBuffer is how much is held at first of a body or an answer; what was not sent yet takes
-	// no memory, however long it is said to be.
+	// initialBuffer is the initial buffer size, in bytes, whatever the Content-Length: memory is
+	// reserved only as data arrives.
 	initialBuffer = 4 << 10
-	// memoryRetryAfter is when a caller may return for whose body there was no memory: slow ones are
-	// cut off after seconds.
+	// memoryRetryAfter is when a caller may retry if there was no memory for its body. Slow senders
+	// are cut off after some seconds, which frees memory.
 	memoryRetryAfter = time.Second
 )
 
-var errNoMemory = errors.New("no memory is left for bodies and answers")
+var errNoMemory = errors.New("memory for request and response bodies is exhausted")
 
-// readBounded reads to the end, and holds what it read until the request is over. length is how long it
-// is said to be, -1 if it does not say. Where it returns errMemory, it has read a part.
+// readBounded reads to the end into memory that stays reserved until the request is over. length is
+// the Content-Length, -1 if unknown. With errNoMemory, it returns the part that it has read.
 func (rq *request) readBounded(rd io.Reader, length int64) ([]byte, error) {
 	var body []byte
 	for {
@@ -68,7 +68,8 @@
 	}
 }
 
-// growBuffer makes room for twice as much, or for the byte behind the end that shows that it is one.
+// growBuffer doubles the buffer, up to one byte more than the Content-Length: a read into that byte
+// finds the end.
 func (rq *request) growBuffer(body []byte, length int64) ([]byte, bool) {
 	size := max(initialBuffer, 2*int64(cap(body)))
 	if length >= int64(len(body)) {
@@ -82,7 +83,7 @@
 	return append(make([]byte, 0, size), body...), true
 }
 
-// releaseMemory frees what the request held.
+// releaseMemory releases the memory that the request has reserved.
 func (rq *request) releaseMemory() {
 	rq.re.Memory.held.Add(-rq.heldBytes)
 	rq.heldBytes = 0
--- a/io/relay/notice.go
+++ b/io/relay/notice.go
@@ -9,8 +9,8 @@
 	"almondrill/io/stats"
 )
 
-// handleNotice takes what the endpoint announces beside its answer. Another endpoint that has got
-// the address answers 421; what it announces does not concern the one that was asked.
+// handleNotice applies the notice in the response. A notice with status 421 is ignored: another
+// endpoint has taken over the address, and its notice does not concern the one that was called.
 func (ex *exchange) handleNotice() {
 	if ex.rs.StatusCode == http.StatusMisdirectedRequest {
 		return
@@ -27,13 +27,13 @@
 	}
 }
 
-// markDraining closes the endpoint to new requests. It may announce that it leaves long before its
-// registration tells so, as where the store is away.
+// markDraining stops new requests to the endpoint. The notice can arrive long before the endpoint's
+// registration is updated, for instance while the store is unavailable.
 func (ex *exchange) markDraining() {
 	if !ex.tk.RecordShutdown(time.Now()) {
 		return
 	}
-	ex.rq.re.Log.Info("An endpoint announces that it leaves.", zap.String("Endpoint", string(ex.tk.Endpoint.ID)),
+	ex.rq.re.Log.Info("An endpoint announced its shutdown.", zap.String("Endpoint", string(ex.tk.Endpoint.ID)),
 		zap.String("Addr", ex.tk.Endpoint.Addr), zap.String("Request", ex.rq.id), zap.Int("Status", ex.rs.StatusCode),
 		zap.Duration("Age", ex.rq.re.ViewAge()))
 	if counts := ex.rq.re.Counts; counts != nil {
@@ -41,13 +41,13 @@
 	}
 }
 
-// markBackoff leaves the endpoint alone for the time that it asked for.
+// markBackoff stops new requests to the endpoint for the time that it asked for.
 func (ex *exchange) markBackoff() {
 	backoff := ex.rq.notice.Backoff
 	if !ex.tk.RecordBackoff(time.Now(), backoff) {
 		return
 	}
-	ex.rq.re.Log.Info("An endpoint wants no requests for a time.", zap.String("Endpoint", string(ex.tk.Endpoint.ID)),
+	ex.rq.re.Log.Info("An endpoint asked for a pause in requests.", zap.String("Endpoint", string(ex.tk.Endpoint.ID)),
 		zap.String("Addr", ex.tk.Endpoint.Addr), zap.String("Request", ex.rq.id), zap.Duration("For", backoff),
 		zap.Duration("Age", ex.rq.re.ViewAge()))
 }
--- a/io/relay/notice_test.go
+++ b/io/relay/notice_test.go
@@ -17,7 +17,7 @@
 	"almondrill/core/place"
 )
 
-// respondWithHeader is an answer that bears a further header.
+// respondWithHeader responds with an additional header.
 func respondWithHeader(status int, body, name, value string) script {
 	return respondWith(func(se *received) string {
 		return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\nX-Stamp: s%d\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -25,7 +25,7 @@
 	})
 }
 
-// Guards against a notice that nobody finds in the logs or counters.
+// Guards against notices that do not show in the log and the counters.
 func TestNoticesAreLogged(t *testing.T) {
 	fl := newFleet(t, respondWithHeader(200, "ok", "X-Leaving", "1")).configure(onceOnly)
 	logged, lines := observer.New(zapcore.InfoLevel)
@@ -41,8 +41,9 @@
 	}
 }
 
-// Guards against requests that reach an endpoint after it has announced, beside any answer, that
-// it leaves: chosen later or before, with its registration renewed or lapsed and back.
+// Guards against requests that are sent to an endpoint after it announced its shutdown, in any kind of
+// response: whether the endpoint was chosen before or after that, and also after its registration was
+// renewed, or expired and was registered again.
 func TestDrainingEndpointGetsNoNewRequests(t *testing.T) {
 	for name, ca := range map[string]struct {
 		answer string
@@ -96,7 +97,8 @@
 	})
 }
 
-// drainingReply is an answer, without its request's id, whose endpoint leaves.
+// drainingReply returns a format of a response that announces a shutdown, with a verb for the
+// request's id.
 func drainingReply(status int, more string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %%s\r\nX-Stamp: s\r\nX-Leaving: 1\r\n%sContent-Length: 0\r\n\r\n", status, more)
 }
@@ -108,7 +110,8 @@
 	})
 }
 
-// Guards against peers that are told of each answer of an endpoint that leaves, not once.
+// Guards against reporting a draining endpoint to the other routers with each of its responses,
+// instead of once.
 func TestDrainingEndpointIsReportedOnce(t *testing.T) {
 	const calls = 4
 	ke := &fakeCounts{}
@@ -130,7 +133,7 @@
 	}
 	all.Wait()
 	if got := ke.drainReports(); got != 1 {
-		t.Errorf("peers were told %d times", got)
+		t.Errorf("the endpoint was reported %d times, want once", got)
 	}
 }
 
@@ -140,7 +143,7 @@
 	return len(ke.draining)
 }
 
-// refuseWithBackoff turns requests away and asks for no more for so long.
+// refuseWithBackoff refuses requests as not run, and asks for a backoff.
 func refuseWithBackoff(backoff time.Duration) script {
 	return respondWith(func(se *received) string {
 		return fmt.Sprintf("HTTP/1.1 503 X\r\nX-Id: %s\r\nX-Not-Run: 1\r\nX-Backoff: %s\r\nContent-Length: 0\r\n\r\n",
@@ -148,8 +151,8 @@
 	})
 }
 
-// Guards against requests that reach an endpoint within the time for which it has asked for none:
-// as the one with the fewest calls it would get most of them, and refuse them all.
+// Guards against requests to an endpoint within the backoff that it asked for: as the one with the
+// fewest calls, it would get most requests, and refuse them all.
 func TestBackoffIsRespected(t *testing.T) {
 	const backoff = 600 * time.Millisecond
 	fl := newFleet(t, refuseWithBackoff(backoff)).configure(onceOnly)
@@ -165,18 +168,18 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if got := fl.requestsTo(0); got != 1 {
-		t.Errorf("%d requests reached the endpoint, want the first alone", got)
+		t.Errorf("%d requests reached the endpoint, want only the first", got)
 	}
 	time.Sleep(backoff - time.Since(asked) + 50*time.Millisecond)
 	for range 40 {
 		_, _, _ = fl.send("POST", "/r/x", "hello")
 	}
 	if fl.requestsTo(0) == 1 {
-		t.Error("the endpoint gets nothing after that time")
+		t.Error("the endpoint gets no requests after its backoff")
 	}
 }
 
-// Guards against a request that is sent on a choice made before its endpoint asked for no more.
+// Guards against a request that is sent to an endpoint that asked for a backoff after it was chosen.
 func TestRequestIsNotSentToEndpointInBackoff(t *testing.T) {
 	fl := newFleet(t, refuseWithBackoff(10*time.Second)).configure(onceOnly)
 	fl.addrs = append(fl.addrs, fl.startEndpoint(1, respond(200, "other")))
@@ -198,8 +201,8 @@
 	}
 }
 
-// Guards against callers that wait, or are told to return too soon, when all endpoints of a pool
-// have asked for no requests: they are refused at once and told when the first takes some again.
+// Guards against callers that wait, or get too short a Retry-After, when all endpoints of a pool are
+// in backoff: they must be refused at once until the first backoff ends.
 func TestAllEndpointsInBackoff(t *testing.T) {
 	fl := newFleet(t, refuseWithBackoff(3*time.Second), refuseWithBackoff(5*time.Second)).configure(onceOnly)
 	for fl.requestsTo(0) == 0 || fl.requestsTo(1) == 0 {
@@ -212,12 +215,12 @@
 		fl.expect(rs, err, http.StatusServiceUnavailable, before)
 		after, _ := strconv.ParseFloat(rs.Header.Get("Retry-After"), 64)
 		if after < 2 || after > 5 || time.Since(began) > time.Second {
-			t.Errorf("after %s told to return in %g s: %s", time.Since(began), after, body)
+			t.Errorf("refused after %s with Retry-After %g s: %s", time.Since(began), after, body)
 		}
 	}
 }
 
-// requestsTo counts the requests that reached an endpoint.
+// requestsTo returns the number of requests that reached an endpoint.
 func (fl *fleet) requestsTo(ix int) int {
 	count := 0
 	for _, se := range fl.requests() {
--- a/io/relay/refused_test.go
+++ b/io/relay/refused_test.go
@@ -12,10 +12,10 @@
 	"almondrill/core/route"
 )
 
-// notRunStatuses are the statuses that tell a caller that its request did not run and never will.
+// notRunStatuses are the statuses that tell a caller that its request has not run and never will.
 var notRunStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
-// ending is how an endpoint ends a request.
+// ending is a way in which an endpoint ends a request.
 type ending struct {
 	name string
 	// runs is set if the endpoint has run the request.
@@ -23,14 +23,14 @@
 	end  script
 }
 
-// respondWithHead is an answer with that head after its status line, whose body is as long as it says.
+// respondWithHead responds with the given header lines, and a matching Content-Length.
 func respondWithHead(status int, head, body string) script {
 	return respondWith(func(se *received) string {
 		return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, se.request.Header.Get("X-Id"), head, len(body), body)
 	})
 }
 
-// thenClose breaks the connection off after what another script wrote.
+// thenClose closes the connection after another script.
 func thenClose(first script) script {
 	return func(se *received, co net.Conn) bool {
 		first(se, co)
@@ -38,7 +38,7 @@
 	}
 }
 
-// delayed waits so long before it goes on.
+// delayed runs a script after a pause, which ends early if the router closes the connection.
 func delayed(pause time.Duration, next script) script {
 	return func(se *received, co net.Conn) bool {
 		select {
@@ -49,7 +49,7 @@
 	}
 }
 
-// resetConn ends the connection so that what was sent on it is lost.
+// resetConn closes the connection with a TCP reset, so that unread data is lost.
 func resetConn(_ *received, co net.Conn) bool {
 	_ = co.(*net.TCPConn).SetLinger(0)
 	return false
@@ -60,13 +60,13 @@
 	notRun  = "X-Not-Run: 1\r\n"
 )
 
-// callerWait is how long the callers wait, mute how long an endpoint is silent that answers too late.
+// callerWait is the callers' deadline, lateDelay the delay of an endpoint that responds too late.
 const (
 	callerWait = 100 * time.Millisecond
 	lateDelay  = 2 * callerWait
 )
 
-// endings are those that endpoints may bring about, faulty ones too.
+// endings returns the ways in which endpoints may end a request, including those of faulty ones.
 func endings() []ending {
 	long := strings.Repeat("x", 1<<20+1)
 	text := func(status int, rest string) script {
@@ -103,16 +103,16 @@
 	}
 }
 
-// refusedCase is a request before two endpoints.
+// refusedCase is a request to a router with two endpoints.
 type refusedCase struct {
 	kind          route.Route
 	leaving       bool
 	first, second ending
 }
 
-// Guards against REFUSED: a caller that is told that its request did not run, though an endpoint
-// has run it, sends it again. Every pair of ways in which two endpoints may end a request, each
-// kind of route, and on a router that leaves.
+// Guards against REFUSED: a caller that is told that its request has not run, although an endpoint has
+// run it, sends it again. Covers every pair of endings at two endpoints, each kind of route, and a
+// router that is shutting down.
 func TestNotRunStatusIsTruthful(t *testing.T) {
 	kinds := map[string]route.Route{
 		"once only": {Kind: route.OnceOnly, MaxAttempts: 2}, "idempotent": {Kind: route.Idempotent, MaxAttempts: 2},
@@ -124,7 +124,7 @@
 	t.Run("once only, leaving", func(t *testing.T) { everyPair(t, &refusedCase{kind: kinds["once only"], leaving: true}) })
 }
 
-// everyPair checks a case with each pair of endings.
+// everyPair checks the case with each pair of endings.
 func everyPair(t *testing.T, ca *refusedCase) {
 	all := endings()
 	for ix, first := range all {
@@ -153,12 +153,12 @@
 	rs, _, _ := fl.send("POST", "/r/x", "draft", "X-Wait", fmt.Sprint(callerWait.Milliseconds()))
 	ran := runs.Load()
 	if ca.kind.Kind == route.OnceOnly && ran > 1 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("non-idempotent request ran %d times", ran)
 	}
 	if rs != nil && notRunStatuses[rs.StatusCode] && ran > 0 {
-		t.Errorf("status %d, though it ran %d times", rs.StatusCode, ran)
+		t.Errorf("status %d, although the request ran %d times", rs.StatusCode, ran)
 	}
 	if rs != nil && notRunStatuses[rs.StatusCode] && rs.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("status %d, want 503 for a request that did not run", rs.StatusCode)
+		t.Errorf("status %d, want 503 for a request that has not run", rs.StatusCode)
 	}
 }
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -1,20 +1,20 @@
-// Package relay is the callers' side of a router that calls endpoints itself.
+// Package relay is the HTTP reverse proxy of a router that calls endpoints directly.
 //
 // # Concepts
 //
-// A request finds its route and customer in the route.Table in force, its
-// endpoint by place.Placer, and is sent there on a connection of conns.Pool. The
-// answer's bytes are passed on as they come. What callers and endpoints call the
-// headers is told by a Dialect.
+// A request's route and customer are looked up in the current route.Table. Its endpoint is chosen
+// by place.Placer, and the request is sent there on a connection of conns.Pool. Streams and large
+// responses are forwarded as they arrive; other responses are buffered first. A Dialect defines
+// the names and encodings of the headers that callers and endpoints use.
 //
 // # Invariants
 //
-//   - A request that may not be repeated is sent to a further endpoint only if the
-//     one before provably did not run it.
-//   - 408, 421, 429 and 503 are answered only if no endpoint has run the request.
-//   - A success is passed on only with its stamp; an answer that broke off is cut
-//     at the caller's connection too, so that it does not look whole.
-//   - Once the caller has left, the endpoint's connection is closed at once.
+//   - A request that is not idempotent is sent to another endpoint only if the previous one
+//     provably did not run it.
+//   - 408, 421, 429 and 503 are returned only if no endpoint has run the request.
+//   - A success is forwarded only if it carries the endpoint's stamp. If a response ends early, the
+//     caller's connection is closed, so that the caller does not take it for complete.
+//   - When the caller disconnects, the endpoint's connection is closed at once.
 //
 // # Usage
 //
@@ -44,94 +44,96 @@
 	"almondrill/io/stats"
 )
 
-// Dialect is what callers and endpoints call the headers, and how they write them.
+// Dialect defines the names and encodings of the headers that callers and endpoints use.
 type Dialect struct {
-	// RequestID names an attempt of the caller; endpoints echo it.
+	// RequestID identifies an attempt of the caller. Endpoints echo it.
 	RequestID string
-	// Deadline holds the milliseconds that the sender will wait.
+	// Deadline holds how long the sender will wait, in milliseconds.
 	Deadline string
-	// Key names the caller's customer to the router, Customer the customer to the
+	// Key holds the caller's API key, for the router. Customer holds the customer's id, for the
 	// endpoint.
 	Key      string
 	Customer string
-	// Expect names the endpoint that alone may run the request.
+	// Expect names the only endpoint that may run the request.
 	Expect string
-	// NotRun marks answers of endpoints that did not run the request.
+	// NotRun marks responses of endpoints that did not run the request.
 	NotRun string
-	// Stamp proves that an answer is an endpoint's.
+	// Stamp proves that a response comes from an endpoint.
 	Stamp string
-	// Rank tells an endpoint the request's urgency, from 0 to MostRank.
+	// Rank holds the request's priority, from 0 to MaxRank.
 	Rank    string
 	MaxRank int
-	// Resume names the last event that the caller has.
+	// Resume holds the id of the last event that the caller has received.
 	Resume string
-	// Fetch names the endpoint from which another takes kept tokens over.
+	// Fetch names the endpoint to fetch the request's cached context from.
 	Fetch string
-	// RouterOnly are headers that only a router sets; what callers send is dropped.
+	// RouterOnly are headers that only a router may set. They are removed from callers' requests.
 	RouterOnly []string
-	// Prompt reads the parts of a request's prompt.
+	// Prompt extracts the parts of a request's prompt.
 	Prompt func(hd http.Header) []place.Part
-	// Calls reads how many calls an endpoint has, from its answer; false if it does
-	// not tell.
+	// Calls extracts the endpoint's number of calls in flight from its response; false if the
+	// response does not report it.
 	Calls func(hd http.Header) (int, bool)
-	// Notice reads what an endpoint announces beside an answer of that status.
+	// Notice extracts the endpoint's notice from the header of a response with that status.
 	Notice func(status int, hd http.Header) Notice
 }
 
-// Notice is what an endpoint announces beside an answer. The zero value announces nothing.
+// Notice is what an endpoint announces about itself in the header of a response. The zero value
+// announces nothing.
 type Notice struct {
-	// Draining is set by an endpoint that is about to leave.
+	// Draining is set if the endpoint is about to shut down.
 	Draining bool
-	// Backoff is for how long the endpoint wants no requests from this router.
+	// Backoff is how long the endpoint wants no requests from this router.
 	Backoff time.Duration
 }
 
-// Relay serves callers. Set the exported fields before use.
+// Relay serves callers' requests. Set the exported fields before use.
 type Relay struct {
 	Dialect Dialect
 	Self    core.VMID
 	Placer  *place.Placer
-	// Counts knows how many calls endpoints have; nil if nobody does.
+	// Counts exchanges endpoints' calls in flight with the other routers; nil if there are none.
 	Counts core.InFlightCounts
-	// Grants divides the limits of cold endpoints among routers; nil if this is the only one.
+	// Grants divides the rate limits of cold endpoints among routers; nil if this is the only one.
 	Grants core.RateLimiter
-	// Crashes is told how attempts end that did not end well; nil if nobody asks.
+	// Crashes learns how attempts end and quarantines requests that crash endpoints; nil if there
+	// is no crash detection.
 	Crashes core.CrashDetector
 	Budget  *retry.Window
 	Conns   *conns.Pool
-	// Memory bounds what is held of bodies and answers.
+	// Memory bounds the buffers of request and response bodies.
 	Memory  Memory
 	Stats   *stats.Set
 	Latency *stats.Latency
 	Rand    core.Rand
 	Log     *zap.Logger
-	// ViewAge is how long ago what is believed of routes and endpoints was confirmed.
+	// ViewAge returns how long ago this router's view of routes and endpoints was confirmed.
 	ViewAge func() time.Duration
-	// ShuttingDown tells that the process is about to stop.
+	// ShuttingDown reports whether the process is about to stop.
 	ShuttingDown func() bool
 
 	table atomic.Pointer[route.Table]
 }
 
 const (
-	// staleAfter is the age of beliefs beyond which an unknown route or key is no
-	// proof that it does not exist. A confirmation comes every second and a half.
+	// staleAfter is the age of the router's view from which an unknown route or key is no proof that
+	// it does not exist. The view is confirmed every 1.5 s.
 	staleAfter = 2500 * time.Millisecond
-	// defaultMaxHead and defaultMaxBody bound heads and bodies where the
-	// configuration does not.
+	// defaultMaxHead and defaultMaxBody, in bytes, apply if the configuration sets no limits.
 	defaultMaxHead = 64 << 10
 	defaultMaxBody = 4 << 20
-	// noConfigRetryAfter is when callers may return to a router that is starting.
+	// noConfigRetryAfter is when callers may retry if the configuration is missing or outdated.
 	noConfigRetryAfter = 500 * time.Millisecond
 )
 
-// SetTable puts a configuration in force.
+// SetTable replaces the configuration.
 func (re *Relay) SetTable(ta *route.Table) { re.table.Store(ta) }
 
-// Table is the configuration in force, nil if there is none yet.
+// Table returns the current configuration, nil if there is none yet.
 func (re *Relay) Table() *route.Table { return re.table.Load() }
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP serves one request of a caller. It panics with http.ErrAbortHandler to cut a response
+// that cannot be completed.
 func (re *Relay) ServeHTTP(wr http.ResponseWriter, hr *http.Request) {
 	re.Stats.Add(stats.Requests, 1)
 	re.Stats.Add(stats.InProgress, 1)
@@ -140,7 +142,7 @@
 		re: re, wr: wr, hr: hr, began: time.Now(),
 		id: hr.Header.Get(re.Dialect.RequestID), control: http.NewResponseController(wr),
 	}
-	// A bound that an earlier answer on this connection had would cut this one.
+	// Otherwise the deadline of an earlier response on this connection would cut this one.
 	_ = rq.control.SetWriteDeadline(time.Time{})
 	if re.ShuttingDown() {
 		wr.Header().Set("Connection", "close")
@@ -158,18 +160,19 @@
 
 type connClosedKey struct{}
 
-// WithConnClosed lets requests of a connection ask whether it has ended, on either side.
+// WithConnClosed stores a function in the connection's context that reports whether either side has
+// closed the connection.
 func WithConnClosed(ctx context.Context, closed func() bool) context.Context {
 	return context.WithValue(ctx, connClosedKey{}, closed)
 }
 
-// connClosed tells whether the caller's connection has ended.
+// connClosed reports whether the caller's connection has ended.
 func (rq *request) connClosed() bool {
 	closed, ok := rq.hr.Context().Value(connClosedKey{}).(func() bool)
 	return ok && closed()
 }
 
-// prepare finds out what is asked and reads the body.
+// prepare resolves the route, customer, deadline and pool, and reads the body.
 func (rq *request) prepare() *core.Refusal {
 	if rf := rq.resolve(); rf != nil {
 		return rf
@@ -190,12 +193,11 @@
 	return nil
 }
 
-// resolve looks the route and the customer up. Where the beliefs are old, something
-// unknown may have come since: the caller is told to return, not that it is wrong.
+// resolve looks up the route and the customer.
 func (rq *request) resolve() *core.Refusal {
 	rq.table = rq.re.table.Load()
 	if rq.table == nil {
-		rf := rq.notRun(core.ReasonNoConfig, "find", "no configuration is known yet")
+		rf := rq.notRun(core.ReasonNoConfig, "find", "the router has not received a configuration yet")
 		rf.RetryAfter = noConfigRetryAfter
 		return rf
 	}
@@ -216,6 +218,8 @@
 	return nil
 }
 
+// unknownTarget refuses a request with an unknown route or key. If the router's view is outdated,
+// the route or key may exist by now, so the caller is asked to retry instead.
 func (rq *request) unknownTarget(re core.Reason, status int, detail string) *core.Refusal {
 	rf := rq.notRun(re, "find", detail)
 	if age := rq.re.ViewAge(); age > staleAfter {
@@ -228,7 +232,7 @@
 	return rf
 }
 
-// setDeadline works out until when the caller waits.
+// setDeadline sets the deadline to the earlier of the caller's and the route's.
 func (rq *request) setDeadline() *core.Refusal {
 	rq.deadline = rq.began.Add(rq.route.Timeout)
 	text := rq.hr.Header.Get(rq.re.Dialect.Deadline)
@@ -237,7 +241,7 @@
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 0 {
-		rf := rq.notRun(core.ReasonBadRequest, "read", rq.re.Dialect.Deadline+" is no number of milliseconds: "+text)
+		rf := rq.notRun(core.ReasonBadRequest, "read", rq.re.Dialect.Deadline+" is not a valid number of milliseconds: "+text)
 		rf.Status = http.StatusBadRequest
 		return rf
 	}
@@ -247,8 +251,7 @@
 	return nil
 }
 
-// readBody reads the body whole, so that it can be sent again. Its time is
-// bounded by the request's own.
+// readBody reads the complete body before the request's deadline, so that it can be sent again.
 func (rq *request) readBody() *core.Refusal {
 	hr := rq.hr
 	if hr.Body == nil || hr.Body == http.NoBody {
@@ -271,13 +274,13 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.Is(err, errNoMemory):
-		rf := rq.notRun(core.ReasonMemory, "read", "bodies and answers of other requests take the memory that there is for them")
+		rf := rq.notRun(core.ReasonMemory, "read", "request and response bodies of other requests use all of the buffer memory")
 		rf.RetryAfter = memoryRetryAfter
 		return rf
 	case errors.As(err, &large):
 		return rq.tooLarge(http.StatusRequestEntityTooLarge, "body", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		rf := rq.notRun(core.ReasonSlowCaller, "read", "the body did not come in time")
+		rf := rq.notRun(core.ReasonSlowCaller, "read", "the body did not arrive before the request's deadline")
 		rf.Status = http.StatusRequestTimeout
 		return rf
 	case hr.Context().Err() != nil || errors.Is(err, io.ErrUnexpectedEOF):
@@ -288,14 +291,14 @@
 	return rf
 }
 
-// tooLarge refuses a request whose head or body is beyond its limit, in bytes.
+// tooLarge refuses a request whose head or body exceeds the limit, in bytes.
 func (rq *request) tooLarge(status int, what string, limit int64) *core.Refusal {
 	rf := rq.notRun(core.ReasonTooLarge, "read", "the "+what+" is larger than "+strconv.FormatInt(limit, 10)+" bytes")
 	rf.Status = status
 	return rf
 }
 
-// maxHead is the longest head that the configuration allows, in bytes.
+// maxHead returns the size limit of request heads, in bytes.
 func (rq *request) maxHead() int64 {
 	if limit := int64(rq.table.Limits.MaxHeader); limit > 0 {
 		return limit
@@ -303,8 +306,8 @@
 	return defaultMaxHead
 }
 
-// headSize is the length of a request's head as it came, in bytes: its first line,
-// and each header's with a colon, a space and the end of the line.
+// headSize returns the size of a request's head as received, in bytes: the request line, and each
+// header field with its colon, space and line end.
 func headSize(hr *http.Request) int64 {
 	const separators = len(": ") + len("\r\n")
 	size := len(hr.Method) + len(hr.RequestURI) + len(hr.Proto) + separators
@@ -321,14 +324,15 @@
 	return &core.Refusal{Outcome: core.NotRun, Reason: re, Step: step, Peer: string(rq.re.Self), Detail: detail}
 }
 
-// hopByHop are the headers that concern only one connection (RFC 9110, 7.6.1).
+// hopByHop are headers that apply to a single connection (RFC 9110, 7.6.1), and others that the
+// router handles itself.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// forwardedHeader is the header that an endpoint gets, but for the deadline and the
-// endpoint's id, which differ by attempt.
+// forwardedHeader returns the header to send to endpoints, without the fields that differ between
+// attempts.
 func (rq *request) forwardedHeader() http.Header {
 	di := &rq.re.Dialect
 	hd := rq.hr.Header.Clone()
@@ -349,7 +353,7 @@
 	return hd
 }
 
-// dropConnection removes what concerns only the connection it came on.
+// dropConnection removes the hop-by-hop headers, including those that Connection names.
 func dropConnection(hd http.Header) {
 	for _, field := range hd["Connection"] {
 		for _, name := range strings.Split(field, ",") {
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// A request with both a length and chunks hides a second one in its body. If router
-// and endpoint disagree on where it ends, the endpoint runs a request that nobody
-// sent.
+// Request smuggling: a request with both a Content-Length and chunked encoding hides a second one in
+// its body. If the router and the endpoint disagreed on where the body ends, the endpoint would run
+// the hidden request.
 func TestSmuggledRequestDoesNotRun(t *testing.T) {
 	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	co, err := net.Dial("tcp", fl.front.Listener.Addr().String())
@@ -81,18 +81,19 @@
 	}
 }
 
-// The endpoint takes a request that must not repeat and breaks the connection. It may
-// have run: it must not be sent again, nor may the caller be told that it did not run.
+// The endpoint reads a non-idempotent request and closes the connection. The request may have run: it
+// must not be sent again, and the caller must not be told that it did not run.
 func TestOnceOnlyIsNeverSentAgain(t *testing.T) {
 	fl := newFleet(t, closeConn, closeConn).configure(onceOnly)
 	rs, _, err := fl.send("POST", "/r/x", "draft")
 	fl.expect(rs, err, 502, 1)
 	if rs.Header.Get("Retry-After") != "" {
-		t.Error("the caller is told to return, though the request may have run")
+		t.Error("got a Retry-After, although the request may have run")
 	}
 }
 
-// An endpoint that says that it did not run a request may be followed by another.
+// A non-idempotent request may be sent to another endpoint if the first one declares that it did not
+// run it.
 func TestRefusedOnceOnlyIsRetriedElsewhere(t *testing.T) {
 	full := respondWith(func(se *received) string {
 		return "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nX-Id: id-1\r\nContent-Length: 0\r\n\r\n"
@@ -106,8 +107,7 @@
 	}
 }
 
-// All endpoints refuse: the caller is told that the request did not run and when to
-// return, and that is true.
+// All endpoints refuse a request: the caller must be told that it did not run, and when to retry.
 func TestRefusalByAllEndpointsGuaranteesNotRun(t *testing.T) {
 	full := respondWith(func(se *received) string {
 		return "HTTP/1.1 429 X\r\nX-Not-Run: 1\r\nX-Id: id-1\r\nContent-Length: 0\r\n\r\n"
@@ -120,21 +120,21 @@
 	}
 }
 
-// An endpoint answers 503 without saying that it did not run the request. Passed on,
-// the caller would take it for a promise and send the request again.
+// An endpoint responds with 503 without declaring that it did not run the request. If this were
+// forwarded, the caller would conclude that the request has not run, and send it again.
 func TestUnmarked503IsNotForwarded(t *testing.T) {
 	for _, status := range []int{503, 429, 408} {
 		fl := newFleet(t, respond(status, "busy")).configure(onceOnly)
 		rs, _, err := fl.send("POST", "/r/x", "draft")
 		fl.expect(rs, err, 502, 1)
 		if rs.Header.Get("X-Stamp") != "" {
-			t.Errorf("%d became 502, but still bears the stamp", status)
+			t.Errorf("%d became 502, but still has the stamp", status)
 		}
 	}
 }
 
-// Another endpoint has the address now and says so. The caller's request goes to one
-// that is still there.
+// An endpoint's address now belongs to another endpoint, which responds with 421. The request must be
+// sent to one that still exists, and further requests must avoid the address.
 func TestReusedAddressIsAvoided(t *testing.T) {
 	other := respondWith(func(se *received) string { return "HTTP/1.1 421 X\r\nX-Id: id-1\r\nContent-Length: 0\r\n\r\n" })
 	fl := newFleet(t, other, respond(200, "ok")).configure(onceOnly)
@@ -150,12 +150,12 @@
 		}
 	}
 	if count > 1 {
-		t.Errorf("%d requests went to an address that is another's", count)
+		t.Errorf("%d requests were sent to a reused address, want at most 1", count)
 	}
 }
 
-// A lookup fails at one endpoint; another answers it. What the first answered does
-// not show.
+// An idempotent request fails at one endpoint and succeeds at another. Nothing of the first response
+// may reach the caller.
 func TestIdempotentIsRetriedElsewhere(t *testing.T) {
 	for name, sc := range map[string]script{
 		"failed": respond(500, "oops"), "broken": closeConn, "short": respondWith(func(se *received) string {
@@ -188,8 +188,8 @@
 	}
 }
 
-// An endpoint has gone silent. A lookup must not wait for it until the caller's time
-// is over.
+// An endpoint has stopped responding. An idempotent request must not wait for it until the caller's
+// deadline.
 func TestIdempotentIsRetriedWhenEndpointStalls(t *testing.T) {
 	silent := func(se *received, _ net.Conn) bool { <-se.closed; return false }
 	fl := newFleet(t, silent, respond(200, "fine")).configure(idempotent)
@@ -201,12 +201,12 @@
 		}
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("four lookups took %s", took)
+		t.Errorf("four requests took %s, want at most 3s", took)
 	}
 }
 
-// Retries stop when the fleet's budget is spent: failing endpoints are not sent a
-// multiple of the load.
+// Retries stop when the routers' budget is exhausted: failing endpoints must not get a multiple of
+// the load.
 func TestBudgetBoundsRetries(t *testing.T) {
 	fl := newFleet(t, respond(500, "a"), respond(500, "b")).configure(idempotent)
 	fl.re.Budget.SetBound(0, 10)
@@ -214,12 +214,12 @@
 		_, _, _ = fl.send("GET", "/r/x", "")
 	}
 	if got := len(fl.requests()); got > 35 {
-		t.Errorf("%d requests reached endpoints for 30, want at most 5 more", got)
+		t.Errorf("%d requests reached endpoints for 30 calls, want at most 35", got)
 	}
 }
 
-// The route's time is over while the endpoint works: the caller gets an end at once,
-// and the endpoint stops.
+// The route's timeout expires while the endpoint works: the caller must get an error at once, and the
+// endpoint's connection must be closed.
 func TestRouteTimeout(t *testing.T) {
 	silent := func(se *received, _ net.Conn) bool { <-se.closed; return false }
 	ro := onceOnly
@@ -229,7 +229,7 @@
 	rs, _, err := fl.send("POST", "/r/x", "", "X-Wait", "5000")
 	fl.expect(rs, err, 504, 1)
 	if took := time.Since(began); took < 190*time.Millisecond || took > 500*time.Millisecond {
-		t.Errorf("answered after %s, want 200ms", took)
+		t.Errorf("response after %s, want 200ms", took)
 	}
 	waitClosed(t, fl.requests()[0])
 }
@@ -239,11 +239,11 @@
 	select {
 	case <-se.closed:
 	case <-time.After(2 * time.Second):
-		t.Error("the endpoint's connection stays open, so it works on")
+		t.Error("the endpoint's connection stays open, so that it continues to work")
 	}
 }
 
-// A caller gives up before its answer begins. The endpoint's work would be for nobody.
+// A caller disconnects before its response begins. The endpoint must not continue in vain.
 func TestCallerDisconnectStopsEndpoint(t *testing.T) {
 	silent := func(se *received, _ net.Conn) bool { <-se.closed; return false }
 	for name, ro := range map[string]route.Route{"stream": {Kind: route.Stream}, "once": onceOnly} {
@@ -260,8 +260,8 @@
 	}
 }
 
-// A second request comes on a kept connection after the first one's time is over. A
-// bound left from the first would cut the second's answer.
+// A second request arrives on a keep-alive connection after the first one's deadline. A write deadline
+// left from the first would cut the second response.
 func TestKeepAliveConnectionServesLaterRequests(t *testing.T) {
 	ro := onceOnly
 	ro.Timeout = 100 * time.Millisecond
@@ -283,8 +283,8 @@
 	}
 }
 
-// Before any configuration is known, and when what is known is old, nobody may be
-// told that a route or a key does not exist: it may just not have come through.
+// While the router has no configuration, or an outdated one, no caller may be told that a route or a
+// key does not exist: the update may not have arrived yet.
 func TestNotFoundRequiresFreshConfig(t *testing.T) {
 	fl := newFleet(t, respond(200, "ok"))
 	rs, _, err := fl.send("GET", "/r/x", "")
@@ -317,15 +317,15 @@
 	fl.expect(rs, err, 400, 0)
 }
 
-// The process is about to stop: answers tell callers to leave the connection, so that
-// none is cut later.
+// The process is about to stop: responses must ask callers to close their connections, so that none is
+// cut later.
 func TestDrainingRouterClosesCallerConnections(t *testing.T) {
 	fl := newFleet(t, respond(200, "ok")).configure(idempotent)
 	fl.shuttingDown = true
 	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, 200, 1)
 	if !rs.Close {
-		t.Error("the answer does not say that the connection closes")
+		t.Error("the response does not have Connection: close")
 	}
 }
 
@@ -335,12 +335,12 @@
 	rs, body, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, 503, 0)
 	if time.Since(began) > time.Second || !strings.Contains(body, string(core.ReasonNoEndpoint)) {
-		t.Errorf("after %s: %s", time.Since(began), body)
+		t.Errorf("refused after %s: %s", time.Since(began), body)
 	}
 }
 
-// Nothing listens where an endpoint is registered. Nothing was sent, so even a request
-// that must not repeat goes elsewhere.
+// Nothing listens at a registered endpoint's address. Since nothing was sent, even a non-idempotent
+// request must be sent to another endpoint.
 func TestUnreachableEndpointIsSkipped(t *testing.T) {
 	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
 	fl.re.Placer.Register(time.Now(), place.Endpoint{ID: "dead", Addr: "127.0.0.1:1", Pool: "pool", Zone: "a", Slots: 8})
@@ -351,9 +351,8 @@
 	}
 }
 
-// A caller asks for a long report, larger than the router keeps of an answer. The
-// request ran, so that an error in its place would lose the answer: it has to be
-// passed on as it comes.
+// A response is larger than the router's buffer. The request has run, and an error instead of the
+// response would lose it: the response must be forwarded as it arrives.
 func TestResponseLargerThanBufferArrivesWhole(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 200_000)
 	unframed := func(se *received, co net.Conn) bool {
@@ -374,8 +373,8 @@
 	}
 }
 
-// The endpoint breaks off in the middle of a long answer, of which the caller has the
-// beginning. It must not look whole.
+// The endpoint closes the connection in the middle of a long response, of which the caller already has
+// a part. The caller must see that it is truncated.
 func TestTruncatedLongResponseIsVisible(t *testing.T) {
 	part := strings.Repeat("x", 2<<20)
 	cut := func(se *received, co net.Conn) bool {
@@ -385,9 +384,9 @@
 	fl := newFleet(t, cut, cut).configure(idempotent)
 	_, body, err := fl.send("GET", "/r/x", "")
 	if err == nil {
-		t.Errorf("%d bytes look whole", len(body))
+		t.Errorf("no error after %d bytes of a truncated response", len(body))
 	}
 	if got := len(fl.requests()); got != 1 {
-		t.Errorf("sent %d times, though the caller has the beginning", got)
+		t.Errorf("sent %d times, although the caller had a part of the response", got)
 	}
 }
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -16,7 +16,7 @@
 	"almondrill/io/stats"
 )
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
 	re      *Relay
 	wr      http.ResponseWriter
@@ -24,7 +24,7 @@
 	control *http.ResponseController
 	id      string
 	began   time.Time
-	// deadline is when the caller, or the route, stops waiting.
+	// deadline is the earlier of the caller's and the route's.
 	deadline time.Time
 
 	table       *route.Table
@@ -33,51 +33,52 @@
 	pool        core.PoolID
 	promptParts []place.Part
 	body        []byte
-	// heldBytes is how many bytes of Relay.Memory it takes.
+	// heldBytes is how much of Relay.Memory the request has reserved.
 	heldBytes int64
-	// fingerprint tells that attempts of the caller are the same request.
+	// fingerprint is the same for all of the caller's attempts of a request.
 	fingerprint core.Fingerprint
 
-	// tried are the endpoints that failed the request or refused it.
+	// tried are the endpoints that have failed or refused the request.
 	tried []core.EndpointID
-	// sends counts the endpoints that the request was sent to.
+	// sends counts how often the request was sent to an endpoint.
 	sends int
-	// countAsked is set if an endpoint's calls were asked for, and told, before a choice.
+	// countAsked is set if another router reported an endpoint's calls in flight before the choice.
 	countAsked bool
-	// mayHaveRun is how an attempt ended that may have run, nil if none may have.
+	// mayHaveRun is the result of the last attempt that may have run, nil if there is none.
 	mayHaveRun *core.Refusal
-	// failure is what an endpoint answered when it failed the request.
+	// failure is the last failure response of an endpoint.
 	failure *failureResponse
-	// headSent is set once the caller has the answer's head, first when, status which.
+	// headSent is set once the response head, with this status, was written to the caller, at
+	// firstWrite.
 	headSent   bool
 	firstWrite time.Time
 	status     int
-	// lastEvent is the id of the last event that the caller has, wrote when it got
-	// something last, and gap the longest pause so far.
+	// lastEvent is the id of the last event that was written to the caller, lastWrite the time of
+	// the last write, and longestGap the longest time between two writes.
 	lastEvent  string
 	lastWrite  time.Time
 	longestGap time.Duration
 	ticket     *place.Ticket
-	// notice is what the last endpoint that answered announced.
+	// notice is that of the last response.
 	notice Notice
-	// reserved is reserved for the next attempt, nil if none is.
+	// reserved is the ticket reserved for the next attempt, nil if there is none.
 	reserved *place.Ticket
-	// lastSend is where it was sent last, for tellRunning.
+	// lastSend is read by logRunning.
 	lastSend atomic.Pointer[sendRecord]
 }
 
-// failureResponse is an endpoint's own answer that is no success.
+// failureResponse is an endpoint's response that reports a failure.
 type failureResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// maxDials bounds the endpoints that a request is offered to in vain: each costs
-// up to a dial's timeout.
+// maxDials bounds the attempts, including those that do not reach an endpoint: each of these takes
+// up to the dial timeout.
 const maxDials = 4
 
-// serve makes attempts until one ends the request.
+// serve makes attempts until one succeeds or no other is allowed.
 func (rq *request) serve(ctx context.Context) {
 	rq.re.Budget.RecordFirst(rq.began, rq.pool)
 	defer rq.releaseReserved()
@@ -109,7 +110,7 @@
 	}
 }
 
-// releaseReserved gives back what was reserved and is not needed.
+// releaseReserved releases the ticket reserved for an attempt that is not made.
 func (rq *request) releaseReserved() {
 	if rq.reserved != nil {
 		rq.reserved.Done(time.Now(), place.Neutral)
@@ -117,8 +118,8 @@
 	}
 }
 
-// chooseEndpoint picks the endpoint of the next attempt. Further ones than the first to run cost a
-// part of the budget.
+// chooseEndpoint sets the ticket of the next attempt. Attempts after the first send are charged to
+// the retry budget.
 func (rq *request) chooseEndpoint(ctx context.Context) *core.Refusal {
 	if rq.reserved != nil {
 		rq.ticket, rq.reserved = rq.reserved, nil
@@ -134,17 +135,17 @@
 	if rq.sends > 0 && !rq.re.Budget.TryExtra(time.Now(), rq.pool) {
 		tk.Done(time.Now(), place.Neutral)
 		rq.re.Stats.Refuse(core.ReasonRetryBudget)
-		return rq.notRun(core.ReasonRetryBudget, "retry", "the budget of further attempts is spent")
+		return rq.notRun(core.ReasonRetryBudget, "retry", "the retry budget is exhausted")
 	}
 	return nil
 }
 
-// maxGrantRequests bounds the cold endpoints that a request is tried to be granted for: each costs a
-// question of some milliseconds.
+// maxGrantRequests bounds how many cold endpoints' grants are requested for a request: each takes
+// some milliseconds.
 const maxGrantRequests = 3
 
-// pick chooses an endpoint. One that is cold needs a grant; without it the request goes
-// elsewhere.
+// pick chooses an endpoint. A cold one needs a grant. Once maxGrantRequests are denied, only warm
+// endpoints are considered.
 func (rq *request) pick(ctx context.Context, as *place.Request) (*place.Ticket, *core.Refusal) {
 	for range maxGrantRequests {
 		tk, rf := rq.re.Placer.Pick(time.Now(), as)
@@ -166,8 +167,9 @@
 	return rq.re.Placer.Pick(time.Now(), as)
 }
 
-// refreshCount learns how many calls the endpoint has that the choice would fall on. Where it
-// turns out to be full, the next is taken without another question.
+// refreshCount asks the other routers for the calls in flight of the endpoint that would be chosen,
+// if this router's count is uncertain. If the endpoint turns out to be full, the next one is chosen
+// without another query.
 func (rq *request) refreshCount(ctx context.Context, as *place.Request) {
 	if rq.re.Counts == nil {
 		return
@@ -182,7 +184,7 @@
 	}
 }
 
-// placementAsk is what the choice of an endpoint goes by.
+// placementAsk returns the criteria for choosing an endpoint.
 func (rq *request) placementAsk() *place.Request {
 	as := &place.Request{Pool: rq.pool, Parts: rq.promptParts, Tried: rq.tried}
 	if rq.customer != nil {
@@ -200,7 +202,7 @@
 	return as
 }
 
-// mayRetry tells whether another attempt does no harm and may help.
+// mayRetry reports whether another attempt is safe and worth making.
 func (rq *request) mayRetry(ctx context.Context, rf *core.Refusal, dials int) bool {
 	if ctx.Err() != nil || rq.hr.Context().Err() != nil || rq.connClosed() || dials+1 >= maxDials {
 		return false
@@ -214,7 +216,7 @@
 	return rq.route.MayRepeat() && (!rq.headSent || rq.lastEvent != "")
 }
 
-// finishServed ends a request whose answer was passed on whole.
+// finishServed records a request whose response was forwarded completely.
 func (rq *request) finishServed() {
 	now := time.Now()
 	rq.re.Stats.Answer(core.Whole)
@@ -227,7 +229,7 @@
 		zap.Duration("First", rq.firstWrite.Sub(rq.began)))...)
 }
 
-// finishFailed ends a request whose last attempt failed, or that found no endpoint.
+// finishFailed ends a request that has no response or an incomplete one.
 func (rq *request) finishFailed(rf *core.Refusal) {
 	if rq.hr.Context().Err() != nil {
 		rq.finishCallerGone()
@@ -237,7 +239,7 @@
 		rq.abortResponse(rf)
 	}
 	if rf.Outcome == core.NotRun && rq.mayHaveRun != nil {
-		// An earlier attempt may have run; that is what counts for the caller.
+		// The caller has to know that an earlier attempt may have run.
 		rf = rq.mayHaveRun
 	}
 	if rq.failure != nil && rf.Outcome != core.NotRun {
@@ -249,14 +251,14 @@
 
 func (rq *request) finishCallerGone() {
 	rq.re.Stats.Refuse(core.ReasonCallerGone)
-	rq.re.Log.Info("The caller left.", rq.logFields(zap.Duration("Took", time.Since(rq.began)))...)
+	rq.re.Log.Info("The caller disconnected.", rq.logFields(zap.Duration("Took", time.Since(rq.began)))...)
 	if rq.headSent {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// abortResponse breaks an answer off that has begun and will not be whole: the caller sees
-// its connection end before the answer does.
+// abortResponse ends a response of which the caller has only a part, by closing the caller's
+// connection.
 func (rq *request) abortResponse(rf *core.Refusal) {
 	rq.re.Stats.Refuse(rf.Reason)
 	rq.re.Stats.Answer(rf.Outcome)
@@ -265,7 +267,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// logFields are what decided where the request went.
+// logFields returns the fields that identify the request and explain the choice of its endpoint.
 func (rq *request) logFields(more ...zap.Field) []zap.Field {
 	fields := append(more, zap.String("Request", rq.id))
 	if rq.route != nil {
@@ -306,5 +308,5 @@
 }
 
 func (rq *request) logRetry(rf *core.Refusal) {
-	rq.re.Log.Info("Tries another endpoint.", rq.refusalFields(rf)...)
+	rq.re.Log.Info("Retrying the request at another endpoint.", rq.refusalFields(rf)...)
 }
--- a/io/relay/response.go
+++ b/io/relay/response.go
@@ -10,10 +10,10 @@
 	"almondrill/io/stats"
 )
 
-// writeGrace is how long after a request's end its caller may still take bytes.
+// writeGrace is how long after the request's deadline its response may still be written.
 const writeGrace = time.Second
 
-// writeHead writes the head of an endpoint's answer. Its length is -1 if unknown.
+// writeHead writes the head of an endpoint's response to the caller. The length is -1 if unknown.
 func (rq *request) writeHead(status int, from http.Header, length int64) {
 	rq.headSent = true
 	rq.status = status
@@ -31,21 +31,22 @@
 		hd.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	if hd.Get("Content-Type") == "" {
-		hd["Content-Type"] = nil // keeps the server from guessing one
+		hd["Content-Type"] = nil // disables content sniffing
 	}
-	// Without a bound, a caller that reads nothing holds the endpoint's place.
+	// Otherwise a caller that does not read occupies the endpoint's slot.
 	_ = rq.control.SetWriteDeadline(rq.deadline.Add(writeGrace))
 	rq.wr.WriteHeader(status)
 }
 
-// notRunStatuses are the statuses that tell a caller that its request did not run. An
-// endpoint that answers with one of them, but does not say so, has not promised.
+// notRunStatuses are the statuses by which callers know that their request did not run. An endpoint
+// that returns one of them without Dialect.NotRun may have run the request.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// forwardFailure passes an endpoint's failure on as it is.
+// forwardFailure writes the endpoint's own failure response, or a refusal in place of one whose
+// status would claim that the request did not run.
 func (rq *request) forwardFailure(rf *core.Refusal) {
 	if notRunStatuses[rq.failure.status] {
 		rq.refuse(rf)
@@ -54,12 +55,12 @@
 	rq.re.Stats.Refuse(rf.Reason)
 	rq.re.Stats.Answer(rf.Outcome)
 	rq.re.Latency.Note(stats.FailedMs, time.Since(rq.began))
-	rq.re.Log.Info("Passed an endpoint's failure on.", rq.refusalFields(rf)...)
+	rq.re.Log.Info("Forwarded an endpoint's failure response.", rq.refusalFields(rf)...)
 	rq.writeHead(rq.failure.status, rq.failure.header, int64(len(rq.failure.body)))
-	_, _ = rq.wr.Write(rq.failure.body) // a caller that left loses nothing by it
+	_, _ = rq.wr.Write(rq.failure.body) // fails only if the caller has disconnected
 }
 
-// refuse answers in the endpoint's place.
+// refuse writes the router's own error response.
 func (rq *request) refuse(rf *core.Refusal) {
 	status := statusOf(rf)
 	rq.re.Stats.Refuse(rf.Reason)
@@ -80,24 +81,24 @@
 	}{rf.Outcome.String(), string(rf.Reason), rf.Step, rf.Peer, rf.Detail}) // strings always marshal
 	hd.Set("Content-Length", strconv.Itoa(len(body)))
 	rq.wr.WriteHeader(status)
-	_, _ = rq.wr.Write(body) // a caller that left loses nothing by it
+	_, _ = rq.wr.Write(body) // fails only if the caller has disconnected
 }
 
-// retryAfter is when the caller may return, in seconds, spread so that those that
-// were refused together do not return together.
+// retryAfter returns the Retry-After value in seconds, with jitter, so that callers that were
+// refused at the same time do not retry at the same time.
 func (rq *request) retryAfter(rf *core.Refusal) string {
 	const maxSpread = 1.4
 	minSpread := 0.6
 	if rf.Reason == core.ReasonQuarantined || rf.Reason == core.ReasonBackoff {
-		minSpread = 1 // sooner it would be refused again
+		minSpread = 1 // an earlier retry would be refused again
 	}
 	after := max(defaultRetryAfter, rf.RetryAfter).Seconds()
 	spread := minSpread + (maxSpread-minSpread)*rq.re.Rand.Float64()
 	return strconv.FormatFloat(after*spread, 'f', 3, 64)
 }
 
-// statusOf is the status of a refusal. Where the request may have run, none that
-// promises the contrary is given.
+// statusOf returns the HTTP status of a refusal. If the request may have run, it is not one of
+// notRunStatuses.
 func statusOf(rf *core.Refusal) int {
 	switch {
 	case rf.Outcome == core.NotRun && rf.Status != 0:
--- a/io/relay/running_test.go
+++ b/io/relay/running_test.go
@@ -12,13 +12,12 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// A router loses power while it carries streams. Their callers hear nothing more, and the
-// lines that tell how requests ended are never written; the on-call engineer looks for a
-// request by its id and has to find router, endpoint and time all the same. Requests that
-// end soon are told once, at their end.
+// A router loses power while it forwards streams, so that the log lines of their ends are never
+// written. An on-call engineer who searches for a request by its id must still find the router, the
+// endpoint and the time. Short requests must be logged only once, when they end.
 func TestLongRunningRequestIsLogged(t *testing.T) {
 	core, lines := observer.New(zapcore.InfoLevel)
-	isRunning := func() []observer.LoggedEntry { return lines.FilterMessage("Is running.").All() }
+	isRunning := func() []observer.LoggedEntry { return lines.FilterMessage("A request is still running.").All() }
 	holdUntilTold := func(*received, net.Conn) bool {
 		for deadline := time.Now().Add(2 * time.Second); len(isRunning()) == 0 && time.Now().Before(deadline); {
 			time.Sleep(10 * time.Millisecond)
@@ -28,7 +27,7 @@
 	fl := newFleet(t, respond(http.StatusOK, "soon"), holdUntilTold)
 	fl.re.Log = zap.New(core)
 	fl.configure(onceOnly)
-	for len(isRunning()) == 0 && len(fl.requests()) < 20 { // until the second endpoint gets one
+	for len(isRunning()) == 0 && len(fl.requests()) < 20 { // until the second endpoint gets a request
 		_, _, _ = fl.send("POST", "/r/x", "")
 	}
 	running := isRunning()
--- a/io/relay/stall_test.go
+++ b/io/relay/silence_test.go
@@ -11,9 +11,9 @@
 	"almondrill/core/route"
 )
 
-// An engine is so busy that a stream pauses for longer than the router would wait, and no
-// other engine can take it over. Cut there, the caller loses an answer that was on its way;
-// the engine goes on, and so does the stream.
+// An engine is so busy that a stream pauses for longer than the stall timeout, and no other engine can
+// continue it. The router must keep waiting: the engine continues, and if the stream were cut, the
+// caller would lose the rest of it.
 func TestStalledStreamContinuesWithoutAlternative(t *testing.T) {
 	const pause = 1600 * time.Millisecond
 	slow := func(se *received, co net.Conn) bool {
@@ -42,14 +42,14 @@
 			rs, body, err := fl.send("POST", "/r/x", "hello")
 			fl.expect(rs, err, http.StatusOK, 1)
 			if body != eventText(1, 5) {
-				t.Errorf("the caller got %q", body)
+				t.Errorf("got %q, want all events", body)
 			}
 		})
 	}
 }
 
-// The only endpoint answers a request that may be repeated late, but in time. Given up
-// before, the caller gets an error in place of its answer.
+// The only endpoint responds to an idempotent request late, but before the deadline. If the router did
+// not wait, the caller would get an error instead.
 func TestSlowResponseIsAwaitedWithoutAlternative(t *testing.T) {
 	fl := newFleet(t, func(se *received, co net.Conn) bool {
 		time.Sleep(900 * time.Millisecond)
@@ -58,12 +58,12 @@
 	rs, body, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, http.StatusOK, 1)
 	if body != "late" {
-		t.Errorf("the caller got %q", body)
+		t.Errorf("got %q, want the late response", body)
 	}
 }
 
-// Room comes up elsewhere while a stream is silent: it goes on there, although there was
-// none when its patience ended.
+// Another endpoint becomes available while a stream is stalled: the stream must be resumed there,
+// although there was none when the stall timeout expired.
 func TestStalledStreamResumesWhenCapacityFrees(t *testing.T) {
 	fl := newFleet(t, silentAfterTwo, silentAfterTwo).configure(resumable)
 	second := place.Endpoint{ID: "e1", Addr: fl.addrs[1], Pool: "pool", Zone: "a", Slots: 8}
@@ -72,6 +72,6 @@
 	rs, body, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusOK, 2)
 	if body != eventText(1, 5) {
-		t.Errorf("the caller got %q", body)
+		t.Errorf("got %q, want all events", body)
 	}
 }
--- a/io/relay/stream.go
+++ b/io/relay/stream.go
@@ -14,7 +14,7 @@
 
 const (
 	readSize = 8 << 10
-	// maxEventSize bounds an event, which is held until it is whole.
+	// maxEventSize bounds an event, in bytes, which is buffered until it is complete.
 	maxEventSize = 1 << 20
 )
 
@@ -26,9 +26,8 @@
 	errEventTooLarge = errors.New("an event is larger than a megabyte")
 )
 
-// forwardStream passes events on, as many at a time as have arrived whole: an
-// endpoint may break off within one, and the stream then goes on elsewhere
-// behind the last whole one.
+// forwardStream forwards complete events only. If the endpoint fails within an event, the stream can
+// then be resumed at another endpoint after the last complete one.
 func (ex *exchange) forwardStream(ctx context.Context) (*core.Refusal, place.Result) {
 	buffer := readBuffers.Get().(*[readSize]byte)
 	defer readBuffers.Put(buffer)
@@ -58,7 +57,7 @@
 	}
 }
 
-// finishStream ends a stream that the endpoint ended properly.
+// finishStream forwards the rest of a stream that has ended without an error.
 func (ex *exchange) finishStream(rest []byte) (*core.Refusal, place.Result) {
 	if len(rest) > 0 || !ex.rq.headSent {
 		if err := ex.rq.forwardEvents(ex, rest); err != nil {
@@ -69,7 +68,7 @@
 	return nil, place.Served
 }
 
-// forwardEvents writes whole events to the caller at once.
+// forwardEvents writes complete events to the caller and flushes them.
 func (rq *request) forwardEvents(ex *exchange, events []byte) error {
 	if !rq.headSent {
 		rq.writeHead(ex.rs.StatusCode, ex.rs.Header, -1)
@@ -88,7 +87,7 @@
 	return rq.control.Flush()
 }
 
-// lastID is the id of the last event that bears one, "" if none does.
+// lastID returns the id of the last event that has one, "" if none has.
 func lastID(events []byte) string {
 	at := bytes.LastIndex(events, idField)
 	for at > 0 && events[at-1] != '\n' {
--- a/io/relay/stream_test.go
+++ b/io/relay/stream_test.go
@@ -18,7 +18,7 @@
 	resumable = route.Route{Kind: route.Stream, MaxAttempts: 2, GapGoal: 100 * time.Millisecond, Resumable: true}
 )
 
-// writeEvents writes a stream's head and some of its events in chunks.
+// writeEvents writes a stream's head and the events with these ids, in one chunk each.
 func writeEvents(se *received, co net.Conn, from, to int) {
 	_, _ = fmt.Fprintf(co, "HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s%d\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", se.endpoint)
 	for id := from; id <= to; id++ {
@@ -30,8 +30,7 @@
 
 func endChunks(co net.Conn) { _, _ = io.WriteString(co, "0\r\n\r\n") }
 
-// silentAfterTwo sends two events and falls silent; to whoever has these, it sends the
-// other three.
+// silentAfterTwo sends two events and then nothing. If resumed after these, it sends the other three.
 func silentAfterTwo(se *received, co net.Conn) bool {
 	if se.request.Header.Get("Last-Event-Id") == "2" {
 		writeEvents(se, co, 3, 5)
@@ -65,7 +64,7 @@
 	}
 }
 
-// Events are to reach the caller as they are made, not when the answer is over.
+// Events must reach the caller when they are produced, not at the end of the response.
 func TestEventsAreFlushedImmediately(t *testing.T) {
 	next := make(chan struct{})
 	fl := newFleet(t, func(se *received, co net.Conn) bool {
@@ -85,7 +84,7 @@
 	defer rs.Body.Close()
 	rd := bufio.NewReader(rs.Body)
 	if line, err := rd.ReadString('\n'); err != nil || line != "id: 1\n" {
-		t.Fatalf("%q %v before the second event was made", line, err)
+		t.Fatalf("%q %v before the second event was produced", line, err)
 	}
 	close(next)
 	rest, err := io.ReadAll(rd)
@@ -94,8 +93,8 @@
 	}
 }
 
-// An endpoint dies in the middle of an event. A stream that may not be resumed breaks
-// off; the caller must see that it is not whole.
+// An endpoint fails in the middle of a stream that is not resumable. The caller must see that the
+// stream is truncated, and must not get a partial event.
 func TestTruncatedStreamIsVisible(t *testing.T) {
 	for name, cut := range map[string]func(co net.Conn){
 		"between events":     func(net.Conn) {},
@@ -113,7 +112,7 @@
 		}).configure(stream)
 		_, body, err := fl.send("POST", "/r/x", "hello")
 		if err == nil {
-			t.Errorf("%s: looks whole: %q", name, body)
+			t.Errorf("%s: no error after a truncated stream: %q", name, body)
 		}
 		if strings.Contains(body, "da\n") || len(fl.requests()) != 1 {
 			t.Errorf("%s: %q after %d requests", name, body, len(fl.requests()))
@@ -121,8 +120,8 @@
 	}
 }
 
-// The same with a stream that may be resumed: another endpoint goes on behind the last
-// whole event, and the caller sees one stream without a gap or a repetition.
+// An endpoint fails in the middle of a resumable stream. Another endpoint must continue after the last
+// complete event, so that the caller gets one stream without gaps or duplicates.
 func TestBrokenStreamResumesElsewhere(t *testing.T) {
 	script := func(se *received, co net.Conn) bool {
 		if last := se.request.Header.Get("Last-Event-Id"); last == "3" {
@@ -130,7 +129,7 @@
 			endChunks(co)
 			return true
 		} else if last != "" {
-			t.Errorf("resumed behind %s, want 3", last)
+			t.Errorf("resumed after event %s, want 3", last)
 		}
 		writeEvents(se, co, 1, 3)
 		writeChunk(co, "id: 4\nda")
@@ -141,15 +140,15 @@
 	rs, body, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, 200, 2)
 	if body != eventText(1, 9) {
-		t.Errorf("the caller got %q", body)
+		t.Errorf("got %q, want all events", body)
 	}
 	if first := fl.requests()[0].endpoint; rs.Header.Get("X-Stamp") != fmt.Sprint("s", first) {
 		t.Errorf("stamp %s, want that of the first endpoint, %d", rs.Header.Get("X-Stamp"), first)
 	}
 }
 
-// An endpoint falls silent within a stream, its connection open. The stream goes on
-// elsewhere before the caller gives up, and the first endpoint is stopped.
+// An endpoint stops sending within a stream, without closing the connection. The stream must be
+// resumed elsewhere before the caller gives up, and the first endpoint's connection must be closed.
 func TestStalledStreamResumesElsewhere(t *testing.T) {
 	fl := newFleet(t, silentAfterTwo, silentAfterTwo).configure(resumable)
 	began := time.Now()
@@ -161,8 +160,7 @@
 	waitClosed(t, fl.requests()[0])
 }
 
-// A caller resumes a stream itself after its connection broke; where it stopped is
-// passed on.
+// A caller resumes a stream after its own connection failed: its last event id must be forwarded.
 func TestCallerResumptionIsForwarded(t *testing.T) {
 	fl := newFleet(t, func(se *received, co net.Conn) bool {
 		writeEvents(se, co, 8, 9)
@@ -175,8 +173,8 @@
 	}
 }
 
-// An answer without a length ends with its connection; it is whole if that closes in
-// order.
+// A response without a length ends with its connection. It is complete if the connection is closed
+// normally.
 func TestUnframedStreamEndsWithItsConnection(t *testing.T) {
 	fl := newFleet(t, func(se *received, co net.Conn) bool {
 		_, _ = fmt.Fprintf(co, "HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s0\r\nContent-Type: text/event-stream\r\n\r\n%s", eventText(1, 3))
@@ -188,7 +186,7 @@
 	}
 }
 
-// The route's time is over in the middle of a stream.
+// The route's timeout expires in the middle of a stream.
 func TestRouteTimeoutDuringStream(t *testing.T) {
 	ro := stream
 	ro.Timeout = 300 * time.Millisecond
@@ -200,7 +198,7 @@
 	began := time.Now()
 	_, body, err := fl.send("POST", "/r/x", "")
 	if err == nil || body != eventText(1, 2) || time.Since(began) > time.Second {
-		t.Errorf("%q, %v after %s; want two events and a broken connection", body, err, time.Since(began))
+		t.Errorf("%q, %v after %s; want two events and a closed connection", body, err, time.Since(began))
 	}
 	waitClosed(t, fl.requests()[0])
 }
--- a/io/relay/withdrawn_test.go
+++ b/io/relay/withdrawn_test.go
@@ -14,8 +14,8 @@
 	"almondrill/io/relay"
 )
 
-// beforeSending serves callers through the relay, and calls the hook when a request has its
-// endpoint and connection, right before it is sent.
+// beforeSending makes the router call the hook when a request has its endpoint and connection, right
+// before it is sent.
 func (fl *fleet) beforeSending(hook func()) {
 	front := httptest.NewUnstartedServer(fl.re)
 	front.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
@@ -30,8 +30,8 @@
 	fl.front = front
 }
 
-// Guards against a request that is sent on a choice made before its zone was evacuated or its
-// endpoint drained: it goes elsewhere, also where it must not repeat.
+// Guards against a request that is sent to an endpoint that was chosen before its zone was evacuated
+// or it began to drain: the request must go elsewhere, even if it is not idempotent.
 func TestRequestIsNotSentOnStalePlacement(t *testing.T) {
 	for name, change := range map[string]func(pl *place.Placer){
 		"evacuated": func(pl *place.Placer) { pl.Evacuate(time.Now(), "a", time.Now()) },
@@ -55,14 +55,14 @@
 			rs, body, err := fl.send("POST", "/r/x", "hello")
 			fl.expect(rs, err, http.StatusOK, 1)
 			if body != "zone b" {
-				t.Errorf("the caller got %q", body)
+				t.Errorf("got %q, want the response of zone b", body)
 			}
 		})
 	}
 }
 
-// Guards against a caller that is told a wrong outcome, or waits, when nothing is left to send
-// its request to: refused at once, as not run, for the evacuation.
+// Guards against a wrong outcome, or a wait, when no endpoint is left for a request: it must be refused
+// at once, as not run, because of the evacuation.
 func TestRequestIsRefusedAfterEvacuation(t *testing.T) {
 	fl := newFleet(t, respond(http.StatusOK, "ok")).configure(onceOnly)
 	fl.beforeSending(func() { fl.re.Placer.Evacuate(time.Now(), "a", time.Now()) })
@@ -70,6 +70,6 @@
 	rs, body, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 	if !strings.Contains(body, string(core.ReasonEvacuated)) || rs.Header.Get("Retry-After") == "" || time.Since(began) > time.Second {
-		t.Errorf("after %s: %s", time.Since(began), body)
+		t.Errorf("refused after %s: %s", time.Since(began), body)
 	}
 }
