--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -83,7 +83,7 @@
 	}
 	ex.received()
 	ex.handleNotice()
-	if calls, told := ex.rq.re.Dialect.Calls(ex.rs.Header); told {
+	if calls, reported := ex.rq.re.Dialect.Calls(ex.rs.Header); reported {
 		ex.tk.RecordLoad(time.Now(), calls)
 		if counts := ex.rq.re.Counts; counts != nil {
 			counts.ReportInFlight(ex.tk.Hash, calls)
@@ -152,17 +152,17 @@
 // handleFailure keeps an endpoint's failure response, to be forwarded if no other attempt succeeds.
 // One that is too large to be buffered is forwarded at once.
 func (ex *exchange) handleFailure(ctx context.Context) (*core.Refusal, place.Result) {
-	body, whole, err := ex.readBuffered()
+	body, complete, err := ex.readBuffered()
 	if err != nil {
 		return ex.classifyError(ctx, "read", err)
 	}
-	if !whole && !ex.rq.headSent && !notRunStatuses[ex.rs.StatusCode] {
+	if !complete && !ex.rq.headSent && !notRunStatuses[ex.rs.StatusCode] {
 		return ex.forwardUnbuffered(ctx, body, place.Failed)
 	}
-	if whole {
+	if complete {
 		ex.returnConn()
 	}
-	if whole && !ex.rq.headSent {
+	if complete && !ex.rq.headSent {
 		ex.rq.failure = &failureResponse{status: ex.rs.StatusCode, header: ex.rs.Header, body: body}
 	}
 	rf := ex.refusal(core.Failed, core.ReasonEndpointError, "read", errors.New(ex.rs.Status))
@@ -176,11 +176,11 @@
 // forwardBuffered reads the complete response before it forwards it, so that the request can be
 // retried if the response ends early. One that is too large is forwarded as it arrives.
 func (ex *exchange) forwardBuffered(ctx context.Context) (*core.Refusal, place.Result) {
-	body, whole, err := ex.readBuffered()
+	body, complete, err := ex.readBuffered()
 	if err != nil {
 		return ex.classifyError(ctx, "read", err)
 	}
-	if !whole {
+	if !complete {
 		return ex.forwardUnbuffered(ctx, body, place.Served)
 	}
 	ex.returnConn()
@@ -224,7 +224,7 @@
 
 // readBuffered reads up to maxBuffered bytes of a response, or fewer if Relay.Memory is exhausted.
 // whole reports whether the response ended there.
-func (ex *exchange) readBuffered() (body []byte, whole bool, err error) {
+func (ex *exchange) readBuffered() (body []byte, complete bool, err error) {
 	body, err = ex.rq.readBounded(io.LimitReader(ex.rs.Body, maxBuffered+1), -1)
 	if errors.Is(err, errNoMemory) {
 		return body, false, nil
@@ -235,7 +235,7 @@
 // drainBody reads the rest of a response that is not forwarded, so that its connection can be
 // reused.
 func (ex *exchange) drainBody(ctx context.Context) {
-	if _, whole, err := ex.readBuffered(); whole && err == nil && ctx.Err() == nil {
+	if _, complete, err := ex.readBuffered(); complete && err == nil && ctx.Err() == nil {
 		ex.returnConn()
 	}
 }
--- a/io/relay/blame_test.go
+++ b/io/relay/blame_test.go
@@ -14,8 +14,8 @@
 	"almondrill/core/route"
 )
 
-// fakeCrashWatch records what a relay reports, and allows a number of sends.
-type fakeCrashWatch struct {
+// fakeCrashDetector records what a relay reports, and allows a number of sends.
+type fakeCrashDetector struct {
 	mu         sync.Mutex // guards all below
 	allowed    int
 	retryAfter time.Duration
@@ -24,32 +24,32 @@
 	ended      []core.Fingerprint
 }
 
-func (bl *fakeCrashWatch) Allowed(context.Context, core.Fingerprint) (bool, time.Duration) {
+func (bl *fakeCrashDetector) Allowed(context.Context, core.Fingerprint) (bool, time.Duration) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.allowed--
 	return bl.allowed >= 0, bl.retryAfter
 }
 
-func (bl *fakeCrashWatch) Succeeded(fp core.Fingerprint) {
+func (bl *fakeCrashDetector) Succeeded(fp core.Fingerprint) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.ended = append(bl.ended, fp)
 }
 
-func (bl *fakeCrashWatch) Interrupted(en core.EndpointRef, _ time.Time, _ core.Fingerprint) {
+func (bl *fakeCrashDetector) Interrupted(en core.EndpointRef, _ time.Time, _ core.Fingerprint) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.broken = append(bl.broken, en.ID)
 }
 
-func (bl *fakeCrashWatch) ConnRefused(en core.EndpointRef) {
+func (bl *fakeCrashDetector) ConnRefused(en core.EndpointRef) {
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	bl.refused = append(bl.refused, en.ID)
 }
 
-func (*fakeCrashWatch) Crashed(uint64, core.Fingerprint) {}
+func (*fakeCrashDetector) Crashed(uint64, core.Fingerprint) {}
 
 func crashing(*received, net.Conn) bool { return false }
 
@@ -58,7 +58,7 @@
 // would only be refused again.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	fl := newFleet(t, respond(200, "x")).configure(route.Route{Kind: route.OnceOnly})
-	fl.re.Crashes = &fakeCrashWatch{retryAfter: 20 * time.Second}
+	fl.re.Crashes = &fakeCrashDetector{retryAfter: 20 * time.Second}
 	for range 20 {
 		rs, body, err := fl.send("POST", "/r/x", "b")
 		fl.expect(rs, err, http.StatusServiceUnavailable, 0)
@@ -76,7 +76,7 @@
 // another endpoint, and the caller must not be told that it did not run.
 func TestQuarantineAppliesBetweenAttempts(t *testing.T) {
 	fl := newFleet(t, crashing, crashing).configure(route.Route{Kind: route.Idempotent, MaxAttempts: 2})
-	bl := &fakeCrashWatch{allowed: 1}
+	bl := &fakeCrashDetector{allowed: 1}
 	fl.re.Crashes = bl
 	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, http.StatusBadGateway, 1)
@@ -87,7 +87,7 @@
 
 // Only a complete success clears a request of suspicion. A failure response does not, since endpoints
 // also fail requests that they have barely started, and neither does a refusal or a closed connection.
-func TestOutcomesReportedToCrashWatch(t *testing.T) {
+func TestOutcomesReportedToCrashDetector(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		script        script
@@ -103,7 +103,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			fl := newFleet(t, tc.script).configure(route.Route{Kind: route.OnceOnly})
-			bl := &fakeCrashWatch{allowed: 9}
+			bl := &fakeCrashDetector{allowed: 9}
 			fl.re.Crashes = bl
 			rs, _, err := fl.send("POST", "/r/x", "b")
 			fl.expect(rs, err, tc.status, 1)
@@ -122,7 +122,7 @@
 func TestLongFailureIsForwardedWhole(t *testing.T) {
 	long := strings.Repeat("x", 3<<20)
 	fl := newFleet(t, respond(500, long)).configure(route.Route{Kind: route.OnceOnly})
-	bl := &fakeCrashWatch{allowed: 9}
+	bl := &fakeCrashDetector{allowed: 9}
 	fl.re.Crashes = bl
 	rs, body, err := fl.send("POST", "/r/x", "b")
 	fl.expect(rs, err, http.StatusInternalServerError, 1)
--- a/io/relay/counts_test.go
+++ b/io/relay/counts_test.go
@@ -80,7 +80,7 @@
 	if len(ke.asked) != 1 {
 		t.Fatalf("asked for the counts of %v, want one engine", ke.asked)
 	}
-	if _, told := ke.reported[ke.asked[0]]; told || len(ke.reported) != 1 {
+	if _, reported := ke.reported[ke.asked[0]]; reported || len(ke.reported) != 1 {
 		t.Errorf("counts reported by %v, want only the engine that was not asked about", ke.reported)
 	}
 }
--- a/io/relay/forward_test.go
+++ b/io/relay/forward_test.go
@@ -75,14 +75,14 @@
 // not read it yet. If the request were sent, an endpoint would run it in vain.
 func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	fl := newFleet(t, respond(200, "ok")).configure(onceOnly)
-	left := httptest.NewUnstartedServer(fl.re)
-	left.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
+	server := httptest.NewUnstartedServer(fl.re)
+	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
 		return relay.WithConnClosed(ctx, func() bool { return true })
 	}
-	left.Start()
-	t.Cleanup(left.Close)
+	server.Start()
+	t.Cleanup(server.Close)
 	fl.front.Close()
-	fl.front = left
+	fl.front = server
 	rs, _, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 }
--- a/io/relay/grants_test.go
+++ b/io/relay/grants_test.go
@@ -13,15 +13,15 @@
 	"almondrill/core/route"
 )
 
-// fakeGrants grants a number of requests per endpoint, and counts the queries.
-type fakeGrants struct {
+// fakeRateLimiter grants a number of requests per endpoint, and counts the queries.
+type fakeRateLimiter struct {
 	perEndpoint int
 
 	mu    sync.Mutex // guards asked
 	asked map[uint64]int
 }
 
-func (gr *fakeGrants) Grant(_ context.Context, endpoint uint64, _ int) (bool, time.Duration) {
+func (gr *fakeRateLimiter) Grant(_ context.Context, endpoint uint64, _ int) (bool, time.Duration) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	if gr.asked == nil {
@@ -45,7 +45,7 @@
 // for a denied endpoint must not be requested again at once.
 func TestRequestsDeniedByColdEndpointGoElsewhere(t *testing.T) {
 	fl := newFleet(t, respond(http.StatusOK, "cold"), respond(http.StatusOK, "warm")).configurePool(onceOnly, coldPool)
-	gr := &fakeGrants{perEndpoint: 2}
+	gr := &fakeRateLimiter{perEndpoint: 2}
 	fl.re.Grants = gr
 	fl.makeCold(0)
 	served := map[string]int{}
@@ -70,7 +70,7 @@
 // refused at once, as not run.
 func TestRequestIsRefusedWhenAllEndpointsAreCold(t *testing.T) {
 	fl := newFleet(t, respond(http.StatusOK, "a"), respond(http.StatusOK, "b")).configurePool(onceOnly, coldPool)
-	fl.re.Grants = &fakeGrants{}
+	fl.re.Grants = &fakeRateLimiter{}
 	fl.makeCold(0)
 	fl.makeCold(1)
 	began := time.Now()
--- a/io/relay/notice_test.go
+++ b/io/relay/notice_test.go
@@ -132,12 +132,12 @@
 		})
 	}
 	all.Wait()
-	if got := ke.drainReports(); got != 1 {
+	if got := ke.drainingReports(); got != 1 {
 		t.Errorf("the endpoint was reported %d times, want once", got)
 	}
 }
 
-func (ke *fakeCounts) drainReports() int {
+func (ke *fakeCounts) drainingReports() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return len(ke.draining)
