--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -223,7 +223,7 @@
 }
 
 // readBuffered reads up to maxBuffered bytes of a response, or fewer if Relay.Memory is exhausted.
-// whole reports whether the response ended there.
+// complete reports whether the response ended there.
 func (ex *exchange) readBuffered() (body []byte, complete bool, err error) {
 	body, err = ex.rq.readBounded(io.LimitReader(ex.rs.Body, maxBuffered+1), -1)
 	if errors.Is(err, errNoMemory) {
--- a/io/relay/notice_test.go
+++ b/io/relay/notice_test.go
@@ -46,8 +46,8 @@
 // renewed, or expired and was registered again.
 func TestDrainingEndpointGetsNoNewRequests(t *testing.T) {
 	for name, ca := range map[string]struct {
-		answer string
-		change func(fl *fleet)
+		response string
+		change   func(fl *fleet)
 	}{
 		"success": {drainingReply(200, ""), func(*fleet) {}},
 		"failure": {drainingReply(500, ""), func(*fleet) {}},
@@ -59,7 +59,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fl := newFleet(t, respondWith(func(se *received) string { return fmt.Sprintf(ca.answer, se.request.Header.Get("X-Id")) })).configure(onceOnly)
+			fl := newFleet(t, respondWith(func(se *received) string { return fmt.Sprintf(ca.response, se.request.Header.Get("X-Id")) })).configure(onceOnly)
 			fl.addrs = append(fl.addrs, fl.startEndpoint(1, respond(200, "other")))
 			_, _, err := fl.send("POST", "/r/x", "hello")
 			if err != nil {
--- a/io/relay/refused_test.go
+++ b/io/relay/refused_test.go
@@ -83,22 +83,22 @@
 		{"own 429, chunked", true, respondWith(func(se *received) string {
 			return "HTTP/1.1 429 X\r\nX-Id: " + se.request.Header.Get("X-Id") + "\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n"
 		})},
-		{"own 503 that ends with its connection", true, thenClose(respondWith(func(se *received) string {
+		{"own 503 without a length", true, thenClose(respondWith(func(se *received) string {
 			return "HTTP/1.1 503 X\r\nX-Id: " + se.request.Header.Get("X-Id") + "\r\n" + stamped + "\r\nbusy"
 		}))},
-		{"own 503 that breaks off", true, thenClose(text(503, "Content-Length: 9\r\n\r\nbusy"))},
+		{"own 503, truncated", true, thenClose(text(503, "Content-Length: 9\r\n\r\nbusy"))},
 		{"own 503 after the caller's deadline", true, delayed(lateDelay, respondWithHead(503, stamped, "late"))},
 		{"not run, 503", false, respondWithHead(503, notRun, "")},
 		{"not run, 429", false, respondWithHead(429, notRun, "full")},
-		{"not run, and breaks off", false, thenClose(text(503, notRun+"Content-Length: 9\r\n\r\nfull"))},
+		{"not run, truncated", false, thenClose(text(503, notRun+"Content-Length: 9\r\n\r\nfull"))},
 		{"another endpoint", false, respondWithHead(421, "", "")},
 		{"not run, of another request", true, text(503, "X-Id: other\r\n"+notRun+"Content-Length: 0\r\n\r\n")},
-		{"broken off before the answer", true, closeConn},
-		{"reset before the answer", true, resetConn},
-		{"broken off in the status line", true, thenClose(respondWith(func(*received) string { return "HTTP/1.1 50" }))},
-		{"broken off in the head", true, thenClose(text(503, "X-Not-Run: 1\r\nX-Id"))},
-		{"broken off in the body", true, thenClose(text(200, stamped+"Content-Length: 9\r\n\r\nok"))},
-		{"no answer in the protocol", true, thenClose(respondWith(func(*received) string { return "\x00\x01\x02 nonsense\r\n\r\n" }))},
+		{"closed before the response", true, closeConn},
+		{"reset before the response", true, resetConn},
+		{"closed within the status line", true, thenClose(respondWith(func(*received) string { return "HTTP/1.1 50" }))},
+		{"closed within the head", true, thenClose(text(503, "X-Not-Run: 1\r\nX-Id"))},
+		{"closed within the body", true, thenClose(text(200, stamped+"Content-Length: 9\r\n\r\nok"))},
+		{"not an HTTP response", true, thenClose(respondWith(func(*received) string { return "\x00\x01\x02 nonsense\r\n\r\n" }))},
 		{"silent", true, delayed(lateDelay, closeConn)},
 	}
 }
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	if left, err := strconv.Atoi(se.request.Header.Get("X-Wait")); err != nil || left > 900 || left < 500 {
-		t.Errorf("deadline %q, want what is left of 900", se.request.Header.Get("X-Wait"))
+		t.Errorf("deadline %q, want the rest of 900", se.request.Header.Get("X-Wait"))
 	}
 }
 
--- a/io/relay/stream_test.go
+++ b/io/relay/stream_test.go
@@ -97,12 +97,12 @@
 // stream is truncated, and must not get a partial event.
 func TestTruncatedStreamIsVisible(t *testing.T) {
 	for name, cut := range map[string]func(co net.Conn){
-		"between events":     func(net.Conn) {},
-		"within an event":    func(co net.Conn) { writeChunk(co, "id: 4\nda") },
-		"within a chunk":     func(co net.Conn) { _, _ = io.WriteString(co, "ff\r\nid: 4\n") },
-		"before the end":     func(co net.Conn) { _, _ = io.WriteString(co, "0\r\n") },
-		"with nonsense":      func(co net.Conn) { _, _ = io.WriteString(co, "what?\r\n") },
-		"reset by the other": func(co net.Conn) { _ = co.(*net.TCPConn).SetLinger(0) },
+		"between events":        func(net.Conn) {},
+		"within an event":       func(co net.Conn) { writeChunk(co, "id: 4\nda") },
+		"within a chunk":        func(co net.Conn) { _, _ = io.WriteString(co, "ff\r\nid: 4\n") },
+		"before the end":        func(co net.Conn) { _, _ = io.WriteString(co, "0\r\n") },
+		"with nonsense":         func(co net.Conn) { _, _ = io.WriteString(co, "what?\r\n") },
+		"reset by the endpoint": func(co net.Conn) { _ = co.(*net.TCPConn).SetLinger(0) },
 	} {
 		fl := newFleet(t, func(se *received, co net.Conn) bool {
 			writeEvents(se, co, 1, 3)
