--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -125,7 +125,7 @@
 		rq.ticket, rq.reserved = rq.reserved, nil
 		return nil
 	}
-	as := rq.placementAsk()
+	as := rq.placementRequest()
 	rq.refreshCount(ctx, as)
 	tk, rf := rq.pick(ctx, as)
 	if rf != nil {
@@ -184,8 +184,8 @@
 	}
 }
 
-// placementAsk returns the criteria for choosing an endpoint.
-func (rq *request) placementAsk() *place.Request {
+// placementRequest returns the criteria for choosing an endpoint.
+func (rq *request) placementRequest() *place.Request {
 	as := &place.Request{Pool: rq.pool, Parts: rq.promptParts, Tried: rq.tried}
 	if rq.customer != nil {
 		as.Customer = rq.customer.ID
--- a/io/relay/silence.go
+++ b/io/relay/silence.go
@@ -101,7 +101,7 @@
 // has free capacity or the retry budget is exhausted. It runs concurrently with the request's own
 // goroutine, which does not change the fields read here during an attempt.
 func (rq *request) reserve(current *place.Ticket) *place.Ticket {
-	as := rq.placementAsk()
+	as := rq.placementRequest()
 	as.Tried = append(slices.Clone(rq.tried), current.Endpoint.ID)
 	as.HealthyOnly = true
 	now := time.Now()
