--- a/io/relay/grants_test.go
+++ b/io/relay/grants_test.go
@@ -13,15 +13,15 @@
 	"almondrill/core/route"
 )
 
-// fakeGrants grants that many requests to each endpoint, and counts what it was asked.
-type fakeGrants struct {
+// fakeRateLimiter grants a number of requests per endpoint, and counts the queries.
+type fakeRateLimiter struct {
 	perEndpoint int
 
 	mu    sync.Mutex // guards asked
 	asked map[uint64]int
 }
 
-func (gr *fakeGrants) Grant(_ context.Context, endpoint uint64, _ int) (bool, time.Duration) {
+func (gr *fakeRateLimiter) Grant(_ context.Context, endpoint uint64, _ int) (bool, time.Duration) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	if gr.asked == nil {
@@ -33,7 +33,7 @@
 
 var coldPool = route.Pool{ID: "pool", Engine: true, ColdDuration: time.Minute, ColdRate: 100}
 
-// makeCold makes an endpoint of a fleet cold.
+// makeCold registers an endpoint as cold for a minute.
 func (fl *fleet) makeCold(ix int) {
 	fl.re.Placer.Register(time.Now(), place.Endpoint{
 		ID: core.EndpointID(fmt.Sprint("e", ix)), Addr: fl.addrs[ix], Pool: "pool", Zone: "a", Slots: 8,
@@ -41,11 +41,11 @@
 	})
 }
 
-// Guards against requests to a cold endpoint that were not granted: they go to a warm one,
-// and a denied endpoint is not asked for again at once.
+// Guards against requests to a cold endpoint without a grant: they must go to a warm one, and grants
+// for a denied endpoint must not be requested again at once.
 func TestRequestsDeniedByColdEndpointGoElsewhere(t *testing.T) {
 	fl := newFleet(t, respond(http.StatusOK, "cold"), respond(http.StatusOK, "warm")).configurePool(onceOnly, coldPool)
-	gr := &fakeGrants{perEndpoint: 2}
+	gr := &fakeRateLimiter{perEndpoint: 2}
 	fl.re.Grants = gr
 	fl.makeCold(0)
 	served := map[string]int{}
@@ -57,26 +57,26 @@
 		served[body]++
 	}
 	if served["cold"] > 2 || served["warm"] < 10 {
-		t.Errorf("served by %v, 2 requests are granted to the cold endpoint", served)
+		t.Errorf("served by %v, want at most 2 requests at the cold endpoint", served)
 	}
 	for endpoint, asked := range gr.asked {
 		if asked > 3 {
-			t.Errorf("endpoint %x was asked for %d times after it had been denied for a minute", endpoint, asked)
+			t.Errorf("endpoint %x: %d grants requested, although it was denied for a minute", endpoint, asked)
 		}
 	}
 }
 
-// Guards against callers that wait where all endpoints are cold and none is granted: they are
+// Guards against callers that wait when all endpoints are cold and none is granted: they must be
 // refused at once, as not run.
 func TestRequestIsRefusedWhenAllEndpointsAreCold(t *testing.T) {
 	fl := newFleet(t, respond(http.StatusOK, "a"), respond(http.StatusOK, "b")).configurePool(onceOnly, coldPool)
-	fl.re.Grants = &fakeGrants{}
+	fl.re.Grants = &fakeRateLimiter{}
 	fl.makeCold(0)
 	fl.makeCold(1)
 	began := time.Now()
 	rs, _, err := fl.send("POST", "/r/x", "hello")
 	fl.expect(rs, err, http.StatusServiceUnavailable, 0)
 	if rs.Header.Get("Retry-After") == "" || time.Since(began) > time.Second {
-		t.Errorf("after %s, to return after %q", time.Since(began), rs.Header.Get("Retry-After"))
+		t.Errorf("refused after %s with Retry-After %q", time.Since(began), rs.Header.Get("Retry-After"))
 	}
 }
