--- a/io/gossip/announce_test.go
+++ b/io/gossip/announce_test.go
@@ -8,13 +8,13 @@
 func TestFewRoutersAnnounce(t *testing.T) {
 	const count, want = 12, 8
 	all := meet(t, count)
-	announcing := func() (some []*router) {
+	announcing := func() (announcers []*router) {
 		for _, ro := range all {
 			if ro.ShouldAnnounce() {
-				some = append(some, ro)
+				announcers = append(announcers, ro)
 			}
 		}
-		return some
+		return announcers
 	}
 	first := announcing()
 	if len(first) != want {
--- a/io/gossip/counts_test.go
+++ b/io/gossip/counts_test.go
@@ -75,23 +75,23 @@
 // does not come, nor each of them: after the first, the router goes by what it believes.
 func TestLostOwnerDelaysFewRequests(t *testing.T) {
 	const timeout = 5 * time.Millisecond
-	alone := start(t, 0)
+	ro := start(t, 0)
 	lost, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lost.Close()
-	hello := []byte("\xa1\x01\x01") // it knows revision 1
+	datagram := []byte("\xa1\x01\x01") // it knows revision 1
 	eventually(t, "the keeper is heard once", func() bool {
-		_, _ = lost.WriteTo(hello, alone.address(t))
-		return alone.Live() == 1
+		_, _ = lost.WriteTo(datagram, ro.address(t))
+		return ro.Live() == 1
 	})
 	time.Sleep(2 * tickInterval) // it counts as a keeper from the next tick
 	ctx := context.Background()
 	waited := 0
 	for endpoint := range uint64(100) {
 		began := time.Now()
-		if _, known := alone.InFlight(ctx, endpoint); known {
+		if _, known := ro.InFlight(ctx, endpoint); known {
 			t.Fatal("a count is known that nobody told")
 		}
 		if time.Since(began) >= timeout {
@@ -167,14 +167,14 @@
 	for _, pc := range all {
 		go func() { received <- receivesMove(pc, time.Now().Add(8*time.Second)) }()
 	}
-	count := 0
+	receivers := 0
 	for range all {
 		if <-received {
-			count++
+			receivers++
 		}
 	}
-	if count < peers {
-		t.Errorf("%d of %d peers heard of the move", count, peers)
+	if receivers < peers {
+		t.Errorf("%d of %d peers heard of the move", receivers, peers)
 	}
 }
 
--- a/io/gossip/down_test.go
+++ b/io/gossip/down_test.go
@@ -28,7 +28,7 @@
 		ro.Placer.Register(time.Now(), place.Endpoint{ID: "e2", Addr: "127.0.0.1:2", Pool: "pool", Slots: 8})
 	}
 	endpoint := core.EndpointID("e2")
-	chosen := func() int {
+	timesChosen := func() int {
 		count := 0
 		for _, ro := range all {
 			for range 20 {
@@ -44,13 +44,13 @@
 		}
 		return count
 	}
-	if chosen() == 0 {
+	if timesChosen() == 0 {
 		t.Fatal("nobody chooses the endpoint before it is lost: the test shows nothing")
 	}
 	all[0].ReportDown(place.EndpointHash(endpoint, 0))
-	eventually(t, "nobody chooses the lost endpoint", func() bool { return chosen() == 0 })
+	eventually(t, "nobody chooses the lost endpoint", func() bool { return timesChosen() == 0 })
 	for began := time.Now(); time.Since(began) < 4*place.UnreachableTTL; time.Sleep(50 * time.Millisecond) {
-		if got := chosen(); got > 0 {
+		if got := timesChosen(); got > 0 {
 			t.Fatalf("chosen %d times again after %s, though it is still lost", got, time.Since(began))
 		}
 	}
@@ -59,7 +59,7 @@
 	}
 	lost.Store(false)
 	time.Sleep(4 * time.Second) // the keeper's next look
-	if chosen() == 0 {
+	if timesChosen() == 0 {
 		t.Error("nobody chooses the endpoint after its return")
 	}
 }
--- a/io/gossip/fetch.go
+++ b/io/gossip/fetch.go
@@ -141,14 +141,14 @@
 // the own first listing waits for a store that is silent: a peer's answer is the first to
 // come then.
 func (gr *Group) fetchUpdates(ctx context.Context) {
-	own := gr.Mirror.AsOf()
-	if own == 0 && !gr.Feed.Unresponsive() {
+	ownRev := gr.Mirror.AsOf()
+	if ownRev == 0 && !gr.Feed.Unresponsive() {
 		// The own listing is on its way. Where hundreds start at once, the first that
 		// knows anything would be asked for all of it by all others.
 		return
 	}
-	addr, confirmed := gr.pickAhead(own)
-	after := own
+	addr, confirmed := gr.pickAhead(ownRev)
+	after := ownRev
 	if addr == "" {
 		addr, confirmed = gr.pickAheadInConfig()
 		after = 0
@@ -174,7 +174,7 @@
 //
 // It is drawn among all that are ahead: hundreds of routers that have just started would all ask
 // the one that knows most, whose link could not serve them within fetchTimeout.
-func (gr *Group) pickAhead(own core.Version) (string, time.Time) {
+func (gr *Group) pickAhead(ownRev core.Version) (string, time.Time) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	if gr.fetching {
@@ -182,7 +182,7 @@
 	}
 	var candidates []string
 	for addr, me := range gr.members {
-		if me.asOf > own && gr.membership.Alive(addr) {
+		if me.asOf > ownRev && gr.membership.Alive(addr) {
 			candidates = append(candidates, addr)
 		}
 	}
@@ -212,7 +212,7 @@
 // pickAheadInConfig is ahead for a peer with a later configuration in force. This router may know as
 // much of the store, which came back from a copy before the configuration was accepted.
 func (gr *Group) pickAheadInConfig() (string, time.Time) {
-	own := gr.configInForce()
+	ownConfig := gr.configInForce()
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	if gr.fetching || time.Since(gr.lastFullFetch) < minFullFetchInterval {
@@ -220,7 +220,7 @@
 	}
 	var candidates []string
 	for addr, me := range gr.members {
-		if me.config > own && gr.membership.Alive(addr) {
+		if me.config > ownConfig && gr.membership.Alive(addr) {
 			candidates = append(candidates, addr)
 		}
 	}
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -259,14 +259,14 @@
 
 // rank is how many live peers come before this router in the order of their addresses' hashes,
 // of those that count and are not leaving.
-func (gr *Group) rank(counts func(me *member) bool) int {
-	own, before := xxhash.Sum64String(gr.Addr), 0
+func (gr *Group) rank(include func(me *member) bool) int {
+	own, preceding := xxhash.Sum64String(gr.Addr), 0
 	for addr, me := range gr.members {
-		if me.hash < own && !me.leaving && counts(me) && gr.membership.Alive(addr) {
-			before++
+		if me.hash < own && !me.leaving && include(me) && gr.membership.Alive(addr) {
+			preceding++
 		}
 	}
-	return before
+	return preceding
 }
 
 // Run exchanges messages until ctx ends.
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -161,9 +161,9 @@
 			t.Fatal(err)
 		}
 		defer pc.Close()
-		hello := []byte{0xa1, 0x01, 3 + ix} // what it knows: revisions 3 to 7
+		datagram := []byte{0xa1, 0x01, 3 + ix} // what it knows: revisions 3 to 7
 		eventually(t, "the peer is heard", func() bool {
-			_, _ = pc.WriteTo(hello, ro.address(t))
+			_, _ = pc.WriteTo(datagram, ro.address(t))
 			return ro.Live() == int(ix)+1
 		})
 		if ix == 0 {
@@ -267,22 +267,22 @@
 	defer co.Close()
 	ended := make(chan struct{}, 3)
 	until := time.Now().Add(1500 * time.Millisecond)
-	hammer := func(what func(number int)) {
+	repeat := func(what func(number int)) {
 		for number := 1; time.Now().Before(until); number++ {
 			what(number)
 		}
 		ended <- struct{}{}
 	}
-	go hammer(func(int) {
+	go repeat(func(int) {
 		if tk, re := one.Placer.Pick(time.Now(), &place.Request{Pool: "pool", MaxConns: 1000}); re == nil {
 			tk.Done(time.Now(), place.Served)
 		}
 	})
-	go hammer(func(number int) {
+	go repeat(func(number int) {
 		rev := core.Version(number % 60000)
 		one.Mirror.Apply([]core.Item{{Key: fmt.Sprint(number), Rev: rev}}, rev)
 	})
-	go hammer(func(int) { _, _ = co.Write([]byte("\xa1\x01\x01")) })
+	go repeat(func(int) { _, _ = co.Write([]byte("\xa1\x01\x01")) })
 	for range 3 {
 		select {
 		case <-ended:
--- a/io/gossip/grants.go
+++ b/io/gossip/grants.go
@@ -57,12 +57,12 @@
 	}
 	settled := now.Sub(gr.started) >= settleWindow && now.Sub(gr.lastAdded) >= settleWindow
 	// One without peers is alone only if others could find it.
-	heard := len(gr.members) == 0 && !gr.announced.IsZero() && now.Sub(gr.announced) >= settleWindow
+	connected := len(gr.members) == 0 && !gr.announced.IsZero() && now.Sub(gr.announced) >= settleWindow
 	for addr, me := range gr.members {
-		heard = heard || !gr.membership.LastHeard(addr).IsZero()
+		connected = connected || !gr.membership.LastHeard(addr).IsZero()
 		if gr.membership.Alive(addr) && int(me.peersHeard) > len(gr.members) {
 			settled = false // it hears peers that are not known here
 		}
 	}
-	gr.settled.Store(settled && heard)
+	gr.settled.Store(settled && connected)
 }
--- a/io/watch/fakestore_test.go
+++ b/io/watch/fakestore_test.go
@@ -38,7 +38,7 @@
 // link carries one thing at a time. A channel, as virtual time stands still at a mutex.
 type link struct{ busy chan struct{} }
 
-func (li *link) transfer(ctx context.Context, lasting time.Duration) error {
+func (li *link) transfer(ctx context.Context, duration time.Duration) error {
 	select {
 	case li.busy <- struct{}{}:
 	case <-ctx.Done():
@@ -46,7 +46,7 @@
 	}
 	defer func() { <-li.busy }()
 	select {
-	case <-time.After(lasting):
+	case <-time.After(duration):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -84,9 +84,9 @@
 func (st *store) injectFault(ctx context.Context) error {
 	st.mu.Lock()
 	st.calls++
-	down, silent := st.down, st.hanging
+	down, hanging := st.down, st.hanging
 	st.mu.Unlock()
-	if silent {
+	if hanging {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (st *store) List(ctx context.Context, _ bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
+func (st *store) List(ctx context.Context, _ bool, received func([]core.Item)) ([]core.Item, core.Version, error) {
 	if err := st.injectFault(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -104,7 +104,7 @@
 		if err := st.link.transfer(ctx, 100*time.Millisecond); err != nil {
 			return nil, 0, err
 		}
-		heard(nil)
+		received(nil)
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -124,8 +124,8 @@
 	st.watchCalls++
 	woken := st.woken
 	st.mu.Unlock()
-	if news, rev, err := st.since(after); len(news) > 0 || err != nil {
-		return news, rev, err
+	if changes, rev, err := st.since(after); len(changes) > 0 || err != nil {
+		return changes, rev, err
 	}
 	select {
 	case <-woken:
@@ -142,28 +142,28 @@
 	if after < st.compactedRev {
 		return nil, 0, core.ErrCompacted
 	}
-	var news []core.Item
+	var changes []core.Item
 	for _, it := range st.changes {
 		if it.Rev > after {
-			news = append(news, it)
+			changes = append(changes, it)
 		}
 	}
-	return news, st.rev, nil
+	return changes, st.rev, nil
 }
 
 // runReader runs a Reader on virtual time.
-func runReader(t *testing.T, st *store, leads func() bool, test func(rd *watch.Reader, mi *mirror.Mirror)) {
+func runReader(t *testing.T, st *store, isWatcher func() bool, test func(rd *watch.Reader, mi *mirror.Mirror)) {
 	mi := &mirror.Mirror{}
-	runReaderOn(t, st, st, mi, leads, func(rd *watch.Reader) { test(rd, mi) })
+	runReaderOn(t, st, st, mi, isWatcher, func(rd *watch.Reader) { test(rd, mi) })
 }
 
 // runReaderOn is follow with a feed of one's own before the store.
-func runReaderOn(t *testing.T, feed core.ChangeFeed, st *store, mi *mirror.Mirror, leads func() bool, test func(rd *watch.Reader)) {
+func runReaderOn(t *testing.T, feed core.ChangeFeed, st *store, mi *mirror.Mirror, isWatcher func() bool, test func(rd *watch.Reader)) {
 	synctest.Test(t, func(t *testing.T) {
 		st.woken = make(chan struct{}) // made here, to be of the test's virtual time
 		st.link.busy = make(chan struct{}, 1)
 		rd := &watch.Reader{
-			Feed: feed, Mirror: mi, Rand: clock.NewRand(1), Log: zap.NewNop(), IsWatcher: leads, GracePeriod: 2 * time.Second,
+			Feed: feed, Mirror: mi, Rand: clock.NewRand(1), Log: zap.NewNop(), IsWatcher: isWatcher, GracePeriod: 2 * time.Second,
 		}
 		rd.Init()
 		ctx, cancel := context.WithCancel(t.Context())
--- a/io/watch/reader.go
+++ b/io/watch/reader.go
@@ -274,8 +274,8 @@
 // jitter draws a pause around the given one, so that routers that began together do not
 // call together.
 func (rd *Reader) jitter(pause time.Duration) time.Duration {
-	const least = 0.5
-	return time.Duration(float64(pause) * (least + rd.Rand.Float64()))
+	const minFactor = 0.5
+	return time.Duration(float64(pause) * (minFactor + rd.Rand.Float64()))
 }
 
 func sleep(ctx context.Context, pause time.Duration) {
@@ -341,10 +341,10 @@
 	startAttempt := func() {
 		started++
 		go func() {
-			items, asOf, err := rd.Feed.List(ctx, stale, func(some []core.Item) {
+			items, asOf, err := rd.Feed.List(ctx, stale, func(page []core.Item) {
 				storeMax(&rd.lastPage, rd.now())
 				idleTimer.Reset(listIdleTimeout)
-				rd.Mirror.Preview(some)
+				rd.Mirror.Preview(page)
 			})
 			results <- listResult{items, asOf, err}
 		}()
@@ -354,21 +354,21 @@
 	defer timer.Stop()
 	for {
 		select {
-		case an := <-results:
+		case re := <-results:
 			ended++
-			if an.err == nil {
-				rd.storeRev.Store(uint64(an.asOf))
-				rd.Mirror.Replace(an.items, an.asOf)
+			if re.err == nil {
+				rd.storeRev.Store(uint64(re.asOf))
+				rd.Mirror.Replace(re.items, re.asOf)
 				if !stale {
 					rd.confirmOwn()
 				}
 				return nil
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%w: %w", errUnresponsive, an.err) // each attempt ends with ctx
+				return fmt.Errorf("%w: %w", errUnresponsive, re.err) // each attempt ends with ctx
 			}
 			if ended == started {
-				return an.err
+				return re.err
 			}
 		case <-timer.C:
 			if rd.Mirror.AsOf() > before {
--- a/io/watch/reader_test.go
+++ b/io/watch/reader_test.go
@@ -38,13 +38,13 @@
 // pagedStore is a store whose listing comes in two pages, the second a second after the first.
 type pagedStore struct{ *store }
 
-func (pa *pagedStore) List(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
-	all, rev, err := pa.store.List(ctx, stale, heard)
+func (pa *pagedStore) List(ctx context.Context, stale bool, received func([]core.Item)) ([]core.Item, core.Version, error) {
+	all, rev, err := pa.store.List(ctx, stale, received)
 	if err != nil {
 		return nil, 0, err
 	}
 	slices.SortFunc(all, func(a, b core.Item) int { return strings.Compare(a.Key, b.Key) })
-	heard(all[:1])
+	received(all[:1])
 	select {
 	case <-time.After(time.Second):
 		return all, rev, nil
@@ -114,9 +114,9 @@
 		st.withLock(func() { st.compactedRev, st.down = st.rev, false })
 		time.Sleep(time.Second)
 		// The mirror has listed anew, so it tells all that it has: b, without a.
-		news, asOf, whole := mi.Since(2)
-		if len(news) != 1 || news[0].Key != "b" || !whole || asOf != 3 {
-			t.Errorf("news %+v as of %d, whole %v; want b alone, whole, as of 3", news, asOf, whole)
+		changes, asOf, whole := mi.Since(2)
+		if len(changes) != 1 || changes[0].Key != "b" || !whole || asOf != 3 {
+			t.Errorf("news %+v as of %d, whole %v; want b alone, whole, as of 3", changes, asOf, whole)
 		}
 	})
 }
@@ -232,17 +232,17 @@
 // The same at any moment of the silence's end, and for a store that refuses or is slow
 // rather than silent.
 func TestListsSoonAfterStoreRecovers(t *testing.T) {
-	for away := 100 * time.Millisecond; away <= 6*time.Second; away += 170 * time.Millisecond {
-		for _, silent := range []bool{true, false} {
+	for outage := 100 * time.Millisecond; outage <= 6*time.Second; outage += 170 * time.Millisecond {
+		for _, hanging := range []bool{true, false} {
 			st := newStore()
 			st.set("a", false)
-			st.hanging, st.down = silent, !silent
+			st.hanging, st.down = hanging, !hanging
 			runReader(t, st, always, func(_ *watch.Reader, mi *mirror.Mirror) {
-				time.Sleep(away)
+				time.Sleep(outage)
 				st.withLock(func() { st.hanging, st.down = false, false })
 				time.Sleep(1100 * time.Millisecond)
 				if mi.AsOf() == 0 {
-					t.Errorf("away for %s, silent %v: nothing is known 1.1 s after its return", away, silent)
+					t.Errorf("away for %s, silent %v: nothing is known 1.1 s after its return", outage, hanging)
 				}
 			})
 		}
@@ -293,16 +293,16 @@
 			rd.Init()
 			group.Go(func() { _ = rd.Run(ctx) })
 		}
-		most, before := 0, 0
+		maxCalls, before := 0, 0
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			st.mu.Lock()
-			most, before = max(most, st.calls-before), st.calls
+			maxCalls, before = max(maxCalls, st.calls-before), st.calls
 			st.mu.Unlock()
 		}
 		// All begin within a tenth of a second here; on a fleet they are spread by 0.3 s.
-		if most > rate*3/10 {
-			t.Errorf("%d calls within 0.1 s", most)
+		if maxCalls > rate*3/10 {
+			t.Errorf("%d calls within 0.1 s", maxCalls)
 		}
 		if perSecond := before / 5; perSecond > rate/2 {
 			t.Errorf("%d calls a second", perSecond)
@@ -323,16 +323,16 @@
 // Further attempts beside the first would share the link, and one that is given up after a
 // fixed time begins anew: none ends, and the router refuses its callers for good.
 func TestListingInProgressIsNotHedged(t *testing.T) {
-	for _, parts := range []int{15, 40} {
+	for _, pages := range []int{15, 40} {
 		st := newStore()
 		st.set("a", false)
-		st.pages = parts
+		st.pages = pages
 		runReader(t, st, always, func(_ *watch.Reader, mi *mirror.Mirror) {
-			time.Sleep(time.Duration(parts)*100*time.Millisecond + 100*time.Millisecond)
+			time.Sleep(time.Duration(pages)*100*time.Millisecond + 100*time.Millisecond)
 			st.mu.Lock()
 			defer st.mu.Unlock()
 			if mi.AsOf() == 0 || st.listCalls != 1 || st.calls > 2 {
-				t.Errorf("%d parts: as of %d after %d listings, %d calls", parts, mi.AsOf(), st.listCalls, st.calls)
+				t.Errorf("%d parts: as of %d after %d listings, %d calls", pages, mi.AsOf(), st.listCalls, st.calls)
 			}
 		})
 	}
@@ -359,8 +359,8 @@
 	exactListings atomic.Int64
 }
 
-func (sf *staleStore) List(ctx context.Context, stale bool, heard func([]core.Item)) ([]core.Item, core.Version, error) {
-	all, rev, err := sf.store.List(ctx, stale, heard)
+func (sf *staleStore) List(ctx context.Context, stale bool, received func([]core.Item)) ([]core.Item, core.Version, error) {
+	all, rev, err := sf.store.List(ctx, stale, received)
 	if err != nil || !stale {
 		sf.exactListings.Add(1)
 		return all, rev, err
@@ -378,13 +378,13 @@
 	st.pages = 5
 	sf := &staleStore{store: st}
 	mi := &mirror.Mirror{}
-	var leads atomic.Bool
-	runReaderOn(t, sf, st, mi, leads.Load, func(rd *watch.Reader) {
+	var isWatcher atomic.Bool
+	runReaderOn(t, sf, st, mi, isWatcher.Load, func(rd *watch.Reader) {
 		time.Sleep(600 * time.Millisecond)
 		if mi.AsOf() != 1 || rd.Age() < 600*time.Millisecond {
 			t.Errorf("as of %s, confirmed %s ago; want 1, and nothing confirmed", mi.AsOf(), rd.Age())
 		}
-		leads.Store(true)
+		isWatcher.Store(true)
 		time.Sleep(200 * time.Millisecond)
 		if mi.AsOf() != 2 || rd.Age() > 200*time.Millisecond {
 			t.Errorf("as of %s, confirmed %s ago; want 2, confirmed by the changes", mi.AsOf(), rd.Age())
