--- a/io/watch/fakestore_test.go
+++ b/io/watch/fakestore_test.go
@@ -16,26 +16,26 @@
 	"almondrill/io/watch"
 )
 
-// store is a store on virtual time.
+// store is a fake of the platform's store, on virtual time.
 type store struct {
 	mu           sync.Mutex // guards all below
 	items        map[string]core.Item
 	changes      []core.Item
 	rev          core.Version
 	compactedRev core.Version
-	// down makes calls fail, silent makes them hang.
+	// down makes calls fail, hanging leaves them without a response.
 	down, hanging         bool
 	listCalls, watchCalls int
-	// calls counts all calls, those without an answer too.
+	// calls counts all calls, also those without a response.
 	calls int
 	woken chan struct{}
-	// pages are those of a listing; each takes the link to the store for a tenth of a
-	// second.
+	// pages is how many pages a listing has; each occupies the link to the store for 0.1 s.
 	pages int
 	link  link
 }
 
-// link carries one thing at a time. A channel, as virtual time stands still at a mutex.
+// link carries one page at a time. It uses a channel rather than a mutex, as virtual time does not
+// advance while a goroutine waits for a mutex.
 type link struct{ busy chan struct{} }
 
 func (li *link) transfer(ctx context.Context, duration time.Duration) error {
@@ -80,7 +80,7 @@
 
 var errDown = errors.New("store is down")
 
-// injectFault fails or hangs as it is told to.
+// injectFault returns an error if down is set, and hangs if hanging is.
 func (st *store) injectFault(ctx context.Context) error {
 	st.mu.Lock()
 	st.calls++
@@ -151,16 +151,16 @@
 	return changes, st.rev, nil
 }
 
-// runReader runs a Reader on virtual time.
+// runReader runs a Reader on virtual time, and then test.
 func runReader(t *testing.T, st *store, isWatcher func() bool, test func(rd *watch.Reader, mi *mirror.Mirror)) {
 	mi := &mirror.Mirror{}
 	runReaderOn(t, st, st, mi, isWatcher, func(rd *watch.Reader) { test(rd, mi) })
 }
 
-// runReaderOn is follow with a feed of one's own before the store.
+// runReaderOn is runReader with a given feed between the Reader and the store.
 func runReaderOn(t *testing.T, feed core.ChangeFeed, st *store, mi *mirror.Mirror, isWatcher func() bool, test func(rd *watch.Reader)) {
 	synctest.Test(t, func(t *testing.T) {
-		st.woken = make(chan struct{}) // made here, to be of the test's virtual time
+		st.woken = make(chan struct{}) // made here, to belong to the bubble of the test
 		st.link.busy = make(chan struct{}, 1)
 		rd := &watch.Reader{
 			Feed: feed, Mirror: mi, Rand: clock.NewRand(1), Log: zap.NewNop(), IsWatcher: isWatcher, GracePeriod: 2 * time.Second,
--- a/io/watch/reader.go
+++ b/io/watch/reader.go
@@ -1,25 +1,24 @@
-// Package watch keeps a mirror of the platform's store up to date.
+// Package watch lists and watches the platform's store, and keeps a mirror of it up to date.
 //
 // # Concepts
 //
-// A Reader lists the store once, unless a peer tells what there is before, then waits
-// for changes, again and again. Each
-// answer, also an empty one, confirms that what is believed was right a moment
-// ago. Only a few routers, the leaders, do so at a time: the others hear of changes
-// and confirmations from their peers, so that the store's calls do not grow with
-// the routers. One that hears no confirmation for takeoverAfter and its Patience asks the
-// store itself, whoever leads.
+// A Reader lists the store once, unless a peer provides its contents first, and then calls for
+// changes again and again. Each response, even an empty one, confirms that the mirror was up to
+// date a moment ago. Only a few routers, the elected watchers, call the store at a time. The
+// others, on standby, receive changes and confirmations from their peers, so that the number of
+// calls to the store does not grow with the number of routers. A standby router without a
+// confirmation for takeoverAfter plus its TakeoverDelay calls the store itself, whoever is elected.
 //
 // # Invariants
 //
-//   - A wait without an answer ends after wait and answerTime: a connection that
-//     went silent is noticed within that time.
-//   - After a loss of history everything is listed anew, and what is missing from
+//   - A call for changes without a response ends after longPollWait plus answerTimeout, so a
+//     connection that hangs is noticed within that time.
+//   - After a loss of the change history the store is listed again, and whatever is missing from
 //     the listing counts as deleted.
 //
 // # Usage
 //
-//	rd := &feeds.Reader{Feed: feed, Mirror: mi, Rand: ra, Log: lo, Leads: gr.Leads}
+//	rd := &watch.Reader{Feed: feed, Mirror: mi, Rand: ra, Log: lo, IsWatcher: gr.IsWatcher}
 //	rd.Init()
 //	go rd.Run(ctx)
 //	age := rd.Age()
@@ -41,78 +40,79 @@
 )
 
 const (
-	// longPollWait is how long the store holds a call that has nothing to tell. Each call is
-	// paid for; what is believed is confirmed this often.
+	// longPollWait is how long the store holds a call for changes when there are none. It trades
+	// the number of calls, which are billed, for how often the mirror is confirmed.
 	longPollWait = 600 * time.Millisecond
-	// answerTimeout is how long an answer may take beyond the wait: a slow store takes
-	// 60 times its usual 4 ms, for each page of a listing.
+	// answerTimeout is how long a response may take beyond the long poll: a slow store takes 60
+	// times its usual 4 ms, for each page of a listing.
 	answerTimeout = 700 * time.Millisecond
-	// listIdleTimeout is how long a listing, with all its attempts, may hear nothing. What arrives
-	// is not given up. Another attempt is begun, beside those without an answer, when nothing was
-	// heard for firstGap, then for twice that each time. firstGap is beyond the time that a
-	// slow store takes, which answers the first attempt.
+	// listIdleTimeout is how long a listing, with all its attempts, may go without receiving
+	// anything. An attempt that is receiving data is not cancelled. Another attempt is started next
+	// to those without a response when nothing has arrived for firstHedgeDelay, then for twice that
+	// each time. firstHedgeDelay is longer than a slow store takes to answer the first attempt.
 	listIdleTimeout = 2 * time.Second
 	firstHedgeDelay = 300 * time.Millisecond
 	nextHedgeDelay  = 2 * firstHedgeDelay
-	// maxListAttempts bounds those of a listing; gaps are spread by a half.
+	// maxListAttempts bounds the attempts of one listing: jitter shortens a delay to half at most.
 	maxListAttempts = 2 + int(listIdleTimeout/(nextHedgeDelay/2))
-	// minBackoff and mostPause are between calls that fail. All routers may come
-	// back at once; the store takes 2,000 calls a second.
+	// minBackoff and maxBackoff bound the pause between failed calls. All routers may reconnect at
+	// once, and the store takes 2,000 calls a second.
 	minBackoff = 60 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// minChangesInterval is the least time from one question for changes to the next. The first of
-	// several changes is told at once, those that follow with it. When hundreds of routers start,
-	// each change would otherwise be a call of each router that follows the store.
+	// minChangesInterval is the minimum interval between calls for changes. The first of several
+	// changes is received immediately, those that follow with the next call. When hundreds of
+	// routers start, each change would otherwise cause a call by every watcher.
 	minChangesInterval = 100 * time.Millisecond
-	// minRelistInterval is the least time between two listings that a loss of history asks for.
+	// minRelistInterval is the minimum interval between listings after losses of the history.
 	minRelistInterval = 500 * time.Millisecond
-	// takeoverAfter is the age beyond which the first of the routers that do not lead asks the
-	// store itself: a wait, and the time in which peers tell of it.
+	// takeoverAfter is the age of the last confirmation beyond which the first standby router calls
+	// the store itself: one long poll, and the time in which peers pass its confirmation on.
 	takeoverAfter = 1300 * time.Millisecond
-	// standbyInterval is how often a router that does not lead looks whether it has to.
+	// standbyInterval is how often a standby router checks whether it has to call the store.
 	standbyInterval = 100 * time.Millisecond
-	// failureWindow is how long a failed call counts.
+	// failureWindow is how long a failed call makes Failing return true.
 	failureWindow = 3 * time.Second
-	// uncertainAfter is how long the store may confirm nothing, to this router or its
-	// peers, before registrations may have lapsed: twice the wait for changes.
+	// uncertainAfter is how long the store may go without confirming the mirror, to this router or
+	// its peers, before registrations may have expired: twice the long poll.
 	uncertainAfter = 1200 * time.Millisecond
 )
 
-// Reader follows the store. Set the exported fields before Run.
+// Reader keeps Mirror in step with the store. Set the exported fields before Run.
 type Reader struct {
 	Feed   core.ChangeFeed
 	Mirror *mirror.Mirror
 	Rand   core.Rand
 	Log    *zap.Logger
-	// IsWatcher tells whether this router is to ask the store. One that is not waits for a confirmation
-	// for takeoverAfter, and Patience where that is set, before it does all the same.
+	// IsWatcher reports whether this router is an elected watcher, which calls the store on behalf
+	// of all. A router that is not waits without a confirmation for takeoverAfter, plus
+	// TakeoverDelay if that is set, before it calls the store as well.
 	IsWatcher     func() bool
 	TakeoverDelay func() time.Duration
-	// GracePeriod is how long after the store's return a missing registration is
-	// doubted.
+	// GracePeriod is how long after an outage of the store a missing registration is not yet taken
+	// for deleted.
 	GracePeriod time.Duration
 
-	confirmed       atomic.Int64  // when the store last confirmed the mirror, in ns of the steady clock
-	peerConfirmed   atomic.Int64  // the same, as peers told
-	ownConfirmed    atomic.Int64  // the same, by an own call; 0 if none was answered
-	ownFailed       atomic.Int64  // when an own call last failed
-	lastOutage      atomic.Int64  // when the store was last away
-	restoreSeen     atomic.Int64  // when it was last learned that it came back from a copy
-	restoredVersion atomic.Uint64 // the version up to which was known what it has, when that was learned
-	lastPage        atomic.Int64  // when a part of a listing last came
-	storeRev        atomic.Uint64 // the store's own revision, as its last answer told
+	confirmed       atomic.Int64  // when the store last confirmed the mirror, in ns since started
+	peerConfirmed   atomic.Int64  // the same, as reported by peers
+	ownConfirmed    atomic.Int64  // the same, by a call of this router; 0 if none was answered
+	ownFailed       atomic.Int64  // when a call of this router last failed; 0 once one succeeds
+	lastOutage      atomic.Int64  // when the store was last found unavailable or restored
+	restoreSeen     atomic.Int64  // when a restore from a backup was last noticed
+	restoredVersion atomic.Uint64 // the version of the listing that showed it
+	lastPage        atomic.Int64  // when a page of a listing last arrived
+	storeRev        atomic.Uint64 // the store's revision in its last response
 	started         time.Time
 }
 
-// Init must be called before the Reader is asked anything.
+// Init must be called before any other method.
 func (rd *Reader) Init() { rd.started = time.Now() }
 
 func (rd *Reader) now() int64 { return int64(time.Since(rd.started)) }
 
-// Age is how long ago an answer last confirmed the mirror.
+// Age is the time since the store last confirmed the mirror, to this router or a peer.
 func (rd *Reader) Age() time.Duration { return time.Duration(rd.now() - rd.confirmed.Load()) }
 
-// Confirm takes a peer's word that the mirror was right that long ago.
+// Confirm records a peer's report that the store confirmed the mirror's state that long ago.
 func (rd *Reader) Confirm(age time.Duration) {
 	at := rd.now() - int64(age)
 	storeMax(&rd.peerConfirmed, at)
@@ -125,7 +125,7 @@
 	}
 }
 
-// storeMax sets a time unless a later one is set, and returns the one before.
+// storeMax sets a time unless a later one is set, and returns the previous one.
 func storeMax(at *atomic.Int64, to int64) int64 {
 	for {
 		old := at.Load()
@@ -135,13 +135,13 @@
 	}
 }
 
-// confirmOwn notes that an own call confirmed the mirror.
+// confirmOwn records that a call of this router confirmed the mirror.
 func (rd *Reader) confirmOwn() {
 	rd.ownConfirmed.Store(rd.now())
 	rd.advance(rd.now())
 }
 
-// OwnAge is how long ago an own call confirmed the mirror; never if none did.
+// OwnAge is the time since a call of this router last confirmed the mirror; never if none did.
 func (rd *Reader) OwnAge() time.Duration {
 	at := rd.ownConfirmed.Load()
 	if at == 0 {
@@ -150,26 +150,26 @@
 	return time.Duration(rd.now() - at)
 }
 
-// never stands for the age of what has not been.
+// never is the age of something that has not happened.
 const never = time.Duration(math.MaxInt64)
 
-// Failing tells whether the own calls to the store fail.
+// Failing reports whether this router's own calls to the store fail.
 func (rd *Reader) Failing() bool {
 	at := rd.ownFailed.Load()
 	return at > 0 && rd.now()-at < int64(failureWindow)
 }
 
-// Unresponsive tells whether the own calls fail, or a listing has heard nothing for so long that
-// another attempt is made.
+// Unresponsive reports whether this router's own calls fail, or a listing has received nothing for
+// so long that another attempt is started.
 func (rd *Reader) Unresponsive() bool {
 	return rd.Failing() || rd.now()-rd.lastPage.Load() > int64(firstHedgeDelay)
 }
 
-// Uncertain tells whether the store is away, or was until lately, so that
-// registrations may have lapsed that will be back, or came back from a copy.
+// Uncertain reports whether missing registrations may come back: the store is unavailable, or was
+// until recently, so that they may have expired and be renewed, or it was restored from a backup.
 //
-// Routers do not tell each other that they doubt: each would renew the others'
-// doubt, for good. They tell what the store confirmed, which only grows older.
+// Routers do not gossip this state: each would keep renewing the others' uncertainty for ever. They
+// exchange the time of the last confirmation, which only grows older.
 func (rd *Reader) Uncertain() bool {
 	if rd.Age() > uncertainAfter {
 		return true
@@ -178,29 +178,30 @@
 	return at > 0 && rd.now()-at < int64(rd.GracePeriod)
 }
 
-// NoteRestore takes that the store came back from a copy: what was written since the copy is missing
-// until it is written again, and what has ended since is back until it ends again.
+// NoteRestore records that the store was restored from a backup: what was written since the backup
+// is missing until it is written again, and what has ended since is back until it ends again.
 func (rd *Reader) NoteRestore(from, to core.Version) {
 	rd.lastOutage.Store(rd.now())
 	rd.restoreSeen.Store(rd.now())
 	rd.restoredVersion.Store(uint64(to))
-	rd.Log.Warn("The store came back from a copy.", zap.Stringer("Before", from), zap.Stringer("AsOf", to))
+	rd.Log.Warn("The store was restored from a backup.", zap.Stringer("Before", from), zap.Stringer("AsOf", to))
 }
 
-// RecentlyRestored tells whether what the store has may be a copy's, as it was not written again yet.
+// RecentlyRestored reports whether the contents of the store may be those of a backup, not written
+// again yet.
 func (rd *Reader) RecentlyRestored() bool {
 	at := rd.restoreSeen.Load()
 	return at > 0 && rd.now()-at < int64(rd.GracePeriod)
 }
 
-// MaybeRolledBack tells whether a change of that version may be one that nobody made: what the store came
-// back with, or without.
+// MaybeRolledBack reports whether a change of that version may be an effect of a restore rather
+// than a write: an item that the backup has, or lacks.
 func (rd *Reader) MaybeRolledBack(ve core.Version) bool {
 	return rd.RecentlyRestored() && ve <= core.Version(rd.restoredVersion.Load())
 }
 
-// noteFailure notes that an own call failed. While peers reach the store, this router is cut
-// off alone, and what is missing has really left.
+// noteFailure records that a call of this router failed. It counts as an outage of the store only if
+// no peer reaches the store either; else registrations that go missing were really deleted.
 func (rd *Reader) noteFailure() {
 	now := rd.now()
 	rd.ownFailed.Store(now)
@@ -209,15 +210,15 @@
 	}
 }
 
-// Run follows the store until ctx ends.
+// Run keeps the mirror up to date until ctx ends.
 func (rd *Reader) Run(ctx context.Context) error {
 	backoff := minBackoff
 	disconnected := false
 	listed := false
-	// unlisted is the revision after which the history is not known until a listing,
-	// here or by a peer that tells of it, has made up for it.
+	// compactedAt is the revision after which changes are unknown, until a listing, by this router
+	// or by a peer that sends it, makes up for them.
 	compactedAt := core.Version(0)
-	lastCompacted := rd.now() - int64(minRelistInterval) // when the history was last found lost
+	lastCompacted := rd.now() - int64(minRelistInterval) // when the history was last found compacted
 	for ctx.Err() == nil {
 		listed = listed || rd.Mirror.AsOf() > compactedAt
 		if listed && !rd.IsWatcher() && rd.Age() < takeoverAfter+rd.takeoverDelay() {
@@ -230,7 +231,7 @@
 		case err == nil:
 			rd.ownFailed.Store(0)
 			if disconnected || !listed {
-				rd.Log.Info("Follows the store.", zap.Stringer("AsOf", rd.Mirror.AsOf()), zap.Stringer("Said", core.Version(rd.storeRev.Load())))
+				rd.Log.Info("Watching the store.", zap.Stringer("AsOf", rd.Mirror.AsOf()), zap.Stringer("Said", core.Version(rd.storeRev.Load())))
 			}
 			listed, disconnected, backoff = true, false, minBackoff
 			if left := minChangesInterval - time.Duration(rd.now()-start); watching && left > 0 {
@@ -238,7 +239,7 @@
 			}
 			continue
 		case errors.Is(err, core.ErrCompacted):
-			rd.Log.Info("The store lost its history. Lists anew.", zap.Stringer("AsOf", rd.Mirror.AsOf()))
+			rd.Log.Info("The store no longer has the changes asked for. Relisting.", zap.Stringer("AsOf", rd.Mirror.AsOf()))
 			compactedAt, listed = rd.Mirror.AsOf(), false
 			if left := minRelistInterval - time.Duration(rd.now()-lastCompacted); left > 0 {
 				sleep(ctx, left)
@@ -271,8 +272,8 @@
 
 func (rd *Reader) backOff(ctx context.Context, pause time.Duration) { sleep(ctx, rd.jitter(pause)) }
 
-// jitter draws a pause around the given one, so that routers that began together do not
-// call together.
+// jitter returns a random pause around the given one, so that routers that started together do not
+// call at the same time.
 func (rd *Reader) jitter(pause time.Duration) time.Duration {
 	const minFactor = 0.5
 	return time.Duration(float64(pause) * (minFactor + rd.Rand.Float64()))
@@ -302,32 +303,32 @@
 	return err
 }
 
-// errSilent: no attempt at listing had an answer within listTime. Time has been lost
-// enough; the next attempts follow at once.
-var errUnresponsive = errors.New("the store is silent")
+// errUnresponsive: no attempt at listing received anything for listIdleTimeout. The next attempts
+// follow without a pause, as enough time has been lost.
+var errUnresponsive = errors.New("store did not respond")
 
-// listResult is the answer to an attempt to list the store.
+// listResult is the outcome of an attempt to list the store.
 type listResult struct {
 	items []core.Item
 	asOf  core.Version
 	err   error
 }
 
-// list lists the store, in attempts that overlap.
+// list lists the store, in overlapping attempts.
 //
-// An attempt that was sent while the store was silent gets no answer, also once the store is
-// back. Waited for alone, until its timeout, it keeps a router that knows nothing refusing all
-// its callers; later attempts find the store as it is then.
+// An attempt that was sent while the store hung gets no response, even once the store has
+// recovered. A router that waited for it alone, until its timeout, would refuse all its callers as
+// long as it knows nothing. Later attempts reach the recovered store.
 //
-// Each part of the first listing is put in force as it comes: where hundreds of routers start at
-// once, the whole takes seconds on the store's link, and the first part has the configuration.
+// Each page of the first listing is applied as it arrives: where hundreds of routers start at once,
+// the whole listing takes seconds on the store's link, and the first page has the configuration.
 //
-// An attempt whose answer is arriving is left alone: attempts that share a thin link would all
-// end too late.
+// No attempt is added while the response to another is arriving: attempts that share a slow link
+// would all end too late.
 //
-// The first listing may be stale, as hundreds of routers may start at once. It confirms nothing: what
-// it lacks comes with the next changes, from the store or from a peer. A listing after a loss of
-// history has to make up for changes that nobody tells any more.
+// The first listing may be stale, as hundreds of routers may start at once. It confirms nothing:
+// what it lacks arrives with the next changes, from the store or from a peer. A listing after a
+// loss of history must not be stale, as it has to make up for changes that nobody sends any more.
 func (rd *Reader) list(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -337,7 +338,7 @@
 	stale := before == 0
 	results := make(chan listResult, maxListAttempts)
 	started, ended := 0, 0
-	timerSet := rd.now() // when the timer was
+	timerSet := rd.now() // when the timer was last set
 	startAttempt := func() {
 		started++
 		go func() {
@@ -365,14 +366,14 @@
 				return nil
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%w: %w", errUnresponsive, re.err) // each attempt ends with ctx
+				return fmt.Errorf("%w: %w", errUnresponsive, re.err) // all attempts end with ctx
 			}
 			if ended == started {
 				return re.err
 			}
 		case <-timer.C:
 			if rd.Mirror.AsOf() > before {
-				return nil // a peer told
+				return nil // a peer has sent the contents meanwhile
 			}
 			if rd.lastPage.Load() <= timerSet && started < maxListAttempts {
 				startAttempt()
--- a/io/watch/reader_test.go
+++ b/io/watch/reader_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// pagedStore is a store whose listing comes in two pages, the second a second after the first.
+// pagedStore is a store whose listing arrives in two pages, the second one second after the first.
 type pagedStore struct{ *store }
 
 func (pa *pagedStore) List(ctx context.Context, stale bool, received func([]core.Item)) ([]core.Item, core.Version, error) {
@@ -53,9 +53,10 @@
 	}
 }
 
-// All routers start at once before thousands of registrations, and the listing takes seconds
-// for each. The first page holds the configuration and some endpoints: callers would be
-// refused until the last one came. Nothing may be told to peers before that.
+// Guards against routers that refuse callers until the last page of a listing has arrived. With
+// thousands of registrations and all routers starting at once, a listing takes seconds, but its
+// first page has the configuration and some endpoints. Until the listing is complete, peers must
+// not be told of a revision.
 func TestFirstPageIsAppliedImmediately(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
@@ -76,9 +77,9 @@
 	})
 }
 
-// A hundred routers start, and each writes its address. The routers that follow the store
-// are woken by each of these changes: a question for each would make thousands of calls,
-// which are paid for, and news would come no sooner, as peers are told ten times a second.
+// Guards against a call for each change when hundreds of routers start and each writes its address,
+// which wakes every watcher. Thousands of calls would be billed, and bring changes no sooner, as
+// updates are sent to peers ten times a second.
 func TestBurstOfChangesNeedsFewCalls(t *testing.T) {
 	st := newStore()
 	runReader(t, st, always, func(_ *watch.Reader, mi *mirror.Mirror) {
@@ -94,7 +95,7 @@
 		after := 0
 		st.withLock(func() { after = st.watchCalls })
 		if calls := after - before; calls > 14 {
-			t.Errorf("%d calls were made for changes within a second, want one each 100 ms", calls)
+			t.Errorf("%d calls for changes within a second, want one each 100 ms", calls)
 		}
 		if mi.AsOf() != burst {
 			t.Errorf("as of %d, want %d", mi.AsOf(), burst)
@@ -102,7 +103,7 @@
 	})
 }
 
-// The store drops its history while a change was made that the watch did not hear.
+// The store compacts its history, with a change that was not received yet.
 func TestRelistsAfterCompaction(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
@@ -113,23 +114,23 @@
 		st.set("a", true)
 		st.withLock(func() { st.compactedRev, st.down = st.rev, false })
 		time.Sleep(time.Second)
-		// The mirror has listed anew, so it tells all that it has: b, without a.
+		// After a listing the mirror returns everything it has: b, without a.
 		changes, asOf, whole := mi.Since(2)
 		if len(changes) != 1 || changes[0].Key != "b" || !whole || asOf != 3 {
-			t.Errorf("news %+v as of %d, whole %v; want b alone, whole, as of 3", changes, asOf, whole)
+			t.Errorf("changes %+v as of %d, whole %v; want b alone, whole, as of 3", changes, asOf, whole)
 		}
 	})
 }
 
-// A connection to the store goes silent without a reset. What is believed would grow
-// old without anybody noticing.
+// Guards against a connection to the store that hangs without a reset: the mirror would grow old
+// unnoticed.
 func TestHangingStoreIsDetected(t *testing.T) {
 	st := newStore()
 	runReader(t, st, always, func(rd *watch.Reader, _ *mirror.Mirror) {
 		st.withLock(func() { st.hanging = true })
 		time.Sleep(2500 * time.Millisecond)
 		if !rd.Failing() || !rd.Uncertain() {
-			t.Error("a store that is silent for 2.5 s counts as well")
+			t.Error("a store that hangs for 2.5 s is not reported as failing and uncertain")
 		}
 		st.withLock(func() { st.hanging = false })
 		time.Sleep(2 * time.Second)
@@ -137,17 +138,17 @@
 			t.Errorf("failing %v, age %s, 2 s after its return", rd.Failing(), rd.Age())
 		}
 		if !rd.Uncertain() {
-			t.Error("registrations that lapsed may still be missing")
+			t.Error("not uncertain right after the outage, though expired registrations may still be missing")
 		}
 		time.Sleep(3 * time.Second)
 		if rd.Uncertain() {
-			t.Error("still in doubt 5 s after the store's return")
+			t.Error("still uncertain 5 s after the store's return")
 		}
 	})
 }
 
-// A router that does not lead costs the store nothing while peers confirm what it
-// knows, and asks for itself soon after they stop.
+// A router that is no elected watcher does not call the store while peers confirm its mirror, and
+// calls it soon after they stop.
 func TestStandbyReadsOnlyWithoutConfirmation(t *testing.T) {
 	st := newStore()
 	runReader(t, st, func() bool { return false }, func(rd *watch.Reader, mi *mirror.Mirror) {
@@ -169,8 +170,8 @@
 	})
 }
 
-// The store turns one router away and serves the others, whose confirmations it hears.
-// Registrations do not lapse then: one that is deleted is gone.
+// The store rejects the calls of one router and serves the others, whose confirmations it receives.
+// Registrations do not expire then, so one that is missing was deleted.
 func TestNotUncertainWhilePeersConfirm(t *testing.T) {
 	st := newStore()
 	runReader(t, st, always, func(rd *watch.Reader, _ *mirror.Mirror) {
@@ -180,41 +181,41 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		if !rd.Failing() {
-			t.Error("its own calls do not count as failing")
+			t.Error("its own calls are not reported as failing")
 		}
 		if rd.Uncertain() {
-			t.Error("in doubt, though peers reach the store")
+			t.Error("uncertain, though peers reach the store")
 		}
 	})
 }
 
-// A router that does not lead hears nothing of an outage but that its peers'
-// confirmations stop. What is missing after it may have lapsed.
+// A router that is no elected watcher notices an outage only by the missing confirmations of its
+// peers. Registrations that are missing after it may have expired.
 func TestUncertainWithoutOwnCalls(t *testing.T) {
 	st := newStore()
 	runReader(t, st, func() bool { return false }, func(rd *watch.Reader, _ *mirror.Mirror) {
 		rd.Confirm(0)
 		time.Sleep(1250 * time.Millisecond)
 		if !rd.Uncertain() {
-			t.Error("no doubt after 1.25 s without a word")
+			t.Error("not uncertain after 1.25 s without a confirmation")
 		}
 		rd.Confirm(0)
 		if !rd.Uncertain() {
-			t.Error("no doubt right after the store's return")
+			t.Error("not uncertain right after the store's return")
 		}
 		for range 15 {
 			rd.Confirm(0)
 			time.Sleep(200 * time.Millisecond)
 		}
 		if rd.Uncertain() {
-			t.Error("still in doubt 3 s after the store's return")
+			t.Error("still uncertain 3 s after the store's return")
 		}
 	})
 }
 
-// A router starts while the store is silent, for another 350 ms. What it sent into the
-// silence is never answered; waited for until its timeout, it kept the router refusing all
-// callers for 1.65 s after the store was back.
+// Guards against a router that waits for a listing sent to a hanging store until its timeout. Here
+// the store hangs for another 350 ms after the start, and never answers what it was sent before.
+// Without further attempts the router refused all callers for 1.65 s after the store was back.
 func TestListingIsHedgedWhenStoreHangs(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
@@ -229,8 +230,7 @@
 	})
 }
 
-// The same at any moment of the silence's end, and for a store that refuses or is slow
-// rather than silent.
+// The same for outages of many lengths, and for a store that refuses calls instead of hanging.
 func TestListsSoonAfterStoreRecovers(t *testing.T) {
 	for outage := 100 * time.Millisecond; outage <= 6*time.Second; outage += 170 * time.Millisecond {
 		for _, hanging := range []bool{true, false} {
@@ -242,15 +242,15 @@
 				st.withLock(func() { st.hanging, st.down = false, false })
 				time.Sleep(1100 * time.Millisecond)
 				if mi.AsOf() == 0 {
-					t.Errorf("away for %s, silent %v: nothing is known 1.1 s after its return", outage, hanging)
+					t.Errorf("down for %s, hanging %v: nothing is known 1.1 s after its return", outage, hanging)
 				}
 			})
 		}
 	}
 }
 
-// A peer tells what there is while the store is silent. The router follows from there, and
-// does not list the store once it is back.
+// A peer sends the contents while the store hangs. The router watches for changes from there on,
+// and does not list the store once it is back.
 func TestNoListingAfterUpdateFromPeer(t *testing.T) {
 	st := newStore()
 	for range 3 {
@@ -272,8 +272,8 @@
 	})
 }
 
-// Hundreds of routers start at once beside a store that is silent for five seconds. Their
-// attempts must leave it the rate that it has, and none may wait for long after.
+// Hundreds of routers start at once while the store hangs for five seconds. Their attempts must
+// stay within the rate that the store takes, and all must have a listing soon after it is back.
 func TestThunderingHerdOfListingsIsBounded(t *testing.T) {
 	const routers, rate = 420, 2000
 	synctest.Test(t, func(t *testing.T) {
@@ -300,7 +300,7 @@
 			maxCalls, before = max(maxCalls, st.calls-before), st.calls
 			st.mu.Unlock()
 		}
-		// All begin within a tenth of a second here; on a fleet they are spread by 0.3 s.
+		// All begin within 0.1 s here; in a fleet they are spread over 0.3 s.
 		if maxCalls > rate*3/10 {
 			t.Errorf("%d calls within 0.1 s", maxCalls)
 		}
@@ -319,9 +319,9 @@
 	})
 }
 
-// A router starts behind a thin link, and what the store lists takes 1.5 or 4 s on it.
-// Further attempts beside the first would share the link, and one that is given up after a
-// fixed time begins anew: none ends, and the router refuses its callers for good.
+// Guards against a listing that never ends on a slow link, where it takes 1.5 or 4 s. Further
+// attempts would share the link with the first, and an attempt cancelled after a fixed time would
+// begin anew: none would end, and the router would refuse its callers for ever.
 func TestListingInProgressIsNotHedged(t *testing.T) {
 	for _, pages := range []int{15, 40} {
 		st := newStore()
@@ -332,13 +332,13 @@
 			st.mu.Lock()
 			defer st.mu.Unlock()
 			if mi.AsOf() == 0 || st.listCalls != 1 || st.calls > 2 {
-				t.Errorf("%d parts: as of %d after %d listings, %d calls", pages, mi.AsOf(), st.listCalls, st.calls)
+				t.Errorf("%d pages: as of %d after %d listings, %d calls", pages, mi.AsOf(), st.listCalls, st.calls)
 			}
 		})
 	}
 }
 
-// Guards against a store that is listed without a pause while it goes on losing its history.
+// Guards against listing a store without a pause while it keeps losing its history.
 func TestRelistingIsRateLimited(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
@@ -368,9 +368,9 @@
 	return slices.DeleteFunc(all, func(it core.Item) bool { return it.Rev == rev }), rev - 1, nil
 }
 
-// Guards against a stale listing that is taken for what the store has now: a change that it lacks
-// would never arrive, and peers would be told that the store has just confirmed what is old. What
-// was lost with the store's history is not in a stale listing either.
+// Guards against a stale listing that is taken for current: a change that it lacks would never
+// arrive, and peers would be told that the store has just confirmed old state. Changes lost with
+// the history of the store are not in a stale listing either.
 func TestStaleListingConfirmsNothing(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
@@ -400,8 +400,9 @@
 	})
 }
 
-// Guards against a router that tells its peers that the silent store has just confirmed what one of
-// them told it: each start during an outage would end the doubt about registrations that lapse in it.
+// Guards against taking an update from a peer for a confirmation by the store, which hangs here:
+// each start during an outage would end its peers' uncertainty about registrations that expire in
+// it.
 func TestUpdateFromPeerConfirmsNothing(t *testing.T) {
 	st := newStore()
 	st.hanging = true
