--- a/io/delta/delta.go
+++ b/io/delta/delta.go
@@ -1,16 +1,16 @@
-// Package delta packs data that differs little from what its receiver has.
+// Package delta compresses data against an earlier version that the receiver has.
 //
 // # Concepts
 //
-// Routers pass the operator's configuration on to each other. It is a document of some
-// hundred kilobytes of which a change touches one line. Pack compresses it against the
-// base, an earlier version that the receiver named; Unpack needs the same base. Without
-// a base, it is compressed by itself.
+// Routers send the operator's configuration to each other. It is a document of some hundred
+// kilobytes, and a change usually affects one line. Pack compresses it with zstd against a base, an
+// earlier version that the receiver named; Unpack needs the same base. Without a base, the data is
+// compressed by itself.
 //
 // # Usage
 //
 //	packed, err := delta.Pack(data, base)
-//	data, err = delta.Unpack(packed, base, most)
+//	data, err = delta.Unpack(packed, base, limit)
 package delta
 
 import (
@@ -20,15 +20,15 @@
 )
 
 const (
-	// dictID marks what was packed against a base, in zstd's frame; 0 would mean none.
+	// dictID marks data packed against a base, in zstd's frame header, where 0 means none.
 	dictID = 1
-	// minWindow is the smallest window that zstd takes, mostWindow what a receiver is
-	// ready to keep: eight megabytes, as zstd's own format asks of all decoders.
+	// minWindow is the smallest window that zstd accepts, maxWindow the largest that a receiver
+	// allocates: 8 MiB, which the zstd format asks all decoders to support.
 	minWindow = zstd.MinWindowSize
 	maxWindow = 8 << 20
 )
 
-// Pack compresses data against the base, which may be empty.
+// Pack compresses data against base, which may be empty.
 func Pack(data, base []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -45,7 +45,8 @@
 	return enc.EncodeAll(data, nil), nil
 }
 
-// windowSize is the least power of two that spans so many bytes: matches reach back as far.
+// windowSize returns the smallest power of two that spans size bytes, within minWindow and
+// maxWindow: matches reach back that far.
 func windowSize(size int) int {
 	win := minWindow
 	for win < size && win < maxWindow {
@@ -54,8 +55,7 @@
 	return win
 }
 
-// Unpack is the reverse of Pack, with the same base. It fails where more than most bytes
-// would come out.
+// Unpack reverses Pack, with the same base. It fails if the result would exceed limit bytes.
 func Unpack(packed, base []byte, limit int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(limit)), zstd.WithDecoderMaxWindow(maxWindow),
--- a/io/delta/delta_test.go
+++ b/io/delta/delta_test.go
@@ -11,7 +11,7 @@
 	"almondrill/io/delta"
 )
 
-// testDocument has many lines alike, each with a key that cannot be guessed.
+// testDocument has many similar lines, each with a random-looking key that does not compress.
 func testDocument(lines int, change int) []byte {
 	var out bytes.Buffer
 	for ix := range lines {
@@ -38,13 +38,13 @@
 		}
 		out, err := delta.Unpack(packed, base, 1<<20)
 		if err != nil || !bytes.Equal(out, data) {
-			t.Fatalf("%d bytes came out of %d: %v", len(out), len(data), err)
+			t.Fatalf("unpacked %d bytes, packed %d: %v", len(out), len(data), err)
 		}
 	})
 }
 
-// An operator changes one line of a configuration of 1,600 customers. Sent whole to 420
-// routers, several thousand times a day, it would use up what they may spend on control.
+// An operator changes one line of a configuration of 1,600 customers. Sent in full to 420 routers,
+// several thousand times a day, it would use up their bandwidth for control traffic.
 func TestOneLineChangePacksSmall(t *testing.T) {
 	base, data := testDocument(1600, -1), testDocument(1600, 800)
 	packed, err := delta.Pack(data, base)
@@ -57,8 +57,8 @@
 	}
 }
 
-// A peer packs against another version than this router has, or sends nonsense: an error,
-// not a wrong configuration.
+// A peer that packs against a version that this router does not have, or sends invalid data, must
+// cause an error and not a wrong configuration.
 func TestWrongBaseIsAnError(t *testing.T) {
 	base, data := testDocument(200, -1), testDocument(200, 100)
 	packed, err := delta.Pack(data, base)
@@ -73,7 +73,7 @@
 		}
 	}
 	if _, err = delta.Unpack([]byte("nonsense"), base, 1<<20); err == nil {
-		t.Error("nonsense was unpacked")
+		t.Error("invalid data was unpacked")
 	}
 }
 
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	if _, err = delta.Unpack(packed, nil, 1<<16); err == nil {
-		t.Error("a megabyte came out where 64 KB are allowed")
+		t.Error("unpacked 1 MiB with a limit of 64 KiB")
 	}
 }
 
@@ -93,7 +93,7 @@
 	f.Add(packed)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if out, err := delta.Unpack(data, base, 1<<16); err == nil && len(out) > 1<<16 {
-			t.Errorf("%d bytes came out", len(out))
+			t.Errorf("unpacked %d bytes, above the limit", len(out))
 		}
 	})
 }
