--- a/io/gossip/announce_test.go
+++ b/io/gossip/announce_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Each of hundreds of routers would write its address, renew it, and have all others told:
-// calls to the store that grow with the fleet. A few are enough to be found by; where they
-// are lost, others take their place, or a newcomer finds nobody.
+// Guards against calls to the store that grow with the fleet: each of hundreds of routers would
+// write its address, renew it, and have all others receive it. A few that announce themselves
+// suffice; where these are lost, others must take their place, or a joining router finds nobody.
 func TestFewRoutersAnnounce(t *testing.T) {
 	const count, want = 12, 8
 	all := meet(t, count)
@@ -23,7 +23,7 @@
 	for _, ro := range first[:3] {
 		ro.stop()
 	}
-	eventually(t, "others take the place of those that are lost", func() bool {
+	eventually(t, "others take the place of lost announced routers", func() bool {
 		alive := 0
 		for _, ro := range announcing() {
 			if !ro.stopped {
@@ -34,9 +34,9 @@
 	})
 }
 
-// A router that hears nobody has to be found by others: it announces itself.
+// An isolated router must announce itself, so that others can find it.
 func TestIsolatedRouterAnnounces(t *testing.T) {
 	if !start(t, 0).ShouldAnnounce() {
-		t.Error("a router that hears nobody does not announce itself")
+		t.Error("an isolated router does not announce itself")
 	}
 }
--- a/io/gossip/blame.go
+++ b/io/gossip/blame.go
@@ -11,11 +11,11 @@
 	"almondrill/core/ring"
 )
 
-// crashOwners is how many routers count the crashes of a request: when one ends, the other
-// still knows.
+// crashOwners is how many routers count the crashes of a request: if one ends, the other still has
+// the count.
 const crashOwners = 2
 
-// crashNotice is a core.BlameNote on its way, some 60 bytes.
+// crashNotice is a core.CrashNotice in a message, some 60 bytes.
 type crashNotice struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    core.CrashNoticeKind
@@ -29,11 +29,11 @@
 	AgeMs    uint32
 }
 
-// TellKeepers sends a note to the routers that count for its request.
+// TellKeepers sends a notice to the routers that own the crash record of its request.
 func (gr *Group) TellKeepers(now time.Time, no core.CrashNotice) {
 	all := gr.counts.candidates.Load()
 	if all == nil {
-		return // the process has just started, and nobody is known
+		return // the process has just started, and no peer is known
 	}
 	key := binary.BigEndian.Uint64(no.Request[:])
 	var best [crashOwners]struct {
@@ -50,19 +50,19 @@
 		}
 	}
 	for _, ca := range best {
-		if ca.to != nil { // nil: this router, which counts what it tells
+		if ca.to != nil { // nil: this router, which records its own notices itself
 			gr.sendCrashNotice(now, ca.to, no)
 		}
 	}
 }
 
-// TellAll sends a note to all routers; where there are more than newsTo, to as many that are
-// drawn. The others hear of it through the store, or by a later note.
+// TellAll sends a notice to all routers; where there are more than updateFanout, to that many
+// random ones. The others learn of it through the store, or by a later notice.
 func (gr *Group) TellAll(now time.Time, no core.CrashNotice) {
 	for _, addr := range gr.randomReachable(updateFanout) {
 		to, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
-			gr.Log.Warn("A peer's address makes no sense.", zap.String("Addr", addr), zap.Error(err))
+			gr.Log.Warn("A peer's address is invalid.", zap.String("Addr", addr), zap.Error(err))
 			continue
 		}
 		gr.sendCrashNotice(now, to, no)
@@ -78,11 +78,10 @@
 	gr.sendOne(to, &message{Crash: cm})
 }
 
-// handleCrashNotice takes a peer's note.
 func (gr *Group) handleCrashNotice(now time.Time, from string, cm *crashNotice) {
 	no := core.CrashNotice{Kind: cm.Kind}
 	if len(cm.Request) != len(no.Request) || cm.Kind < core.NoticeSuspected || cm.Kind > core.NoticeCleared {
-		gr.Log.Warn("A peer's note of a request makes no sense.", zap.String("Addr", from), zap.Uint8("Kind", uint8(cm.Kind)))
+		gr.Log.Warn("Dropped an invalid crash notice from a peer.", zap.String("Addr", from), zap.Uint8("Kind", uint8(cm.Kind)))
 		return
 	}
 	no.Request = core.Fingerprint(cm.Request)
--- a/io/gossip/blame_test.go
+++ b/io/gossip/blame_test.go
@@ -12,7 +12,7 @@
 	"almondrill/io/gossip"
 )
 
-// crashNotices collects what a router is told.
+// crashNotices collects the notices that a router receives.
 type crashNotices struct {
 	mu  sync.Mutex
 	all []core.CrashNotice
@@ -36,7 +36,7 @@
 	return count
 }
 
-// meetCollecting starts routers that keep what they are told.
+// meetCollecting starts routers that collect the notices that they receive.
 func meetCollecting(t *testing.T, count int) ([]*router, []*crashNotices) {
 	t.Helper()
 	var received []*crashNotices
@@ -48,8 +48,8 @@
 	return all, received
 }
 
-// Routers that see a request crash endpoints tell it to the same two of them, so that these
-// count all crashes whoever saw them; what they conclude is told to all.
+// Routers that see a request crash endpoints notify the same two of them, which thus count all
+// crashes, whoever saw them. Conclusions are sent to all.
 func TestCrashNotesReachTheSameOwners(t *testing.T) {
 	all, received := meetCollecting(t, 5)
 	now := time.Now()
@@ -58,8 +58,8 @@
 		for _, ro := range all {
 			ro.TellKeepers(now, core.CrashNotice{Kind: core.NoticeSuspected, Request: fp, Crashes: []core.Crash{{Endpoint: 7, At: now.Add(-50 * time.Millisecond)}}})
 		}
-		// Each of the two is told by all others, and tells itself nothing.
-		eventually(t, "both keepers are told by the four others", func() bool {
+		// Each of the two owners is notified by all other routers, and does not notify itself.
+		eventually(t, "both owners are notified by the four others", func() bool {
 			owners := 0
 			for _, no := range received {
 				if no.count(fp) == len(all)-1 {
@@ -71,7 +71,7 @@
 	}
 	fp := core.Fingerprint{99}
 	all[0].TellAll(now, core.CrashNotice{Kind: core.NoticeQuarantined, Request: fp})
-	eventually(t, "all others are told", func() bool {
+	eventually(t, "all others are notified", func() bool {
 		count := 0
 		for _, no := range received {
 			count += no.count(fp)
@@ -81,14 +81,14 @@
 	for _, no := range received {
 		for _, note := range no.all {
 			if note.Kind == core.NoticeSuspected && (len(note.Crashes) != 1 || note.Crashes[0].Endpoint != 7 || time.Since(note.Crashes[0].At) < 50*time.Millisecond) {
-				t.Errorf("told as %+v", note)
+				t.Errorf("received as %+v", note)
 			}
 		}
 	}
 }
 
-// A router of another version, or something else that sends to the port, tells nonsense. It is
-// passed over, and what comes after it is heard.
+// Invalid notices, from a router of another version or something else that sends to the port, must
+// be dropped, and later valid ones handled.
 func TestInvalidCrashNotesAreDropped(t *testing.T) {
 	all, received := meetCollecting(t, 2)
 	co, err := net.Dial("udp", all[0].Addr)
@@ -113,8 +113,8 @@
 	}
 	fp := core.Fingerprint{5}
 	all[1].TellAll(time.Now(), core.CrashNotice{Kind: core.NoticeCleared, Request: fp})
-	eventually(t, "the next note is heard", func() bool { return received[0].count(fp) == 1 })
+	eventually(t, "the next notice is received", func() bool { return received[0].count(fp) == 1 })
 	if got := len(received[0].all); got != 1 {
-		t.Errorf("%d notes are taken, want one", got)
+		t.Errorf("%d notices received, want one", got)
 	}
 }
--- a/io/gossip/counts.go
+++ b/io/gossip/counts.go
@@ -17,59 +17,58 @@
 	"almondrill/core/ring"
 )
 
-// Each endpoint's count is kept by one router, on which all agree by rendezvous hashing over
-// those that are alive: the endpoint's keeper. Routers pass on to it what the endpoint says
-// with its answers, and ask it before they place a call there. What a router sends for this
-// depends on its own requests alone, some 50 bytes each, not on how many routers or
-// endpoints there are, and what it learns is a millisecond old. The keeper is also told who
-// cannot reach the endpoint, and tells all once two could not.
+// Each endpoint's count is kept by one router, its owner, on which all agree by rendezvous hashing
+// over the routers that are alive. Routers report to it the call counts that the endpoint sends
+// with its responses, and query it before they place a call there. What a router sends for this
+// depends on its own requests alone, some 50 bytes each, not on how many routers or endpoints there
+// are, and what it learns is a millisecond old. The owner also collects which routers cannot
+// connect to the endpoint, and notifies all once two could not.
 //
-// A keeper that is lost, or a new one that knows nothing yet, costs no call: the asker goes
-// by what its peers told of their calls, as it does for endpoints that do not count.
+// The loss of an owner, or a new one that has no count yet, fails no call: the router falls back on
+// the in-flight calls that its peers reported, as it does for endpoints that do not report counts.
 
 const (
-	// askTimeout bounds the wait for a keeper: a few ways between zones, and a busy peer's
-	// turn at its processor.
+	// askTimeout bounds the wait for an owner: a few transit delays between zones, and the
+	// scheduling delay on a busy peer.
 	askTimeout = 5 * time.Millisecond
-	// ownerBackoff is how long a keeper that did not answer in time is not asked again: one
-	// request a second then waits in vain for a router that is lost.
+	// ownerBackoff is how long an owner that did not answer in time is not queried again: then one
+	// request a second waits in vain for a lost router.
 	ownerBackoff = time.Second
-	// unknownCalls stands for a count that the keeper does not know.
+	// unknownCalls stands for a count that the owner does not know.
 	unknownCalls = 1<<32 - 1
 )
 
-// countKind is what a countMessage is for.
 type countKind uint8
 
 const (
 	countQuery countKind = iota + 1
 	countReply
 	countReport
-	// countUnreachable tells the keeper that its sender cannot reach the endpoint, countLost all that
-	// two could not.
+	// countUnreachable tells the owner that the sender cannot connect to the endpoint, countLost
+	// tells all routers that two could not.
 	countUnreachable
 	countLost
-	// countGrantRequest asks the keeper for one of Calls requests a second; it answers with
-	// countAnswered, whose Calls is 0 if it is granted, or else in how many ms to ask again.
+	// countGrantRequest asks the owner to grant one of Calls requests a second; it answers with
+	// countReply, whose Calls is 0 if it is granted, or else in how many ms to ask again.
 	countGrantRequest
-	// countDraining tells that the endpoint has announced that it leaves.
+	// countDraining says that the endpoint has announced its shutdown.
 	countDraining
-	// countReachable tells all that the keeper can connect to the endpoint again.
+	// countReachable says that the owner can connect to the endpoint again.
 	countReachable
 )
 
-// countMessage asks for an endpoint's calls, answers, or passes on what the endpoint said.
+// countMessage queries or reports the calls of an endpoint, or a change of its state.
 type countMessage struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     countKind
 	Endpoint uint64
-	// Calls are those asked for or passed on, with countLost for how many ms it is to be believed;
-	// Ask ties an answer to what it answers.
+	// Calls is the count, or for countLost how many ms the state lasts; Ask is the id of the query
+	// that a reply belongs to.
 	Calls uint32
 	Ask   uint32
 }
 
-// candidate is a router that may keep counts.
+// candidate is a router that may own counts.
 type candidate struct {
 	addr string
 	hash uint64
@@ -78,26 +77,26 @@
 	backoff *backoff
 }
 
-// backoff tells until when a keeper is not asked, in ns of the Unix epoch.
+// backoff holds the time before which a candidate is not queried, in ns of the Unix epoch.
 type backoff struct{ until atomic.Int64 }
 
-// counts is the part of a Group that asks for counts and keeps them.
+// counts is the part of a Group that queries and owns counts.
 type counts struct {
 	table      gauge.Table
 	candidates atomic.Pointer[[]candidate]
 	socket     atomic.Pointer[net.UDPConn]
-	// sentBytes are the bytes sent since the last tick.
+	// sentBytes is what has been sent since the last tick.
 	sentBytes atomic.Int64
 
 	mu        sync.Mutex // guards all below
 	lastQuery uint32
 	pending   map[uint32]chan uint32
-	// reconnecting are the endpoints that are looked after as they cannot be reached.
+	// reconnecting are the lost endpoints for which a reconnectLoop runs.
 	reconnecting map[uint64]bool
 }
 
-// updateCandidates works out who may keep counts: the routers that are alive, and this one. The lock is
-// held.
+// updateCandidates lists the candidates for owners: the routers that are alive, and this one. The
+// lock is held.
 func (gr *Group) updateCandidates() {
 	candidates := make([]candidate, 0, len(gr.members)+1)
 	candidates = append(candidates, candidate{addr: gr.Addr, hash: xxhash.Sum64String(gr.Addr)})
@@ -108,7 +107,7 @@
 		if me.udpAddr == nil {
 			to, err := net.ResolveUDPAddr("udp", addr)
 			if err != nil {
-				gr.Log.Warn("A peer's address makes no sense.", zap.String("Addr", addr), zap.Error(err))
+				gr.Log.Warn("A peer's address is invalid.", zap.String("Addr", addr), zap.Error(err))
 				continue
 			}
 			me.udpAddr = to
@@ -118,7 +117,7 @@
 	gr.counts.candidates.Store(&candidates)
 }
 
-// ownerOf is the router that keeps the endpoint's count; nil before the first tick.
+// ownerOf returns the router that owns the endpoint's count; nil before the first tick.
 func (gr *Group) ownerOf(endpoint uint64) *candidate {
 	all := gr.counts.candidates.Load()
 	if all == nil {
@@ -135,7 +134,7 @@
 	return best
 }
 
-// InFlight implements core.Counts.
+// InFlight implements core.InFlightCounts.
 func (gr *Group) InFlight(ctx context.Context, endpoint uint64) (int, bool) {
 	owner := gr.ownerOf(endpoint)
 	if owner == nil {
@@ -148,8 +147,8 @@
 	return int(calls), answered && calls != unknownCalls
 }
 
-// query asks a keeper and waits for its answer; false if none comes in time, or none came of
-// late.
+// query sends a query to an owner and waits for the reply. It returns false if none arrives in
+// time, or one timed out within ownerBackoff.
 func (gr *Group) query(ctx context.Context, owner *candidate, cm *countMessage) (uint32, bool) {
 	if time.Now().UnixNano() < owner.backoff.until.Load() {
 		return 0, false
@@ -166,13 +165,13 @@
 		return value, true
 	case <-timer.C:
 		owner.backoff.until.Store(time.Now().Add(ownerBackoff).UnixNano())
-		gr.Log.Info("A peer did not answer about an endpoint in time.", zap.String("Addr", owner.addr), zap.Duration("Waited", wait))
+		gr.Log.Info("The owner of an endpoint's count did not answer in time.", zap.String("Addr", owner.addr), zap.Duration("Waited", wait))
 	case <-ctx.Done():
 	}
 	return 0, false
 }
 
-// ReportInFlight implements core.Counts.
+// ReportInFlight implements core.InFlightCounts.
 func (gr *Group) ReportInFlight(endpoint uint64, calls int) {
 	owner := gr.ownerOf(endpoint)
 	switch {
@@ -184,7 +183,7 @@
 	}
 }
 
-// ReportDown implements core.Counts.
+// ReportDown implements core.InFlightCounts.
 func (gr *Group) ReportDown(endpoint uint64) {
 	owner := gr.ownerOf(endpoint)
 	switch {
@@ -196,8 +195,8 @@
 	}
 }
 
-// handleUnreachable takes that a router cannot reach an endpoint. Once two cannot, all are told; the keeper
-// finds out by itself whether it is one.
+// handleUnreachable records, at the owner, that a router cannot connect to an endpoint. Once two
+// cannot, all are notified; the owner also tries to connect itself.
 func (gr *Group) handleUnreachable(now time.Time, endpoint uint64, from string) {
 	if gr.counts.table.ReportUnreachable(now, endpoint, from) {
 		gr.broadcastLost(now, endpoint, from, place.UnreachableTTL)
@@ -207,13 +206,13 @@
 	}
 }
 
-// broadcastLost has all routers believe for some time that the endpoint cannot be reached.
+// broadcastLost has all routers treat the endpoint as lost for ttl.
 func (gr *Group) broadcastLost(now time.Time, endpoint uint64, from string, ttl time.Duration) {
 	gr.applyLost(now, endpoint, from, ttl)
 	gr.sendToAll(&countMessage{Kind: countLost, Endpoint: endpoint, Calls: uint32(ttl.Milliseconds())})
 }
 
-// sendToAll sends a message to all routers that are alive.
+// sendToAll sends a message to all peers that are alive.
 func (gr *Group) sendToAll(cm *countMessage) {
 	all := gr.counts.candidates.Load()
 	if all == nil {
@@ -226,28 +225,29 @@
 	}
 }
 
-// ReportDraining implements core.Counts. Each router that learns of it by an answer tells all, once for
-// each endpoint; a peer that the message does not reach learns of it by its own next answer. The
-// request whose answer told it does not wait for that.
+// ReportDraining implements core.InFlightCounts. Each router that learns of the shutdown from a
+// response notifies all others, once for each endpoint; a peer that the message does not reach learns
+// of it from its own next response. The request whose response announced it does not wait for that.
 func (gr *Group) ReportDraining(endpoint uint64) {
 	go gr.sendToAll(&countMessage{Kind: countDraining, Endpoint: endpoint})
 }
 
-// handleDraining takes a peer's word that an endpoint leaves.
+// handleDraining handles a peer's message that an endpoint has announced its shutdown.
 func (gr *Group) handleDraining(endpoint uint64, from string) {
 	if id, changed := gr.Placer.ApplyShutdown(endpoint); changed {
-		gr.Log.Info("A peer knows that an endpoint leaves.", zap.String("Endpoint", string(id)), zap.String("From", from))
+		gr.Log.Info("A peer reported that an endpoint is draining.", zap.String("Endpoint", string(id)), zap.String("From", from))
 	}
 }
 
-// applyLost takes that two routers cannot reach an endpoint.
+// applyLost records that an endpoint is lost: two routers, one of them perhaps its owner, cannot
+// connect to it.
 func (gr *Group) applyLost(now time.Time, endpoint uint64, from string, ttl time.Duration) {
 	id, accepted := gr.Placer.MarkUnreachable(now, endpoint, ttl)
 	gr.Log.Info("Two routers cannot reach an endpoint.", zap.String("Endpoint", string(id)), zap.String("From", from),
 		zap.Duration("For", ttl), zap.Bool("Believed", accepted))
 }
 
-// addPending prepares for the answer to an ask.
+// addPending registers a query, and returns its id and the channel for its reply.
 func (co *counts) addPending() (uint32, chan uint32) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -266,7 +266,7 @@
 	delete(co.pending, id)
 }
 
-// deliver hands an answer to who waits for it; one that comes late is dropped.
+// deliver passes a reply to the waiting query; a late one is dropped.
 func (co *counts) deliver(cm *countMessage) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -276,7 +276,6 @@
 	}
 }
 
-// handleCount takes a peer's countMessage.
 func (gr *Group) handleCount(now time.Time, from net.Addr, cm *countMessage) {
 	switch cm.Kind {
 	case countReport:
@@ -304,13 +303,13 @@
 		}
 		gr.sendCount(from, out)
 	default:
-		gr.Log.Warn("A peer's question makes no sense.", zap.String("Addr", from.String()), zap.Uint8("Kind", uint8(cm.Kind)))
+		gr.Log.Warn("Dropped a count message of unknown kind.", zap.String("Addr", from.String()), zap.Uint8("Kind", uint8(cm.Kind)))
 	}
 }
 
 func (gr *Group) sendCount(to net.Addr, cm *countMessage) { gr.sendOne(to, &message{Count: cm}) }
 
-// sendOne sends a message to one peer, at the cost of what is told of calls.
+// sendOne sends a message to one peer, at the expense of the byte budget of load reports.
 func (gr *Group) sendOne(to net.Addr, ms *message) {
 	socket := gr.counts.socket.Load()
 	if socket == nil {
@@ -323,6 +322,6 @@
 	}
 	gr.counts.sentBytes.Add(int64(len(data)))
 	if _, err = socket.WriteTo(data, to); err != nil {
-		gr.Log.Debug("Telling a peer failed.", zap.String("Addr", to.String()), zap.Error(err))
+		gr.Log.Debug("Sending a message to a peer failed.", zap.String("Addr", to.String()), zap.Error(err))
 	}
 }
--- a/io/gossip/counts_test.go
+++ b/io/gossip/counts_test.go
@@ -15,7 +15,7 @@
 	"almondrill/io/gossip"
 )
 
-// tickInterval is how often a router looks which others are alive.
+// tickInterval is how often a router updates which others are alive.
 const tickInterval = 100 * time.Millisecond
 
 func (ro *router) address(t *testing.T) net.Addr {
@@ -27,7 +27,7 @@
 	return addr
 }
 
-// meet starts routers that all have heard each other.
+// meet starts routers and waits until all are alive to each other.
 func meet(t *testing.T, count int) []*router {
 	t.Helper()
 	return meetWith(t, count, func(*gossip.Group) {})
@@ -45,20 +45,20 @@
 		}
 	}
 	for _, ro := range all {
-		eventually(t, "all routers hear each other", func() bool { return ro.Live() == count-1 })
+		eventually(t, "all routers are alive to each other", func() bool { return ro.Live() == count-1 })
 	}
-	time.Sleep(2 * tickInterval) // they count as keepers from the next tick
+	time.Sleep(2 * tickInterval) // they are candidates for owners from the next tick
 	return all
 }
 
-// Routers that place calls on one engine each pass on what it says and ask how many it has.
-// They all have to mean the same router by its keeper, and the second that asks has to hear of
-// the first one's call, or both fill the same gap.
+// Guards against routers that disagree on the owner of an engine's count, and against an owner that
+// does not count the call of the first router that queries it: two routers would fill the same free
+// slot.
 func TestRoutersAgreeOnOwner(t *testing.T) {
 	all := meet(t, 4)
 	ctx := context.Background()
 	for endpoint := range uint64(20) {
-		eventually(t, "what an endpoint said is told", func() bool {
+		eventually(t, "an endpoint's count is known to another router", func() bool {
 			all[endpoint%4].ReportInFlight(endpoint, 7)
 			_, known := all[(endpoint+1)%4].InFlight(ctx, endpoint)
 			return known
@@ -66,13 +66,13 @@
 		first, known := all[(endpoint+2)%4].InFlight(ctx, endpoint)
 		second, _ := all[(endpoint+3)%4].InFlight(ctx, endpoint)
 		if !known || second != first+1 {
-			t.Errorf("endpoint %d: %d calls are told, then %d, known %v; want one more", endpoint, first, second, known)
+			t.Errorf("endpoint %d: %d calls, then %d, known %v; want one more", endpoint, first, second, known)
 		}
 	}
 }
 
-// An endpoint's keeper loses power. Requests for it must not wait long for an answer that
-// does not come, nor each of them: after the first, the router goes by what it believes.
+// Guards against requests that wait long for the reply of an owner that has lost power. Only the
+// first waits; after that the router goes by its own estimate.
 func TestLostOwnerDelaysFewRequests(t *testing.T) {
 	const timeout = 5 * time.Millisecond
 	ro := start(t, 0)
@@ -82,43 +82,43 @@
 	}
 	defer lost.Close()
 	datagram := []byte("\xa1\x01\x01") // it knows revision 1
-	eventually(t, "the keeper is heard once", func() bool {
+	eventually(t, "the owner is alive", func() bool {
 		_, _ = lost.WriteTo(datagram, ro.address(t))
 		return ro.Live() == 1
 	})
-	time.Sleep(2 * tickInterval) // it counts as a keeper from the next tick
+	time.Sleep(2 * tickInterval) // it is a candidate for owner from the next tick
 	ctx := context.Background()
 	waited := 0
 	for endpoint := range uint64(100) {
 		began := time.Now()
 		if _, known := ro.InFlight(ctx, endpoint); known {
-			t.Fatal("a count is known that nobody told")
+			t.Fatal("a count is known that nobody reported")
 		}
 		if time.Since(began) >= timeout {
 			waited++
 		}
 	}
 	if waited == 0 {
-		t.Error("no request asked the lost keeper: the test shows nothing")
+		t.Error("no request queried the lost owner: the test shows nothing")
 	}
 	if waited > 3 {
-		t.Errorf("%d of 100 requests waited for a keeper that is lost", waited)
+		t.Errorf("%d of 100 requests waited for a lost owner", waited)
 	}
 }
 
-// A router that has just started knows no counts, and says so rather than that there are none:
-// taken for idle, a full engine would get all calls.
+// Guards against a router that has just started and reports 0 for counts that it does not know: a
+// full engine would be taken for idle and get all calls.
 func TestNewOwnerReportsUnknown(t *testing.T) {
 	all := meet(t, 2)
 	for endpoint := range uint64(10) {
 		if calls, known := all[0].InFlight(context.Background(), endpoint); known {
-			t.Errorf("endpoint %d is said to have %d calls, which nobody told", endpoint, calls)
+			t.Errorf("endpoint %d has %d calls, which nobody reported", endpoint, calls)
 		}
 	}
 }
 
-// Two routers find an engine down. The others are told, or each of them finds out by a
-// request of its own.
+// Two routers find an engine down. The others are notified, and need not find it out by requests of
+// their own.
 func TestLostEngineIsBroadcast(t *testing.T) {
 	all := meet(t, 4)
 	for _, ro := range all {
@@ -146,9 +146,9 @@
 	})
 }
 
-// A chat moves to another engine, and one of a hundred peers gets its next turn. What a router
-// sends is bounded, so that a peer has its turn every few seconds: told only of the latest
-// moves, most peers never hear of this one, and have the chat read anew elsewhere.
+// Guards against a move of a chat that most peers never learn of, so that they have its context
+// prefilled again elsewhere. What a router sends is bounded, so each peer gets a report every few
+// seconds, which must hold all moves since the last one to it, not just the latest.
 func TestMoveReachesEveryPeer(t *testing.T) {
 	const peers = 150
 	ro := start(t, 0)
@@ -174,11 +174,11 @@
 		}
 	}
 	if receivers < peers {
-		t.Errorf("%d of %d peers heard of the move", receivers, peers)
+		t.Errorf("%d of %d peers received the move", receivers, peers)
 	}
 }
 
-// moveChat places a chat away from its home.
+// moveChat places a chat away from its home endpoint.
 func moveChat(t *testing.T, ro *router) {
 	t.Helper()
 	parts := []place.Part{{Hash: 1, Tokens: 500}, {Hash: 2, Tokens: 500}, {Hash: 3, Tokens: 100}}
@@ -193,11 +193,11 @@
 		t.Fatal(re)
 	}
 	if len(ro.Placer.Moves(now, time.Time{})) == 0 {
-		t.Fatal("the chat did not leave its home: the test shows nothing")
+		t.Fatal("the chat did not leave its home endpoint: the test shows nothing")
 	}
 }
 
-// receivesMove tells whether a message with a move comes in time.
+// receivesMove reports whether a message with a move arrives in time.
 func receivesMove(pc net.PacketConn, until time.Time) bool {
 	_ = pc.SetReadDeadline(until)
 	buffer := make([]byte, 1500)
@@ -215,10 +215,10 @@
 	}
 }
 
-// An endpoint crashes while a router starts. Two peers that still take the one before for the
-// endpoint's keeper tell it, within the first tenth of a second, that they cannot reach it. The
-// new router does not know its peers yet; it must go on, or it ends at each start for as long
-// as endpoints crash: "invalid memory address", and its callers' connections are refused.
+// Guards against a panic (nil pointer) in a router that is notified of an unreachable endpoint
+// before it knows any peer. An endpoint crashes while the router starts, and two peers, which still
+// take the previous process at its address for the owner, notify it within the first 0.1 s. It
+// would crash at each start for as long as endpoints crash, and refuse its callers' connections.
 func TestLostEndpointDuringStart(t *testing.T) {
 	gr := &gossip.Group{Addr: "127.0.0.1:1", Placer: &place.Placer{Rand: clock.NewRand(1), RouterCount: func() int { return 1 }}, Log: zap.NewNop()}
 	gr.HandleUnreachable(7, "127.0.0.2")
--- a/io/gossip/down.go
+++ b/io/gossip/down.go
@@ -7,22 +7,23 @@
 	"almondrill/core/place"
 )
 
-// The keeper of an endpoint that a router cannot reach connects to it itself, and goes on doing so
-// while it cannot, each time after twice as long. All routers then know of a lost endpoint by one
-// request that found it, however few requests each endpoint gets, and need not find it again.
+// When a router cannot connect to an endpoint, the owner of its count tries to connect itself, and
+// repeats it with doubled delays while it cannot. All routers then learn of a lost endpoint from
+// the one request that found it, however few requests each endpoint gets, and need not find it
+// again.
 
 const (
-	// maxLostTTL is for how long, at most, an endpoint is believed to be lost without another word.
+	// maxLostTTL is how long, at most, an endpoint is treated as lost without another message.
 	maxLostTTL = 8 * time.Second
-	// recheckBefore is how long before the end of a belief the keeper looks again: a connection's
-	// timeout, and the way to all.
+	// recheckBefore is how long before that state expires the owner tries again: the timeout of a
+	// connection, and the transit delay to all routers.
 	recheckBefore = 500 * time.Millisecond
-	// maxReconnecting bounds the endpoints that a router looks after: a rack of hundreds may be lost
-	// with most routers.
+	// maxReconnecting bounds the endpoints that a router reconnects to: a rack of hundreds may be
+	// lost, along with most routers.
 	maxReconnecting = 256
 )
 
-// startReconnect tells whether the endpoint is to be looked after from now on.
+// startReconnect reports whether a reconnectLoop is to be started for the endpoint.
 func (co *counts) startReconnect(endpoint uint64) bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -42,7 +43,8 @@
 	delete(co.reconnecting, endpoint)
 }
 
-// reconnectLoop looks after an endpoint until it can be reached, is gone, or this router ends.
+// reconnectLoop tries to connect to an endpoint until it succeeds, the endpoint is gone, or this
+// router ends.
 func (gr *Group) reconnectLoop(endpoint uint64) {
 	defer gr.counts.endReconnect(endpoint)
 	announced := false
@@ -61,10 +63,11 @@
 	}
 }
 
-// broadcastReachable tells all that the endpoint can be reached again, if they were told that it cannot.
+// broadcastReachable notifies all that the endpoint can be reached again, if they were notified
+// that it cannot.
 func (gr *Group) broadcastReachable(endpoint uint64, announced bool) {
 	if !announced {
-		return // the router that could not reach it is alone with that
+		return // only the router that reported it could not reach it
 	}
 	gr.Placer.MarkReachable(endpoint)
 	gr.sendToAll(&countMessage{Kind: countReachable, Endpoint: endpoint})
--- a/io/gossip/down_test.go
+++ b/io/gossip/down_test.go
@@ -11,8 +11,9 @@
 	"almondrill/io/gossip"
 )
 
-// Guards against a large pool's lost endpoints that each router has to find, and again each second:
-// where an endpoint gets few requests, no two routers find it within the time that two have for that.
+// Guards against lost endpoints of a large pool that each router has to find for itself, again each
+// second. Where an endpoint gets few requests, no two routers find it within the time in which two
+// have to report it.
 func TestOneRequestDetectsLostEndpoint(t *testing.T) {
 	t.Parallel()
 	var lost atomic.Bool
@@ -45,26 +46,26 @@
 		return count
 	}
 	if timesChosen() == 0 {
-		t.Fatal("nobody chooses the endpoint before it is lost: the test shows nothing")
+		t.Fatal("no router chooses the endpoint before it is lost: the test shows nothing")
 	}
 	all[0].ReportDown(place.EndpointHash(endpoint, 0))
-	eventually(t, "nobody chooses the lost endpoint", func() bool { return timesChosen() == 0 })
+	eventually(t, "no router chooses the lost endpoint", func() bool { return timesChosen() == 0 })
 	for began := time.Now(); time.Since(began) < 4*place.UnreachableTTL; time.Sleep(50 * time.Millisecond) {
 		if got := timesChosen(); got > 0 {
 			t.Fatalf("chosen %d times again after %s, though it is still lost", got, time.Since(began))
 		}
 	}
 	if got := attempts.Load(); got > 5 {
-		t.Errorf("the keeper looked %d times in 4 s, want fewer and fewer", got)
+		t.Errorf("the owner tried to connect %d times in 4 s, want growing delays", got)
 	}
 	lost.Store(false)
-	time.Sleep(4 * time.Second) // the keeper's next look
+	time.Sleep(4 * time.Second) // the owner's next attempt
 	if timesChosen() == 0 {
-		t.Error("nobody chooses the endpoint after its return")
+		t.Error("no router chooses the endpoint after its return")
 	}
 }
 
-// Guards against a router that is cut off from an endpoint by itself and has all others avoid it.
+// Guards against a router that alone is cut off from an endpoint and makes all others avoid it.
 func TestEndpointUnreachableFromOneRouter(t *testing.T) {
 	t.Parallel()
 	all := meetWith(t, 3, func(gr *gossip.Group) {
--- a/io/gossip/fetch.go
+++ b/io/gossip/fetch.go
@@ -21,35 +21,36 @@
 	"almondrill/io/delta"
 )
 
-// ItemsPath is where a router tells what it knows of the store. The query tells what
-// the asker knows already, see ask.
+// ItemsPath serves the items of the store that this router knows. The query says what the client
+// has already, see fetchRequest.
 const ItemsPath = "/gossip/items"
 
 const (
-	// fetchTimeout bounds a fetch: a configuration of a megabyte, packed to a quarter,
-	// takes 200 ms on a link of 10 Mbit/s, and a busy peer some 100 ms.
+	// fetchTimeout bounds a fetch: a configuration of a megabyte, packed to a quarter, takes 200 ms
+	// on a link of 10 Mbit/s, and a busy peer some 100 ms.
 	fetchTimeout = time.Second
-	// maxItemsBytes bounds what is read of a peer's answer, and what comes out of it.
+	// maxItemsBytes bounds a peer's response, packed and unpacked.
 	maxItemsBytes = 8 << 20
 )
 
-// items is what a peer knows.
+// items is what a router knows of the store, all of it or the changes after a revision.
 type items struct {
 	AsOf  core.Version `cbor:"1,keyasint"`
 	Items []core.Item  `cbor:"2,keyasint"`
-	// Whole is set if Items are all there are: what is not among them is deleted.
+	// Whole is set if Items are complete: an item that is not among them is deleted.
 	Whole bool `cbor:"3,keyasint,omitempty"`
 }
 
-// packedResponse is a peer's answer: items, packed against a value that the asker has.
+// packedResponse is a peer's response: items, packed against a value that the client has.
 type packedResponse struct {
 	// Base is the revision of that value, 0 if there is none.
 	Base   core.Version `cbor:"1,keyasint,omitempty"`
 	Packed []byte       `cbor:"2,keyasint"`
 }
 
-// fetchRequest is what a router tells when it fetches: the revision up to which it knows all, and
-// its largest item, the operator's configuration as a rule, to pack the answer against.
+// fetchRequest is what a router sends to fetch updates: the revision up to which it knows
+// everything, and its largest item, usually the operator's configuration, to pack the response
+// against.
 type fetchRequest struct {
 	After core.Version
 	Key   string
@@ -65,24 +66,24 @@
 func parseFetchRequest(query url.Values) (fetchRequest, error) {
 	after, err := strconv.ParseUint(query.Get("After"), 10, 64)
 	if err != nil {
-		return fetchRequest{}, fmt.Errorf("no revision in After: %q", query.Get("After"))
+		return fetchRequest{}, fmt.Errorf("invalid revision in After: %q", query.Get("After"))
 	}
 	rev, err := strconv.ParseUint(cmp.Or(query.Get("Rev"), "0"), 10, 64)
 	if err != nil {
-		return fetchRequest{}, fmt.Errorf("no revision in Rev: %q", query.Get("Rev"))
+		return fetchRequest{}, fmt.Errorf("invalid revision in Rev: %q", query.Get("Rev"))
 	}
 	return fetchRequest{core.Version(after), query.Get("Key"), core.Version(rev)}, nil
 }
 
-// responseCache are the answers that were made of the mirror at one revision. After a change,
-// peers ask for the same within a fraction of a second.
+// responseCache holds the responses that were packed for one revision of the mirror. After a
+// change, peers send the same request within a fraction of a second.
 type responseCache struct {
-	mu     sync.Mutex // guards all below, and lets one goroutine at a time pack
+	mu     sync.Mutex // guards all below; packing happens under it, one response at a time
 	asOf   core.Version
 	packed map[fetchRequest][]byte
 }
 
-// maxResponses bounds the answers kept; peers are rarely behind by different amounts.
+// maxResponses bounds the cached responses; peers are rarely behind by many different amounts.
 const maxResponses = 16
 
 func (rc *responseCache) get(fr fetchRequest, mi *mirror.Mirror) ([]byte, error) {
@@ -114,7 +115,7 @@
 	return data, err
 }
 
-// Handler tells what this router knows of the store.
+// Handler serves what this router knows of the store, at ItemsPath.
 func (gr *Group) Handler() http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, hr *http.Request) {
 		fr, err := parseFetchRequest(hr.URL.Query())
@@ -124,11 +125,11 @@
 		}
 		data, err := gr.responses.get(fr, gr.Mirror)
 		if err != nil {
-			gr.Log.Error("Packing news for a peer failed.", zap.Stringer("After", fr.After), zap.Error(err))
+			gr.Log.Error("Packing changes for a peer failed.", zap.Stringer("After", fr.After), zap.Error(err))
 			http.Error(wr, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		_, _ = wr.Write(data) // a peer that is gone asks another
+		_, _ = wr.Write(data) // a peer that has disconnected asks another one
 	})
 }
 
@@ -137,14 +138,14 @@
 	Transport: &http.Transport{DisableKeepAlives: true},
 }
 
-// fetchUpdates fetches what the peer that knows most knows beyond the own mirror, also while
-// the own first listing waits for a store that is silent: a peer's answer is the first to
-// come then.
+// fetchUpdates fetches what a peer knows beyond this router's mirror. It does so also while the
+// first listing waits for a store that does not respond: the peer's response is the first to arrive
+// then.
 func (gr *Group) fetchUpdates(ctx context.Context) {
 	ownRev := gr.Mirror.AsOf()
 	if ownRev == 0 && !gr.Feed.Unresponsive() {
-		// The own listing is on its way. Where hundreds start at once, the first that
-		// knows anything would be asked for all of it by all others.
+		// The first listing is in progress. Where hundreds of routers start at once, all others
+		// would fetch the whole state from the first one that has it.
 		return
 	}
 	addr, confirmed := gr.pickAhead(ownRev)
@@ -162,18 +163,18 @@
 		gr.fetching = false
 		gr.mu.Unlock()
 		if err != nil {
-			gr.Log.Warn("Fetching news from a peer failed.", zap.String("Addr", addr), zap.Error(err))
+			gr.Log.Warn("Fetching changes from a peer failed.", zap.String("Addr", addr), zap.Error(err))
 			return
 		}
 		gr.Feed.Confirm(time.Since(confirmed))
 	}()
 }
 
-// pickAhead is the address of a peer that knows a revision beyond own, and when the store
-// confirmed it; "" if none does or a fetch is under way.
+// pickAhead returns the address of a random peer with a revision beyond ownRev, and when the store
+// confirmed that; "" if there is none or a fetch is in progress.
 //
-// It is drawn among all that are ahead: hundreds of routers that have just started would all ask
-// the one that knows most, whose link could not serve them within fetchTimeout.
+// It draws among all that are ahead: hundreds of routers that have just started would all ask the
+// one with the latest revision, whose link could not serve them within fetchTimeout.
 func (gr *Group) pickAhead(ownRev core.Version) (string, time.Time) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -192,7 +193,7 @@
 	return gr.pickOne(candidates)
 }
 
-// pickOne draws the peer that is asked next.
+// pickOne draws the peer to fetch from, and marks the fetch as in progress.
 func (gr *Group) pickOne(candidates []string) (string, time.Time) {
 	gr.fetching = true
 	addr := candidates[gr.Rand.Uint64()%uint64(len(candidates))]
@@ -206,11 +207,12 @@
 	return gr.InForce()
 }
 
-// minFullFetchInterval is the least time between two fetches of all that a peer knows.
+// minFullFetchInterval is the minimum interval between two fetches of a peer's whole state.
 const minFullFetchInterval = time.Second
 
-// pickAheadInConfig is ahead for a peer with a later configuration in force. This router may know as
-// much of the store, which came back from a copy before the configuration was accepted.
+// pickAheadInConfig is pickAhead for a peer with a later configuration in force. This router's
+// revision may be as high as the peer's, where the store was restored from a backup made before the
+// configuration was accepted.
 func (gr *Group) pickAheadInConfig() (string, time.Time) {
 	ownConfig := gr.configInForce()
 	gr.mu.Lock()
@@ -231,7 +233,7 @@
 	return gr.pickOne(candidates)
 }
 
-// fetch takes over what a peer knows beyond a revision.
+// fetch applies to the mirror what a peer knows beyond a revision.
 func (gr *Group) fetch(ctx context.Context, addr string, after core.Version) error {
 	base := gr.Mirror.Largest()
 	its, size, err := fetchItems(ctx, addr, &fetchRequest{after, base.Key, base.Rev}, base.Value)
@@ -246,16 +248,16 @@
 	} else {
 		gr.Mirror.Apply(its.Items, its.AsOf)
 	}
-	gr.Log.Info("Learned from a peer.", zap.String("Addr", addr), zap.Int("Items", len(its.Items)), zap.Bool("Whole", its.Whole),
+	gr.Log.Info("Fetched changes from a peer.", zap.String("Addr", addr), zap.Int("Items", len(its.Items)), zap.Bool("Whole", its.Whole),
 		zap.Int("Bytes", size), zap.Stringer("After", after), zap.Stringer("AsOf", its.AsOf))
 	return nil
 }
 
-// errBase: an answer cannot be unpacked. The peer may have another value under the version that it was
-// packed against, where the store came back from a copy.
-var errBase = errors.New("unpack a peer's parcel")
+// errBase: a response cannot be unpacked. If the store was restored from a backup, the peer may
+// have another value under the version that the response is packed against.
+var errBase = errors.New("unpack a peer's response")
 
-// fetchItems asks a peer, and returns the size of its answer too.
+// fetchItems sends a request to a peer, and also returns the size of the response.
 func fetchItems(ctx context.Context, addr string, fr *fetchRequest, base []byte) (*items, int, error) {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+ItemsPath+"?"+fr.query(), nil)
 	if err != nil {
@@ -267,22 +269,22 @@
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode != http.StatusOK {
-		return nil, 0, fmt.Errorf("peer answered %s", rs.Status)
+		return nil, 0, fmt.Errorf("peer responded with status %s", rs.Status)
 	}
 	data, err := io.ReadAll(io.LimitReader(rs.Body, maxItemsBytes))
 	if err != nil {
-		return nil, 0, fmt.Errorf("read a peer's items: %w", err)
+		return nil, 0, fmt.Errorf("read a peer's response: %w", err)
 	}
 	var packed packedResponse
 	if err = cbor.Unmarshal(data, &packed); err != nil {
-		return nil, 0, fmt.Errorf("decode a peer's parcel: %w", err)
+		return nil, 0, fmt.Errorf("decode a peer's response: %w", err)
 	}
 	switch packed.Base {
 	case 0:
 		base = nil
 	case fr.Rev:
 	default:
-		return nil, 0, fmt.Errorf("a peer packed against version %s, asked for %s", packed.Base, fr.Rev)
+		return nil, 0, fmt.Errorf("peer packed against version %s, requested %s", packed.Base, fr.Rev)
 	}
 	plain, err := delta.Unpack(packed.Packed, base, maxItemsBytes)
 	if err != nil {
--- a/io/gossip/fetch_test.go
+++ b/io/gossip/fetch_test.go
@@ -11,7 +11,7 @@
 	"almondrill/io/gossip"
 )
 
-// configuration is a large document whose lines are hard to compress.
+// configuration is a large document with lines that hardly compress.
 func configuration(change int) []byte {
 	var out bytes.Buffer
 	for ix := range 1000 {
@@ -24,7 +24,7 @@
 	return out.Bytes()
 }
 
-// responseSize is the size of a router's answer to that query.
+// responseSize is the size of a router's response to that query.
 func responseSize(t *testing.T, ro *router, query string) int {
 	t.Helper()
 	rs, err := http.Get("http://" + ro.Addr + gossip.ItemsPath + "?" + query)
@@ -39,10 +39,9 @@
 	return len(data)
 }
 
-// Changes of a large configuration come in quick succession. Two routers have them from
-// the store, two dozen others fetch them from these over links of 10 Mbit/s. If each
-// fetches all of it, the links are full for seconds, and news of an endpoint that leaves
-// comes too late.
+// Guards against fetches of a large configuration in full for each of several quick changes. Two
+// routers have them from the store, and two dozen others fetch them from these over links of 10
+// Mbit/s, which would be full for seconds, so that updates about draining endpoints arrive late.
 func TestChangeOfLargeDocumentIsSentInFewBytes(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	two.Add(one.Addr)
--- a/io/gossip/fuzz_test.go
+++ b/io/gossip/fuzz_test.go
@@ -12,8 +12,8 @@
 	"almondrill/io/gossip"
 )
 
-// Whatever comes from a peer's port, of another version or damaged, must not end a router: the
-// peer sends it again at each start.
+// No datagram, invalid or of another version, may crash a router: the peer would send it again at
+// each start.
 func FuzzHear(f *testing.F) {
 	for _, body := range []any{
 		map[int]any{1: 7, 2: []byte{1, 2, 3}, 5: []string{"127.0.0.1:1"}, 6: []any{[]any{1, 2, 3}}, 7: []byte{1, 2, 3, 4, 5, 6}},
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -1,18 +1,18 @@
-// Package gossip lets the routers of a region tell each other little and often:
-// their calls in progress, how many calls endpoints have, and how far they know the store's
-// changes.
+// Package gossip exchanges state between the routers of a region: their calls in progress, how many
+// calls endpoints have, and up to which revision they know the platform's store.
 //
 // # Concepts
 //
-// A router sends a short datagram to its peers several times a second. One that the
-// store turns away sees from it that a peer knows more, and fetches what it
-// lacks over HTTP. Peers are found through the store, through the seeds of the
-// settings, and through the peers that a datagram names. Which of them are alive is core/swim's
-// to decide, which of them ask the store core/lead's.
+// A router sends a short datagram to its peers several times a second. A router that is cut off
+// from the store sees from it that a peer has a later revision, and fetches what it lacks over
+// HTTP. Peers are found through the store, through the seeds in the settings, and through the peers
+// that a datagram names. Package core/swim decides which of them are alive, core/elect which of
+// them watch the store.
 //
 // # Invariants
 //
-//   - What is sent of calls and to probe peers stays within callsBytes, however many peers there are.
+//   - What is sent about calls and to probe peers stays within maxCallsBytesPerSecond, however many
+//     peers there are.
 //
 // # Usage
 //
@@ -43,123 +43,124 @@
 )
 
 const (
-	// tickInterval is how often peers are told. Each hears at most once in leastGap: calls
-	// last a second or more, and a message takes a millisecond.
+	// tickInterval is how often load reports are sent, minSendInterval the minimum time between two
+	// to the same peer. Calls last a second or more, and a message takes a millisecond.
 	tickInterval    = 100 * time.Millisecond
 	minSendInterval = 200 * time.Millisecond
-	// maxCallsBytesPerSecond bounds what a router sends of its calls in a second, bodies of
-	// datagrams; the budget of a node is 5 KB/s for all of control. What is sent to ask for
-	// counts goes before what is told. With 26 routers each hears each every 0.4 s.
+	// maxCallsBytesPerSecond bounds the datagram bodies that a router sends about calls; the budget
+	// of a node is 5 KB/s for all control traffic. Queries for counts take precedence over load
+	// reports. With 26 routers each receives a report from each other one every 0.4 s.
 	maxCallsBytesPerSecond = 3300
-	// updateFanout is how many peers are told at once that there is news of the store.
-	// Those tell others in turn: 420 routers hear of it in three rounds of a tick.
+	// updateFanout is how many peers are notified at once of a new revision of the store. They
+	// notify others in turn: 420 routers learn of it within three ticks.
 	updateFanout = 64
-	// startGrace is how long a router leaves asking the store to those that newcomers know of,
-	// unless it is one of these or has begun to ask: it knows few peers yet, and so do all others
-	// where all start.
+	// startGrace is how long after its start a router leaves watching the store to the announced
+	// routers, which a joining router finds first, unless it is announced itself or has begun to
+	// watch: it knows few peers yet, and where all routers start at once, so do the others.
 	startGrace = 1200 * time.Millisecond
-	// maxAnnouncers is how many routers are to be found through the store: enough for a newcomer
-	// to reach one, also after the loss of a zone or two, whatever the number of routers.
+	// maxAnnouncers is how many routers can be found through the store, whatever the number of
+	// routers: enough for a joining router to reach one, even after the loss of a zone or two.
 	maxAnnouncers = 8
-	// exchangeTicks is how often, in ticks, a router introduces itself to introTo
-	// peers, with what it has heard from engines and whom it knows: some 600 bytes.
+	// exchangeTicks is how often, in ticks, a router sends a peer exchange to exchangeFanout peers:
+	// its id, the call counts that engines reported, and addresses of peers, some 600 bytes.
 	exchangeTicks  = 12
 	exchangeFanout = 2
-	// unsettledExchangeTicks is how often, in ticks, a router introduces itself that may not know all peers yet.
+	// unsettledExchangeTicks is how often, in ticks, a router does so while it may not know all
+	// peers.
 	unsettledExchangeTicks = 3
-	// maxJoinReplies is how many newcomers are greeted in a tick; a greeting is a datagram.
+	// maxJoinReplies is how many joining peers get a reply in a tick, one datagram each.
 	maxJoinReplies = 20
 	// probeTicks is swim.Period in ticks.
 	probeTicks = int(swim.Period / tickInterval)
-	// deadPeerWindow is how long a peer that is taken for dead counts among the routers that share
-	// the endpoints: it may be cut off, and serve callers still.
+	// deadPeerWindow is how long a dead peer still counts among the routers that share the
+	// endpoints: it may be cut off and still serve callers.
 	deadPeerWindow = 30 * time.Second
-	// isolatedAfter is how long no peer may be heard before this router asks the store without
-	// waiting for others.
+	// isolatedAfter is how long after the last message from any peer a router calls the store
+	// without waiting for others.
 	isolatedAfter = time.Second
-	// maxDatagram keeps a message within one frame.
+	// maxDatagram keeps a message within one Ethernet frame.
 	maxDatagram = 1400
-	// maxExchangePeers is how many other peers an introduction names, mostGreeting a greeting, each some
-	// 7 bytes.
+	// maxExchangePeers is how many peers a peer exchange names, maxJoinReplyPeers a join reply;
+	// some 7 bytes each.
 	maxExchangePeers  = 20
 	maxJoinReplyPeers = 120
-	// maxRumors is how many rumors go with a message, some 12 bytes each.
+	// maxRumors is how many rumors a message carries, some 12 bytes each.
 	maxRumors = 16
-	// maxAgeMs bounds the age that is told, an hour; beyond seconds it makes no
-	// difference.
+	// maxAgeMs bounds the ages in messages, to an hour; beyond seconds an age makes no difference.
 	maxAgeMs = 3_600_000
 	// minTransitDelay is the least time that a message takes between zones.
 	minTransitDelay = time.Millisecond
 )
 
-// message is what a router tells. Its sender is known by its address; most
-// messages hold only AsOf and Calls.
+// message is the content of a datagram. Its sender is identified by its address. Most messages hold
+// only AsOf and Calls.
 type message struct {
 	AsOf core.Version `cbor:"1,keyasint,omitempty"`
-	// Calls are the own calls in progress, see place.Tell.
+	// Calls are the sender's calls in progress, see place.Placer.LoadReport.
 	Calls []byte `cbor:"2,keyasint,omitempty"`
-	// AgeMs is how long ago the store confirmed AsOf. Failing is set if the sender's
-	// calls to the store fail.
+	// AgeMs is the time since the store confirmed AsOf. Failing is set if the sender's calls to the
+	// store fail.
 	AgeMs   uint32 `cbor:"8,keyasint,omitempty"`
 	Failing bool   `cbor:"9,keyasint,omitempty"`
-	// Moves are chats placed away from their homes, see place.Moves.
+	// Moves are chats placed away from their home endpoints, see place.Placer.Moves.
 	Moves []byte `cbor:"7,keyasint,omitempty"`
 	// Leaving is set in the last messages of a process.
 	Leaving bool `cbor:"3,keyasint,omitempty"`
-	// From introduces the sender; Peers are addresses of others that are alive to it, Readings
-	// engines' own counts of their calls.
+	// From, in peer exchanges, is the id of the sender; Peers are addresses of other routers that
+	// are alive to it, Readings the counts of calls that engines reported.
 	From     core.VMID       `cbor:"4,keyasint,omitempty"`
 	Peers    []packedAddr    `cbor:"14,keyasint,omitempty"`
 	Readings []place.Reading `cbor:"6,keyasint,omitempty"`
-	// PeersHeard is how many peers the sender heard of late, Config the version of the configuration that
-	// is in force there, both in introductions.
+	// PeersHeard is how many peers are alive to the sender, Config the version of its configuration
+	// in force; both are set in peer exchanges.
 	PeersHeard uint16        `cbor:"12,keyasint,omitempty"`
 	Config     route.Version `cbor:"13,keyasint,omitempty"`
 	// Count is set in messages about one endpoint's calls, which hold nothing else.
 	Count *countMessage `cbor:"10,keyasint,omitempty"`
 	// Crash is set in messages about a request that crashes endpoints, which hold nothing else.
 	Crash *crashNotice `cbor:"11,keyasint,omitempty"`
-	// Probe is set in messages that probe a peer, which hold nothing else but Rumors. Incarnation
-	// is the sender's.
+	// Probe is set in messages that probe a peer, which otherwise hold only Rumors and Incarnation.
+	// Incarnation is the sender's.
 	Probe       *probeMessage    `cbor:"15,keyasint,omitempty"`
 	Rumors      []rumor          `cbor:"16,keyasint,omitempty"`
 	Incarnation swim.Incarnation `cbor:"17,keyasint,omitempty"`
-	// Watchers are the routers that ask the store, see packFollowers.
+	// Watchers are the elected watchers of the store, see packWatchers.
 	Watchers []byte `cbor:"18,keyasint,omitempty"`
 }
 
-// Feed is what a router knows of the store, and how old it is.
+// Feed reports how current this router's mirror of the store is.
 type Feed interface {
-	// Age is how long ago what is known was confirmed; Confirm takes a peer's word.
+	// Age is the time since the store confirmed the mirror; Confirm records a peer's report of
+	// that.
 	Age() time.Duration
 	Confirm(age time.Duration)
-	// Failing tells whether the own calls fail, Silent whether they fail or nothing has
-	// come for longer than it takes as a rule.
+	// Failing reports whether this router's calls to the store fail, Unresponsive whether they fail
+	// or nothing has been received for longer than is usual.
 	Failing() bool
 	Unresponsive() bool
-	// OwnAge is how long ago an own call was answered.
+	// OwnAge is the time since one of this router's calls was answered.
 	OwnAge() time.Duration
 }
 
-// Group is the routers that this one knows. Set the exported fields before use.
+// Group holds the routers that this one knows. Set the exported fields before use.
 type Group struct {
 	Self core.VMID
-	// Addr is where the own process listens, over UDP and TCP.
+	// Addr is where this process listens, over UDP and TCP.
 	Addr   string
 	Mirror *mirror.Mirror
 	Placer *place.Placer
 	Rand   core.Rand
 	Log    *zap.Logger
-	// Feed is what this router knows of the store.
+	// Feed is this router's connection to the store.
 	Feed Feed
-	// Blamed takes what peers tell of requests that crash endpoints; nil if nobody asks.
+	// Blamed handles peers' notices of requests that crash endpoints; may be nil.
 	Blamed func(now time.Time, from string, no core.CrashNotice)
-	// InForce tells the version of the configuration in force here; nil if there is none.
+	// InForce returns the version of the configuration in force here; nil if there is none.
 	InForce func() route.Version
-	// Reach tells whether a connection to an endpoint can be made, by its hash; known is false for
-	// one that is gone. Nil if nobody finds out.
+	// Reach reports whether a connection to an endpoint, given by its hash, can be made; known is
+	// false if the endpoint is gone. May be nil: then lost endpoints are not reconnected to.
 	Reach func(ctx context.Context, endpoint uint64) (reached, known bool)
-	// AskTimeout bounds the wait for an endpoint's count, askTimeout if it is 0.
+	// AskTimeout bounds the wait for the owner of an endpoint's count; askTimeout if it is 0.
 	AskTimeout time.Duration
 
 	responses  responseCache
@@ -169,40 +170,41 @@
 	members    map[string]*member
 	membership swim.Table
 	watchers   elect.Table
-	// started is when Run did, grown when a member was last added, announced when the own address
-	// was first found in the store.
+	// started is the first tick of Run, lastAdded when a member was last added, announced when the
+	// own address was first found in the store.
 	started, lastAdded, announced time.Time
 	fetching                      bool // a fetch is under way
-	// lastFullFetch is when all that a peer knows was last asked for.
+	// lastFullFetch is when the whole state of a peer was last asked for.
 	lastFullFetch time.Time
 	ticks         int
-	// broadcastRev is the latest revision that was told at once.
+	// broadcastRev is the latest revision that was sent to peers immediately.
 	broadcastRev core.Version
-	// joining are peers that were not heard before, to be introduced to.
+	// joining are peers that know fewer others than this router, and get a join reply.
 	joining []string
 }
 
-// member is a peer, by its address.
+// member is what is known of a peer.
 type member struct {
 	id core.VMID
-	// hash is that of its address, by which routers are ordered.
+	// hash is the hash of its address, by which routers are ordered.
 	hash     uint64
 	lastSent time.Time
 	asOf     core.Version
-	// confirmed is when the store confirmed asOf, as the peer told.
+	// confirmed is when the store confirmed asOf, as the peer reported.
 	confirmed time.Time
 	failing   bool
 	leaving   bool
-	// peersHeard is how many peers it heard of late, as it told.
+	// peersHeard is how many peers are alive to it, as it reported.
 	peersHeard uint16
-	// config is the version of the configuration in force there, as it told.
+	// config is the version of its configuration in force, as it reported.
 	config route.Version
-	// udpAddr is addr resolved, nil until it is needed; mutes is set while it does not answer.
+	// udpAddr is its resolved address, nil until it is needed; backoff is set while it does not
+	// answer.
 	udpAddr *net.UDPAddr
 	backoff backoff
 }
 
-// Add makes an address known. The own one tells that others can find this router.
+// Add adds a peer's address. The own one shows that others can find this router through the store.
 func (gr *Group) Add(addr string) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -230,25 +232,25 @@
 	return me
 }
 
-// Live is how many peers are alive.
+// Live is how many peers are alive, including suspected ones.
 func (gr *Group) Live() int {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	return gr.membership.Live()
 }
 
-// Routers is how many routers there may be, this one included: all that are alive, were until
-// lately, or are known but were not heard yet.
+// Routers is an upper estimate of the number of routers, this one included: all that are alive,
+// were until recently, or are known but have not been heard yet.
 func (gr *Group) Routers() int {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	return 1 + gr.membership.CountNotLongDead(time.Now(), deadPeerWindow)
 }
 
-// ShouldAnnounce tells whether this router is one of those that are to be found through the store.
+// ShouldAnnounce reports whether this router is one of those that announce themselves in the store.
 //
-// Each announcement is two calls to the store, a renewal now and then, and a change that all
-// are told of. Peers name each other, so that whoever finds one finds all.
+// Each announcement costs two calls to the store, a renewal now and then, and a change that every
+// router receives. Peers name each other, so a joining router that finds one finds all.
 func (gr *Group) ShouldAnnounce() bool {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -257,8 +259,8 @@
 
 func anyMember(*member) bool { return true }
 
-// rank is how many live peers come before this router in the order of their addresses' hashes,
-// of those that count and are not leaving.
+// rank is how many live peers precede this router in the order of their addresses' hashes, of those
+// that include accepts and that are not leaving.
 func (gr *Group) rank(include func(me *member) bool) int {
 	own, preceding := xxhash.Sum64String(gr.Addr), 0
 	for addr, me := range gr.members {
@@ -301,7 +303,7 @@
 	}
 }
 
-// receive takes messages until the socket is closed.
+// receive handles messages until the socket is closed.
 func (gr *Group) receive(pc net.PacketConn) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -310,18 +312,18 @@
 			return
 		}
 		if err != nil {
-			gr.Log.Warn("Reading a message of a peer failed.", zap.Error(err))
+			gr.Log.Warn("Reading a message from a peer failed.", zap.Error(err))
 			continue
 		}
 		gr.handleDatagram(time.Now(), from, buffer[:count])
 	}
 }
 
-// handleDatagram takes a message as it came.
+// handleDatagram decodes a message and passes it to its handler.
 func (gr *Group) handleDatagram(now time.Time, from net.Addr, data []byte) {
 	var ms message
 	if err := cbor.Unmarshal(data, &ms); err != nil {
-		gr.Log.Warn("A message of a peer makes no sense.", zap.String("Addr", from.String()), zap.Error(err))
+		gr.Log.Warn("Dropped an invalid message from a peer.", zap.String("Addr", from.String()), zap.Error(err))
 		return
 	}
 	switch {
@@ -336,8 +338,8 @@
 	}
 }
 
-// handleUpdate takes a message. The mirror and the placer are called without the lock: both
-// ask the group for things while they hold their own.
+// handleUpdate handles a load report or a peer exchange. The mirror and the placer are called
+// without the lock: both call the group while they hold their own locks.
 func (gr *Group) handleUpdate(now time.Time, from string, ms *message) {
 	confirmed := now.Add(-time.Duration(ms.AgeMs) * time.Millisecond)
 	if !gr.recordSender(now, confirmed, from, ms) {
@@ -351,7 +353,8 @@
 	gr.Placer.ApplyReadings(now, minTransitDelay, ms.Readings)
 }
 
-// recordSender keeps what a message tells of its sender and of others; false if it is this router.
+// recordSender records what a message says of its sender and of others. It returns false if the
+// sender is this router.
 func (gr *Group) recordSender(now, confirmed time.Time, from string, ms *message) bool {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -361,7 +364,7 @@
 	}
 	gr.applyRumors(now, from, ms)
 	if ms.Leaving && !me.leaving {
-		gr.Log.Info("A peer leaves.", zap.String("Peer", string(me.id)), zap.String("Addr", from))
+		gr.Log.Info("A peer is shutting down.", zap.String("Peer", string(me.id)), zap.String("Addr", from))
 	}
 	if ms.From != "" {
 		me.id, me.peersHeard, me.config = ms.From, ms.PeersHeard, ms.Config
@@ -379,14 +382,15 @@
 	return true
 }
 
-// dropForgotten drops peers that have long been dead, and lists those that may keep counts.
+// dropForgotten removes the peers that core/swim has forgotten, and updates the candidates for
+// owners.
 func (gr *Group) dropForgotten() {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	for addr, me := range gr.members {
 		if !gr.membership.Known(addr) {
 			delete(gr.members, addr)
-			gr.Log.Info("Forgets a peer.", zap.String("Peer", string(me.id)), zap.String("Addr", addr))
+			gr.Log.Info("Removed a peer.", zap.String("Peer", string(me.id)), zap.String("Addr", addr))
 		}
 	}
 	gr.updateCandidates()
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -19,7 +19,7 @@
 	"almondrill/io/gossip"
 )
 
-// fakeFeed is what a test says of the store.
+// fakeFeed is a gossip.Feed that the test controls.
 type fakeFeed struct {
 	confirmed atomic.Int64
 	failing   atomic.Bool
@@ -29,7 +29,7 @@
 	return time.Since(time.Unix(0, fe.confirmed.Load()))
 }
 
-// Confirm takes only what is newer, as the real one does.
+// Confirm keeps the latest confirmation, as watch.Reader does.
 func (fe *fakeFeed) Confirm(age time.Duration) {
 	if at := time.Now().Add(-age).UnixNano(); at > fe.confirmed.Load() {
 		fe.confirmed.Store(at)
@@ -40,17 +40,17 @@
 
 func (fe *fakeFeed) OwnAge() time.Duration { return time.Hour }
 
-// router is a peer on loopback, with its datagrams and its news on one port.
+// router is a router on loopback, with its UDP and TCP sockets on one port.
 type router struct {
 	*gossip.Group
 	feed *fakeFeed
-	// cancel ends its exchange of messages.
+	// cancel ends Run.
 	cancel  context.CancelFunc
 	done    chan struct{}
 	stopped bool
 }
 
-// stop ends the router's exchange of messages.
+// stop ends Run and waits for it.
 func (ro *router) stop() {
 	ro.cancel()
 	<-ro.done
@@ -70,7 +70,7 @@
 	gr := &gossip.Group{
 		Self: core.VMID(fmt.Sprint("r", ix)), Mirror: &mirror.Mirror{}, Feed: fe, Rand: clock.NewRand(uint64(ix)), Log: zap.NewNop(),
 		Placer:     &place.Placer{Zone: "a", Rand: clock.NewRand(1), RouterCount: func() int { return 1 }},
-		AskTimeout: time.Second, // beside other programs, an answer may take long
+		AskTimeout: time.Second, // on a busy machine, a reply may take long
 	}
 	gr.Placer.Register(time.Now(), place.Endpoint{ID: "e", Addr: "127.0.0.1:1", Pool: "pool", Slots: 8})
 	srv := httptest.NewUnstartedServer(gr.Handler())
@@ -107,19 +107,19 @@
 	t.Error("not within 3 s:", what)
 }
 
-// Routers that know one seed find each other; then each knows of the others' calls.
+// Routers that know one seed find each other; then each learns of the others' calls.
 func TestRoutersFindEachOther(t *testing.T) {
 	routers := []*router{start(t, 0), start(t, 1), start(t, 2)}
 	for _, ro := range routers[1:] {
 		ro.Add(routers[0].Addr)
 	}
 	for _, ro := range routers {
-		eventually(t, "all hear all", func() bool { return ro.Live() == 2 })
+		eventually(t, "all routers are alive to each other", func() bool { return ro.Live() == 2 })
 	}
 	if _, re := routers[0].Placer.Pick(time.Now(), &place.Request{Pool: "pool"}); re != nil {
 		t.Fatal(re)
 	}
-	eventually(t, "a peer knows of the call", func() bool {
+	eventually(t, "a peer learns of the call", func() bool {
 		tk, re := routers[2].Placer.Pick(time.Now(), &place.Request{Pool: "pool"})
 		if re != nil {
 			return false
@@ -129,28 +129,28 @@
 	})
 }
 
-// The store turns one router away while keys are revoked. It learns of the change from
-// its peer, or goes on serving callers whose key was taken away.
+// Guards against a router that the store rejects while keys are revoked, and that goes on serving
+// callers whose key was revoked. It has to learn of the change from its peer.
 func TestUpdatesComeFromPeers(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	two.Add(one.Addr)
 	two.feed.failing.Store(true)
 	one.Mirror.Replace([]core.Item{{Key: "a", Rev: 3, Value: []byte("x")}}, 4)
-	eventually(t, "the news arrived", func() bool { return two.Mirror.AsOf() == 4 })
+	eventually(t, "the change arrived", func() bool { return two.Mirror.AsOf() == 4 })
 	one.Mirror.Apply([]core.Item{{Key: "a", Rev: 5, Deleted: true}}, 5)
 	eventually(t, "the deletion arrived", func() bool { return two.Mirror.AsOf() == 5 })
 	changes, _, _ := two.Mirror.Since(4)
 	if len(changes) != 1 || !changes[0].Deleted {
-		t.Errorf("news %+v", changes)
+		t.Errorf("changes %+v", changes)
 	}
 	two.feed.confirmed.Store(0)
 	one.feed.Confirm(0)
 	eventually(t, "a confirmation arrived", func() bool { return two.feed.Age() < time.Second })
 }
 
-// Hundreds of routers have just started and lack news. If all ask the one peer that knows
-// most, its link is full, most of them hear nothing in time, and ask it again. One that knows
-// nothing new is never asked.
+// Guards against hundreds of routers that have just started and all fetch from the one peer with
+// the latest revision: its link is full, most time out and ask it again. A peer that is behind is
+// never asked.
 func TestFetchesAreSpreadOverPeers(t *testing.T) {
 	ro := start(t, 0)
 	ro.feed.failing.Store(false)
@@ -161,8 +161,8 @@
 			t.Fatal(err)
 		}
 		defer pc.Close()
-		datagram := []byte{0xa1, 0x01, 3 + ix} // what it knows: revisions 3 to 7
-		eventually(t, "the peer is heard", func() bool {
+		datagram := []byte{0xa1, 0x01, 3 + ix} // AsOf: revisions 3 to 7
+		eventually(t, "the peer is alive", func() bool {
 			_, _ = pc.WriteTo(datagram, ro.address(t))
 			return ro.Live() == int(ix)+1
 		})
@@ -178,16 +178,16 @@
 		asked[ro.PickAhead(3)]++
 	}
 	if asked[behind] > 0 || asked[""] > 0 {
-		t.Errorf("asked %v; %s knows nothing new", asked, behind)
+		t.Errorf("asked %v; %s has no new changes", asked, behind)
 	}
 	for addr := range ahead {
 		if asked[addr] > asks/2 {
-			t.Errorf("%d of %d questions went to one of %d peers", asked[addr], asks, len(ahead))
+			t.Errorf("%d of %d fetches went to one of %d peers", asked[addr], asks, len(ahead))
 		}
 	}
 }
 
-// Of five routers two ask the store, and where their calls fail, two others do.
+// Of five routers two watch the store, and if their calls fail, two others do.
 func TestTwoWatchers(t *testing.T) {
 	var routers []*router
 	for ix := range 5 {
@@ -202,12 +202,12 @@
 		}
 		return watchers
 	}
-	eventually(t, "two of five lead", func() bool { return len(watching()) == 2 })
+	eventually(t, "two of five watch the store", func() bool { return len(watching()) == 2 })
 	first := watching()
 	for _, ro := range first {
 		ro.feed.failing.Store(true)
 	}
-	eventually(t, "others lead", func() bool {
+	eventually(t, "two others watch the store", func() bool {
 		healthy := 0
 		for _, ro := range watching() {
 			if !ro.feed.failing.Load() {
@@ -218,21 +218,21 @@
 	})
 }
 
-// The store is away. Two routers that lost it do not keep each other's beliefs fresh:
-// each would take what is missing after the store's return for gone.
+// Guards against two routers that, during an outage of the store, keep renewing each other's
+// confirmation: each would treat registrations that are missing after the outage as deleted.
 func TestPeersDoNotRefreshStaleConfirmations(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	two.Add(one.Addr)
-	eventually(t, "both hear each other", func() bool { return one.Live() == 1 && two.Live() == 1 })
+	eventually(t, "both are alive to each other", func() bool { return one.Live() == 1 && two.Live() == 1 })
 	time.Sleep(1500 * time.Millisecond)
 	for ix, ro := range []*router{one, two} {
 		if age := ro.feed.Age(); age < 1300*time.Millisecond {
-			t.Errorf("router %d believes that the store confirmed something %s ago", ix, age)
+			t.Errorf("router %d reports a confirmation by the store %s ago", ix, age)
 		}
 	}
 }
 
-// Datagrams that are no messages, from whoever, do no harm.
+// Invalid datagrams, from whatever sender, are dropped.
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	co, err := net.Dial("udp", one.Addr)
@@ -244,7 +244,7 @@
 		_, _ = co.Write([]byte(text))
 	}
 	two.Add(one.Addr)
-	eventually(t, "the router still hears", func() bool { return one.Live() >= 1 })
+	eventually(t, "the router still handles messages", func() bool { return one.Live() >= 1 })
 	rs, err := http.Get("http://" + one.Addr + gossip.ItemsPath + "?After=x")
 	if err != nil || rs.StatusCode != http.StatusBadRequest {
 		t.Errorf("%v %v", rs, err)
@@ -252,9 +252,8 @@
 	_ = rs.Body.Close()
 }
 
-// A router hears peers, places calls and takes news at the same time. All three know
-// of each other: the choice asks how many routers there are, the news names peers.
-// If they lock in different orders, the router stops answering anyone, for good.
+// Guards against a deadlock between handling messages, placing calls and applying updates, which
+// call each other: a placement asks how many routers there are, and an update adds peers.
 func TestNoDeadlock(t *testing.T) {
 	one, two := start(t, 0), start(t, 1)
 	two.Add(one.Addr)
@@ -287,7 +286,7 @@
 		select {
 		case <-ended:
 		case <-time.After(5 * time.Second):
-			t.Fatal("something waits for ever")
+			t.Fatal("a goroutine is blocked for ever")
 		}
 	}
 }
--- a/io/gossip/grants.go
+++ b/io/gossip/grants.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// The router that keeps an endpoint's count also grants the requests of limits that all routers
-// share, one by one. One that has just started, or hears nobody, would grant what others grant
-// too, and grants nothing until its peers are settled. Where no keeper answers nothing is
+// The owner of an endpoint's count also enforces the rate limits that all routers share, and grants
+// requests one by one. A router that has just started, or is isolated, would grant what others
+// grant too, so it grants nothing until its peers are settled. While no owner answers, nothing is
 // granted.
 
 const (
-	// settleWindow is how long no peer may have become known before a Group takes those that it
-	// knows for all: several times what a router that starts takes to be heard by its peers.
+	// settleWindow is how long no new peer may have appeared before a Group treats the peers that
+	// it knows as complete: several times what a starting router takes to be heard by its peers.
 	settleWindow = 2 * time.Second
-	// unknownRetryDelay is how long to wait where nobody could tell, leastDenied where an endpoint's
-	// limit is used up.
+	// unknownRetryDelay is how long to wait where no owner could decide, minRetryDelay where an
+	// endpoint's limit is used up.
 	unknownRetryDelay = 200 * time.Millisecond
 	minRetryDelay     = 10 * time.Millisecond
 )
 
-// Grant implements core.Grants.
+// Grant implements core.RateLimiter.
 func (gr *Group) Grant(ctx context.Context, endpoint uint64, perSecond int) (bool, time.Duration) {
 	owner := gr.ownerOf(endpoint)
 	if owner == nil || !gr.settled.Load() {
@@ -48,7 +48,7 @@
 	return uint32(max(minRetryDelay, after).Milliseconds())
 }
 
-// updateSettled works out whether the peers that are known are likely to be all.
+// updateSettled determines whether the known peers are likely to be complete.
 func (gr *Group) updateSettled(now time.Time) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -56,12 +56,12 @@
 		gr.started = now
 	}
 	settled := now.Sub(gr.started) >= settleWindow && now.Sub(gr.lastAdded) >= settleWindow
-	// One without peers is alone only if others could find it.
+	// A router without peers can rely on being the only one only if others could find it.
 	connected := len(gr.members) == 0 && !gr.announced.IsZero() && now.Sub(gr.announced) >= settleWindow
 	for addr, me := range gr.members {
 		connected = connected || !gr.membership.LastHeard(addr).IsZero()
 		if gr.membership.Alive(addr) && int(me.peersHeard) > len(gr.members) {
-			settled = false // it hears peers that are not known here
+			settled = false // more peers are alive to it than are known here
 		}
 	}
 	gr.settled.Store(settled && connected)
--- a/io/gossip/grants_test.go
+++ b/io/gossip/grants_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// waitSettled waits until the routers take each other for all there are.
+// waitSettled waits until the routers consider the peers that they know complete.
 func waitSettled(t *testing.T, all []*router) {
 	t.Helper()
 	eventually(t, "all routers are granted requests", func() bool {
@@ -20,8 +20,8 @@
 	})
 }
 
-// Guards against routers that together send a cold endpoint more than its limit: whichever of
-// them asks, one keeper grants, and says when to ask again.
+// Guards against routers that together send a cold endpoint more than its limit: whichever of them
+// asks, one owner grants, and says when to ask again.
 func TestRoutersShareALimit(t *testing.T) {
 	const limit = 7
 	all := meet(t, 4)
@@ -33,7 +33,7 @@
 			if ok {
 				granted++
 			} else if after <= 0 || after > 2*time.Second {
-				t.Errorf("denied, to be asked again after %s", after)
+				t.Errorf("denied, retry after %s", after)
 			}
 		}
 		if granted != limit {
@@ -42,12 +42,12 @@
 	}
 }
 
-// Guards against a router that has just started and grants, or is granted, what others grant
-// too: it knows few of its peers.
+// Guards against a router that has just started and grants, or is granted, what others grant too,
+// as it knows few of its peers.
 func TestStartingRouterGetsNoGrant(t *testing.T) {
 	alone := start(t, 0)
 	if granted, after := alone.Grant(context.Background(), 1, 100); granted || after <= 0 {
-		t.Errorf("granted %v, to be asked again after %s", granted, after)
+		t.Errorf("granted %v, retry after %s", granted, after)
 	}
 	alone.Add(alone.Addr)
 	eventually(t, "the only router is granted requests", func() bool {
@@ -56,8 +56,8 @@
 	})
 }
 
-// Guards against routers that start while the store takes no announcement and each take
-// themselves for the only one: three of them sent a cold endpoint three times its limit.
+// Guards against routers that start while the store accepts no announcements and each believe to be
+// the only one: three of them sent a cold endpoint three times its limit.
 func TestUnannouncedRouterGetsNoGrant(t *testing.T) {
 	alone := start(t, 0)
 	time.Sleep(2500 * time.Millisecond)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Guards against a router that was cut off since its start and takes itself for the only one.
+// Guards against a router that has been cut off since its start and treats itself as the only one.
 func TestIsolatedRouterGetsNoGrant(t *testing.T) {
 	alone := start(t, 0)
 	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/io/gossip/lead.go
+++ b/io/gossip/lead.go
@@ -10,8 +10,8 @@
 	"almondrill/core/elect"
 )
 
-// watcherSize is the size of a follower in a message: four bytes of its hash, two of its last
-// answer's age in ms.
+// watcherSize is the size of a watcher in a message: four bytes of its hash, and two of the age of
+// its last answer from the store in ms.
 const watcherSize = 6
 
 func packWatchers(now time.Time, watchers []elect.Watcher) []byte {
@@ -32,16 +32,16 @@
 	return watchers
 }
 
-// watcherHash orders this router among those that follow the store.
+// watcherHash orders this router among the watchers.
 func (gr *Group) watcherHash() elect.Hash { return elect.Hash(xxhash.Sum64String(gr.Addr) >> 32) }
 
-// electedWatchers are the routers that ask the store, as far as is known here. The lock is held.
+// electedWatchers are the elected watchers of the store, as far as known here. The lock is held.
 func (gr *Group) electedWatchers(now time.Time) []elect.Watcher {
 	gr.watchers.Apply(now, []elect.Watcher{{Hash: gr.watcherHash(), At: now.Add(-gr.Feed.OwnAge())}})
 	return gr.watchers.Elected(now)
 }
 
-// IsWatcher tells whether this router is to ask the store on behalf of all.
+// IsWatcher reports whether this router is to watch the store on behalf of all.
 func (gr *Group) IsWatcher() bool {
 	ownAge := gr.Feed.OwnAge()
 	gr.mu.Lock()
@@ -54,13 +54,14 @@
 	return gr.watchers.IsElected(now, gr.watcherHash(), gr.healthyBefore(), ownAge)
 }
 
-// healthyBefore is how many live peers whose calls to the store do not fail come before this router.
+// healthyBefore is how many live peers whose calls to the store do not fail precede this router.
 func (gr *Group) healthyBefore() int {
 	return gr.rank(func(me *member) bool { return !me.failing })
 }
 
-// TakeoverDelay is how much longer than the first ones this router waits for a confirmation of the store
-// before it asks by itself. One that hears nobody does not wait for others.
+// TakeoverDelay is how much longer than the first standby routers this router waits for a
+// confirmation by the store before it calls the store itself. An isolated router does not wait for
+// others.
 func (gr *Group) TakeoverDelay() time.Duration {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
--- a/io/gossip/probe.go
+++ b/io/gossip/probe.go
@@ -11,10 +11,10 @@
 	"almondrill/core/swim"
 )
 
-// packedAddr is an address on its way: six bytes, or 18 where it is of IPv6.
+// packedAddr is an address in a message: six bytes, or 18 for IPv6.
 type packedAddr []byte
 
-// packAddr returns nil for an address that makes no sense.
+// packAddr returns nil for an invalid address.
 func packAddr(addr string) packedAddr {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return ap.String(), true
 }
 
-// rumor is a swim.Rumor on its way.
+// rumor is a swim.Rumor in a message.
 type rumor struct {
 	_           struct{} `cbor:",toarray"`
 	Addr        packedAddr
@@ -40,27 +40,26 @@
 	Incarnation swim.Incarnation
 }
 
-// probeKind is what a probeMessage is for.
 type probeKind uint8
 
 const (
-	// probeRequest is to be answered, with For as it is.
+	// probeRequest is to be answered with a probeReply that has the same For.
 	probeRequest probeKind = iota + 1
-	// probeReply tells that its sender is alive, or Target if there is one. Whoever gets one
-	// with For passes it on to that peer.
+	// probeReply says that its sender is alive, or Target if that is set. A receiver of one with
+	// For set forwards it to that peer.
 	probeReply
-	// probeRelay asks a peer to probe Target.
+	// probeRelay asks a peer to probe Target on behalf of the sender.
 	probeRelay
 )
 
-// probeMessage finds out whether a peer is alive, some 40 bytes.
+// probeMessage checks whether a peer is alive, in some 40 bytes.
 type probeMessage struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        probeKind
 	Target, For packedAddr
 }
 
-// probePeers probes the peers whose turn it is.
+// probePeers sends the probes that are due.
 func (gr *Group) probePeers(pc net.PacketConn, now time.Time) {
 	if gr.ticks%probeTicks != 0 {
 		return
@@ -77,7 +76,7 @@
 	}
 }
 
-// sendProbe sends a probeMessage, with what was rumored of its receiver first.
+// sendProbe sends a probeMessage, with what is rumored of its receiver as the first rumor.
 func (gr *Group) sendProbe(pc net.PacketConn, to string, pm *probeMessage, about swim.Rumor) {
 	ms := &message{Probe: pm}
 	if about.State != swim.Unverified {
@@ -93,7 +92,7 @@
 	gr.send(pc, to, data)
 }
 
-// addRumors adds what is to be told of peers.
+// addRumors adds the incarnation of this router and the rumors about peers that are to be spread.
 func (gr *Group) addRumors(ms *message) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -105,11 +104,12 @@
 	}
 }
 
-// applyRumors takes that a peer was heard, and what it tells of others. The lock is held.
+// applyRumors records that a message of a peer arrived, and its rumors about others. The lock is
+// held.
 func (gr *Group) applyRumors(now time.Time, from string, ms *message) {
 	if gr.membership.MessageReceived(now, from, ms.Incarnation) {
 		gr.updateCandidates()
-		gr.Log.Info("Hears a peer.", zap.String("Peer", string(ms.From)), zap.String("Addr", from))
+		gr.Log.Info("A peer is alive.", zap.String("Peer", string(ms.From)), zap.String("Addr", from))
 	}
 	rumors := make([]swim.Rumor, 0, len(ms.Rumors))
 	for _, ru := range ms.Rumors {
@@ -125,7 +125,6 @@
 	gr.membership.ApplyRumors(now, rumors)
 }
 
-// handleProbe takes a probeMessage.
 func (gr *Group) handleProbe(now time.Time, from net.Addr, ms *message) {
 	gr.mu.Lock()
 	known := gr.getOrAddMember(from.String()) != nil
--- a/io/gossip/tell.go
+++ b/io/gossip/tell.go
@@ -10,11 +10,11 @@
 	"go.uber.org/zap"
 )
 
-// broadcast tells peers of the own calls, those first that were told longest ago,
-// as many as the bytes allow, and each of the moves since it was told last.
+// broadcast sends a load report to as many peers as the byte budget allows, least recently updated
+// peers first, and to each the moves since its last report.
 //
-// What a router sends is bounded, so that among hundreds it tells each peer every few seconds: a
-// peer is told of all moves since its last turn.
+// As the bytes are bounded, a router among hundreds reports to each peer every few seconds only, so
+// a report has all moves since the last one to that peer.
 func (gr *Group) broadcast(pc net.PacketConn, now time.Time, leaving bool) {
 	ms := gr.message(now)
 	if ms.Leaving = leaving; leaving {
@@ -42,14 +42,15 @@
 	}
 }
 
-// announceLeave has the peers that are told now tell all others.
+// announceLeave lets the peers that get the next messages tell all others that this router shuts
+// down.
 func (gr *Group) announceLeave() {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	gr.membership.Leave()
 }
 
-// message holds what all messages do.
+// message returns a message with the fields that load reports and peer exchanges share.
 func (gr *Group) message(now time.Time) *message {
 	ms := &message{
 		AsOf: gr.Mirror.AsOf(), AgeMs: uint32(min(maxAgeMs, max(0, gr.Feed.Age().Milliseconds()))),
@@ -61,13 +62,13 @@
 	return ms
 }
 
-// target is a peer to be told, and when it was last.
+// target is a peer that is due a load report, and when it was last sent one.
 type target struct {
 	addr     string
 	lastSent time.Time
 }
 
-// due are the peers that are to be told now, those first that were told longest ago.
+// due returns the peers that are to be sent a load report now, least recently updated first.
 func (gr *Group) due(now time.Time, maxPeers int, interval time.Duration) []target {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -81,7 +82,7 @@
 	return all[:min(maxPeers, len(all))]
 }
 
-// markSent notes that a peer was told, unless it was forgotten meanwhile.
+// markSent records that a peer was sent a load report, unless it was removed meanwhile.
 func (gr *Group) markSent(addr string, now time.Time) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -90,11 +91,11 @@
 	}
 }
 
-// exchangePeers tells more to a few peers, drawn anew each time, and names others to newcomers.
+// exchangePeers sends join replies, and regularly a peer exchange to a few random peers.
 func (gr *Group) exchangePeers(pc net.PacketConn, now time.Time) {
 	gr.mu.Lock()
 	joining := gr.joining[:min(maxJoinReplies, len(gr.joining))]
-	gr.joining = nil // whoever is not greeted now introduces itself again
+	gr.joining = nil // a peer that gets no reply now sends a peer exchange again
 	gr.mu.Unlock()
 	gr.ticks++
 	if len(joining) > 0 {
@@ -105,7 +106,8 @@
 	}
 }
 
-// sendPeerExchange sends an introduction that names at most so many peers.
+// sendPeerExchange sends a peer exchange that names at most maxPeers peers. If it is too large for a
+// datagram, readings are left out.
 func (gr *Group) sendPeerExchange(pc net.PacketConn, now time.Time, maxPeers int, to []string) {
 	if len(to) == 0 {
 		return
@@ -132,7 +134,7 @@
 	}
 }
 
-// randomAlive draws addresses of peers that are alive.
+// randomAlive returns addresses of random peers that are alive.
 func (gr *Group) randomAlive(limit int) []string {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -145,11 +147,11 @@
 		_, err = pc.WriteTo(data, ua)
 	}
 	if err != nil {
-		gr.Log.Debug("Telling a peer failed.", zap.String("Addr", addr), zap.Error(err))
+		gr.Log.Debug("Sending a message to a peer failed.", zap.String("Addr", addr), zap.Error(err))
 	}
 }
 
-// randomReachable draws addresses of peers that may answer.
+// randomReachable returns addresses of random peers that are not known to be dead.
 func (gr *Group) randomReachable(limit int) []string {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
