--- a/core/admit/account.go
+++ b/core/admit/account.go
@@ -2,17 +2,18 @@
 
 import "almondrill/core"
 
-// account is one customer's standing at the gate. It is active while the
-// customer has a ticket inside.
+// account is the fair-queueing state of one customer. It is active while the customer has a ticket
+// that is waiting, queued or running.
 type account struct {
 	weight       float64
 	ticketCount  int
 	runningCount int
 	queuedWork   core.Work
-	finishTag    float64 // virtual time at which its last ticket ends
+	finishTag    float64 // virtual time at which the customer's last ticket ends
 }
 
-// slotAllowed keeps the last slots for customers within their share.
+// slotAllowed reports whether the customer may take a free slot. The last Headroom part of the
+// slots is reserved for customers within their share.
 func (ga *Gate) slotAllowed(ac *account) bool {
 	free := ga.limits.Slots - ga.running
 	if free > int(ga.limits.Headroom*float64(ga.limits.Slots)) {
@@ -21,7 +22,7 @@
 	return float64(ac.runningCount)*ga.activeWeight < float64(ga.limits.Slots)*ac.weight
 }
 
-// addToAccount gives the ticket its place in its customer's account.
+// addToAccount charges the ticket's work to its customer and sets its start tag.
 func (ga *Gate) addToAccount(ti *Ticket) {
 	ac := ga.accounts[ti.Customer]
 	if ac == nil {
@@ -41,8 +42,8 @@
 	ti.account = ac
 }
 
-// removeFromAccount takes the ticket out of its customer's account. One that never ran
-// is not counted against the customer.
+// removeFromAccount removes the ticket from its customer's account. A ticket that never started is
+// credited back to the customer.
 func (ga *Gate) removeFromAccount(ti *Ticket) {
 	ac := ti.account
 	if !ti.started {
--- a/core/admit/capwait.go
+++ b/core/admit/capwait.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// precedes tells whether a call that waits for room under the cap goes before a
-// newcomer that there is room for. Without it the waiting call might wait for
-// ever; but in order of arrival, the calls of a customer that surges would keep
-// everybody else's, and urgent ones, from the endpoint.
+// precedes reports whether a ticket that waits for the load cap goes before an arriving ticket that
+// fits under it. Without this check the waiting ticket could starve. The order is by priority and
+// fair-queueing tag rather than by arrival: otherwise the waiting calls of one surging customer
+// would block those of all others, and urgent ones.
 func (ga *Gate) precedes(waiting, ti *Ticket) bool {
 	if waiting == nil {
 		return false
@@ -16,7 +16,8 @@
 	return waiting.startTag <= ti.startTag
 }
 
-// shouldAwaitCap tells whether room can be expected within the ticket's patience.
+// shouldAwaitCap reports whether the ticket is expected to fit under the load cap within its
+// WaitLimit, at the endpoint's current throughput.
 func (ga *Gate) shouldAwaitCap(ti *Ticket) bool {
 	if ti.WaitLimit <= 0 || ga.capWaiters.count >= maxCapWaiters {
 		return false
@@ -30,7 +31,7 @@
 	return time.Duration(excess/ga.throughput*float64(time.Second)) <= ti.WaitLimit
 }
 
-// admitCapWaiters lets those in who fit by now, in order.
+// admitCapWaiters admits waiting tickets in order while they fit under the load cap.
 func (ga *Gate) admitCapWaiters() {
 	for ti := ga.capWaiters.first(); ti != nil && ga.withinCap(ti.Work); ti = ga.capWaiters.first() {
 		ga.capWaiters.remove(ti)
@@ -41,8 +42,8 @@
 	}
 }
 
-// WithdrawCapWait takes back a ticket that still waits for room under the cap. False means
-// that it is past that.
+// WithdrawCapWait withdraws a ticket that still waits for the load cap. It returns false if the
+// ticket is no longer in that state.
 func (ga *Gate) WithdrawCapWait(ti *Ticket) bool {
 	ga.mu.Lock()
 	awaiting := ti.state == ticketAwaitingCap
--- a/core/admit/fair_test.go
+++ b/core/admit/fair_test.go
@@ -9,9 +9,9 @@
 	"almondrill/core/decl"
 )
 
-// A publisher's calls run on an idle engine all day, which costs nobody anything.
-// In the evening another customer begins too, and both queue. They take turns;
-// the publisher does not wait until the other has caught up on the day.
+// One customer uses an otherwise idle engine for a long time. When a second customer arrives and
+// both queue, they must take turns. The first must not be delayed until the second has used as much
+// as the first did before.
 func TestUseOfIdleEndpointIsNotCharged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := newGate(2, 20)
@@ -34,12 +34,12 @@
 			running = append(running[1:], nextStarted(t, evening, publisher))
 		}
 		if publisher.started == 0 {
-			t.Error("the publisher's call was passed over by three of the other's")
+			t.Error("three calls of the new customer started before any of the first customer's")
 		}
 	})
 }
 
-// customerQueue is what a customer has waiting; its tickets start in turn.
+// customerQueue holds the queued tickets of one customer, in the order in which they start.
 type customerQueue struct {
 	customer core.CustomerID
 	tickets  []*admit.Ticket
@@ -53,7 +53,7 @@
 	li.tickets = append(li.tickets, ti)
 }
 
-// nextStarted finds the ticket that was just given a slot.
+// nextStarted returns the ticket that has just got a slot.
 func nextStarted(t *testing.T, lines ...*customerQueue) *admit.Ticket {
 	t.Helper()
 	for _, li := range lines {
@@ -62,31 +62,30 @@
 			return ti
 		}
 	}
-	t.Fatal("nobody was given the slot")
+	t.Fatal("no queued ticket got the free slot")
 	return nil
 }
 
-// Readers of a customer that surges wait for room at the engine that has their
-// contexts. A marshal of another customer asks something small, for which there
-// is room, and a lookup comes first anyway: neither waits behind the surge.
+// Calls of a surging customer wait for the load cap at the engine that has their contexts cached. A
+// small call of another customer that fits under the cap, and an urgent call, must not wait for
+// them.
 func TestCapWaitersDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga, first, patient := newGateAtCap(t, 130, "surge", "surge")
 		marshal, lookup := ticket("other", core.PriorityNormal), ticket("surge", core.PriorityUrgent)
 		marshal.Work, lookup.Work = 10, 10
 		if !offer(t, ga, marshal) || !offer(t, ga, lookup) {
-			t.Error("kept out by a call that waits for room")
+			t.Error("a call that fits was blocked by one that waits for the load cap")
 		}
 		ga.Release(first)
 		if !started(patient) {
-			t.Error("the patient call got no room")
+			t.Error("the waiting call was not admitted after the load dropped")
 		}
 	})
 }
 
-// One customer's pupils fill an engine, but for the slots kept for the others,
-// and more of them queue. An editor of another customer gets one of those slots
-// at once; she does not wait for an answer to end first.
+// One customer fills an engine except for the reserved slots, and more of its calls queue. A call of
+// another customer must get a reserved slot at once instead of waiting for a running call to end.
 func TestReservedSlotIsGivenAtOnce(t *testing.T) {
 	ga := newGate(16, 32)
 	offer(t, ga, ticket("editor", core.PriorityNormal))
@@ -94,15 +93,15 @@
 		offer(t, ga, ticket("pupils", core.PriorityNormal))
 	}
 	if running := ga.Stats().Running; running != 14 {
-		t.Fatalf("%d run: this shows nothing", running)
+		t.Fatalf("test setup: %d calls running, want 14", running)
 	}
 	if !offer(t, ga, ticket("editor", core.PriorityNormal)) {
-		t.Error("the editor's second call waits beside free slots")
+		t.Error("the second customer's call was queued although reserved slots are free")
 	}
 }
 
-// A term opens, and one customer's pupils could fill an engine. The pool's
-// Headroom decides how many slots stay free for the others.
+// One customer could fill an engine. The pool's Headroom determines how many slots stay reserved for
+// others.
 func TestHeadroomIsReservedForOthers(t *testing.T) {
 	for headroom, limit := range map[float64]int{0.125: 14, 0.5: 9} {
 		ga := newGate(16, 32)
@@ -112,10 +111,10 @@
 			offer(t, ga, ticket("pupils", core.PriorityNormal))
 		}
 		if running := ga.Stats().Running; running != limit {
-			t.Errorf("headroom %g: %d run", headroom, running)
+			t.Errorf("headroom %g: %d calls running", headroom, running)
 		}
 		if !offer(t, ga, ticket("editor", core.PriorityNormal)) {
-			t.Errorf("headroom %g: the editor's second call waits", headroom)
+			t.Errorf("headroom %g: the second customer's call was queued, want a reserved slot", headroom)
 		}
 	}
 }
--- a/core/admit/gate.go
+++ b/core/admit/gate.go
@@ -1,35 +1,36 @@
-// Package admit decides at an agent which calls its endpoint takes, and when.
+// Package admit implements an agent's admission control: which calls an endpoint accepts, and when
+// they run.
 //
 // # Concepts
 //
-// A Gate stands before one endpoint. It counts the work the endpoint has yet to
-// do, running and queued, exactly. A call passes three checks:
+// A Gate controls admission to one endpoint. It keeps the exact amount of work that the endpoint
+// has yet to do, running and queued. A call passes three checks:
 //
-//   - The load cap: load stays within LoadFactor times the pool's mean, or
-//     within FloorWork, or the endpoint is not above the mean at all. Otherwise
-//     the call is refused and the router tries a less loaded peer, unless its
-//     context is here and room can be expected within its patience: then it waits
-//     outside, not part of the load.
-//   - A slot: Slots calls run at a time, and the last few are kept for customers
-//     that are within their share.
-//   - The queue: bounded; by priority, within a priority by start-time fair
-//     queueing over the customers' shares. When it is full, a newcomer of higher
-//     priority, or of a customer that has less waiting for its share, takes the
-//     place of a waiting call, which is refused as not run.
+//   - Load cap: the load with the call must stay within LoadFactor times the pool's mean or within
+//     FloorWork, or the endpoint's load must not exceed the mean before the call. Otherwise the
+//     call is refused and the router tries a less loaded peer. A call whose context is cached here
+//     may instead wait for the cap if capacity is expected within its WaitLimit; it does not count
+//     towards the load while it waits.
+//   - Slots: at most Slots calls run concurrently. The last few slots are reserved for customers
+//     within their share.
+//   - Queue: bounded, ordered by priority and, within a priority, by start-time fair queueing
+//     weighted by the customers' shares. When the queue is full, an arriving call may evict a
+//     queued call of a lower priority, or one of the same priority whose customer has more queued
+//     work relative to its share. The evicted call is refused as NotRun.
 //
 // # Invariants
 //
-//   - load is the sum of what is left of all tickets inside, plus the correction
-//     from the engine's own report.
-//   - A refused or pushed-out ticket has never been given a slot.
-//   - No ticket waits behind higher priorities for longer than maxWait plus one
-//     slot's turn.
+//   - The load is the remaining work of all admitted tickets plus the untracked work derived from
+//     the engine's own report.
+//   - A refused or evicted ticket has never had a slot.
+//   - No ticket is overtaken by higher priorities for longer than maxOvertaken plus the time until
+//     a slot becomes free.
 //
 // # Usage
 //
-//	run, refusal := ga.Offer(tk)
-//	if !run && refusal == nil { refusal = <-tk.Ready() }
-//	defer ga.Leave(tk)
+//	running, refusal := ga.Offer(ti)
+//	if !running && refusal == nil { refusal = <-ti.Ready() }
+//	defer ga.Release(ti)
 package admit
 
 import (
@@ -42,24 +43,24 @@
 )
 
 const (
-	// maxOvertaken is how long a call may be passed over for higher priorities.
+	// maxOvertaken is how long a queued call may be overtaken by calls of higher priority.
 	maxOvertaken = 5 * time.Second
-	// Bounds of the advice when to try again.
+	// Bounds of Refusal.RetryAfter.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// maxCapWaiters bounds the calls that wait for room under the cap.
+	// maxCapWaiters bounds the calls that wait for the load cap.
 	maxCapWaiters = 16
-	// maxAlternatives is how many less loaded peers a refusal names.
+	// maxAlternatives is how many less loaded peers a refusal names at most.
 	maxAlternatives = 3
 )
 
-// Gate stands before one endpoint. Set the exported fields before use.
+// Gate controls admission to one endpoint. Set the exported fields before use.
 type Gate struct {
 	Clock core.Clock
 	Rand  core.Rand
 	Loads *loads.Table
 	VM    core.VMID
-	// Gauge, if set, is kept at the load.
+	// Gauge, if set, is updated with the load.
 	Gauge *loads.Gauge
 
 	mu           sync.Mutex // guards all below
@@ -68,24 +69,24 @@
 	untracked    core.Work
 	running      int
 	queued       int
-	capWaiters   queue // waits for room under the cap
-	queue        queue // waits for a slot
+	capWaiters   queue // tickets waiting for the load cap
+	queue        queue // tickets waiting for a slot
 	accounts     map[core.CustomerID]*account
-	activeWeight float64 // sum over active accounts
+	activeWeight float64 // sum of the weights of active accounts
 	finishedWork core.Work
 	throughput   float64
 	throughputAt time.Time
 }
 
-// Ticket is one call's passage. Set the exported fields, then Offer it once.
+// Ticket is one call's request for admission. Set the exported fields, then Offer it once.
 type Ticket struct {
 	Customer core.CustomerID
 	// Weight is the customer's share, above 0.
 	Weight   float64
 	Priority core.Priority
 	Work     core.Work
-	// WaitLimit is how long the call would rather wait for room under the load cap
-	// than be refused, because its context is here. 0 is not at all.
+	// WaitLimit is how long the call may wait for the load cap instead of being refused, because
+	// its context is cached here. 0 means that it does not wait.
 	WaitLimit time.Duration
 
 	remaining core.Work
@@ -102,18 +103,18 @@
 
 const (
 	_ ticketState = iota // not offered yet
-	// ticketAwaitingCap waits for room under the cap; it is not part of the load.
+	// ticketAwaitingCap: waiting for the load cap; not part of the load.
 	ticketAwaitingCap
-	// ticketQueued waits for a slot.
+	// ticketQueued: waiting for a slot.
 	ticketQueued
 	ticketRunning
 	ticketDone
 )
 
-// Ready delivers nil when a waiting ticket gets its slot, or why it never will.
+// Ready delivers nil when a waiting ticket gets a slot, or the refusal if it is rejected.
 func (ti *Ticket) Ready() <-chan *core.Refusal { return ti.ready }
 
-// SetLimits takes over limits; calls already inside stay.
+// SetLimits replaces the limits. Calls that are already admitted stay.
 func (ga *Gate) SetLimits(li decl.Limits) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -121,8 +122,8 @@
 	ga.dispatch()
 }
 
-// Offer asks for the ticket's admission. True: it runs now. False without a
-// refusal: wait for Ready, or Withdraw.
+// Offer requests admission for the ticket. It returns true if the call may run now. If it returns
+// false and no refusal, the ticket is waiting: receive from Ready, or call Withdraw.
 func (ga *Gate) Offer(ti *Ticket) (bool, *core.Refusal) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -130,7 +131,7 @@
 	if ga.withinCap(ti.Work) && !ga.precedes(ga.capWaiters.first(), ti) {
 		running, re := ga.admit(ti)
 		if ti.state == ticketRunning && !running {
-			// Queued and started at once; nobody else reads its channel yet.
+			// Queued and started at once. Nothing else reads its channel yet.
 			<-ti.ready
 			running = true
 		}
@@ -146,7 +147,7 @@
 	return false, nil
 }
 
-// admit gives a ticket within the cap a slot or a place in the queue.
+// admit gives a ticket that is within the load cap a slot, or queues it.
 func (ga *Gate) admit(ti *Ticket) (bool, *core.Refusal) {
 	ti.remaining = ti.Work
 	if ga.running < ga.limits.Slots && ga.queued == 0 && ga.slotAllowed(ti.account) {
@@ -164,15 +165,16 @@
 	}
 	ga.addLoad(ti.Work)
 	ga.enqueue(ti)
-	// Those ahead of it may be held from the free slots by their customer's share.
+	// A slot may be free although tickets are queued ahead: reserved slots are not given to
+	// customers over their share.
 	ga.dispatch()
 	return false, nil
 }
 
-// withinCap applies the load cap. An endpoint that is not above the mean may always
-// take one more call, however large: some endpoint always is, so no call is
-// refused everywhere for its size. The load may thus exceed LoadFactor times
-// the mean by one call's work at most.
+// withinCap applies the load cap. An endpoint whose load is not above the mean accepts one more
+// call of any size. At least one endpoint of a pool is always in that state, so no call is refused
+// everywhere because of its size. The load may therefore exceed LoadFactor times the mean by the
+// work of at most one call.
 func (ga *Gate) withinCap(wo core.Work) bool {
 	after := ga.load + wo
 	if after <= ga.limits.FloorWork || ga.load == 0 {
@@ -189,8 +191,8 @@
 	ti.started = true
 	ti.account.runningCount++
 	ga.running++
-	// Also when nobody waits: what a customer used of an idle endpoint would count
-	// against it, for as long as the endpoint lives, once there is a queue.
+	// Virtual time advances even when the queue is empty. Otherwise a customer's use of an idle
+	// endpoint would be charged to it once calls queue up, for as long as the endpoint exists.
 	ga.queue.virtualTime = max(ga.queue.virtualTime, ti.startTag)
 }
 
@@ -205,7 +207,7 @@
 	ga.queue.push(ti)
 }
 
-// dispatch gives free slots to waiting tickets.
+// dispatch gives free slots to queued tickets.
 func (ga *Gate) dispatch() {
 	for ga.running < ga.limits.Slots && ga.queued > 0 {
 		ti := ga.queue.pop(ga.Clock.Now(), ga.slotAllowed)
@@ -232,8 +234,8 @@
 	ga.removeFromAccount(ti)
 }
 
-// Withdraw takes a waiting ticket back. False means that it was given a slot, or
-// refused, in the meantime: read Ready.
+// Withdraw removes a waiting ticket. It returns false if the ticket got a slot or was refused in
+// the meantime; Ready then holds the result.
 func (ga *Gate) Withdraw(ti *Ticket) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -254,7 +256,7 @@
 	return true
 }
 
-// Progress tells that a running ticket's work has shrunk.
+// Progress records that part of a running ticket's work is done.
 func (ga *Gate) Progress(ti *Ticket, done core.Work) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -265,7 +267,7 @@
 	ga.admitCapWaiters()
 }
 
-// Release ends a running ticket.
+// Release ends a running ticket and frees its slot.
 func (ga *Gate) Release(ti *Ticket) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -26,7 +26,7 @@
 	return &admit.Ticket{Customer: cu, Weight: 1, Priority: pr, Work: 100}
 }
 
-// offer offers a ticket and fails the test if it is refused.
+// offer calls ga.Offer and fails the test if the ticket is refused.
 func offer(t *testing.T, ga *admit.Gate, ti *admit.Ticket) bool {
 	t.Helper()
 	run, re := ga.Offer(ti)
@@ -36,7 +36,7 @@
 	return run
 }
 
-// started tells whether a waiting ticket has its slot.
+// started reports whether a waiting ticket has got its slot.
 func started(ti *admit.Ticket) bool {
 	select {
 	case re := <-ti.Ready():
@@ -46,9 +46,8 @@
 	}
 }
 
-// A stage starts at night: one customer's spectators fill slots and queue. A
-// marshal of another customer calls; one of the surge's waiting calls makes room
-// and is told that it was not run, since its customer is over its share.
+// One customer fills all slots and the queue. When a call of another customer arrives, it must evict
+// a queued call of the surging customer, which is refused as NotRun and ShareExceeded.
 func TestSurgingCustomerIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := newGate(4, 4)
@@ -59,7 +58,7 @@
 			surge = append(surge, ti)
 		}
 		if _, re := ga.Offer(ticket("surge", core.PriorityNormal)); re == nil || re.RetryAfter == 0 {
-			t.Fatalf("the surge's ninth call: %v", re)
+			t.Fatalf("ninth call of the surging customer with slots and queue full: refusal %v, want one with RetryAfter", re)
 		}
 		marshal := ticket("other", core.PriorityNormal)
 		offer(t, ga, marshal)
@@ -72,18 +71,18 @@
 			}
 		}
 		if out == nil || out.Outcome != core.NotRun || out.Reason != core.ReasonShareExceeded {
-			t.Errorf("pushed out: %v", out)
+			t.Errorf("evicted call: got refusal %v, want NotRun and ShareExceeded", out)
 		}
 		ga.Release(surge[0])
 		ga.Release(surge[1])
 		if !started(marshal) {
-			t.Error("the other customer's call still waits after two turns")
+			t.Error("the other customer's call is still queued after two slots became free")
 		}
 	})
 }
 
-// Lookups keep coming while a batch job waits. They go first, but after five
-// seconds the batch job gets a slot all the same.
+// A steady stream of urgent calls arrives while a batch call is queued. They go first, but the batch
+// call must get a slot after maxOvertaken (5 s).
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := newGate(1, 50)
@@ -99,17 +98,17 @@
 			ga.Release(running)
 			running = lookup
 			if time.Since(start) > 10*time.Second {
-				t.Fatal("still waiting after 10 s")
+				t.Fatal("batch call still queued after 10 s")
 			}
 		}
 		if took := time.Since(start); took < 5*time.Second {
-			t.Errorf("went before its betters after %s", took)
+			t.Errorf("batch call overtook urgent calls after %s, want 5 s or more", took)
 		}
 	})
 }
 
-// An agent is cut off from its peers, so it does not know the pool's mean. It
-// takes work up to the floor only, and one call where it has none at all.
+// An agent without fresh samples of its peers does not know the pool's mean. It must accept work up
+// to FloorWork only, or a single call if it has no load.
 func TestUnknownMeanFallsBackToFloorWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := newGate(100, 100)
@@ -120,19 +119,19 @@
 			_ = n
 		}
 		if _, re := ga.Offer(ticket("c", core.PriorityNormal)); re == nil || re.Reason != core.ReasonLoadCap {
-			t.Errorf("third call: %v", re)
+			t.Errorf("call beyond FloorWork: refusal %v, want LoadCap", re)
 		}
 		ga.Loads.Observe(core.LoadEntry{Pool: "chat", VM: "one", Load: 500})
 		offer(t, ga, ticket("c", core.PriorityNormal))
 		time.Sleep(loads.MaxAge + time.Second)
 		if _, re := ga.Offer(ticket("c", core.PriorityNormal)); re == nil || len(re.Alternatives) != 0 {
-			t.Errorf("on stale figures: %v", re)
+			t.Errorf("with expired samples: refusal %v, want one without alternatives", re)
 		}
 	})
 }
 
-// newGateAtCap is a gate that is full up to its cap with the first customer's
-// call, and a call of the second that waits for room.
+// newGateAtCap returns a gate whose load cap is reached by a call of the first customer, and a call
+// of the second customer that waits for the cap.
 func newGateAtCap(t *testing.T, floor core.Work, one, two core.CustomerID) (ga *admit.Gate, first, patient *admit.Ticket) {
 	t.Helper()
 	ga = newGate(100, 100)
@@ -148,31 +147,31 @@
 	patient = ticket(two, core.PriorityNormal)
 	patient.WaitLimit = time.Minute
 	if offer(t, ga, patient) || started(patient) {
-		t.Fatal("the second call found room: this shows nothing")
+		t.Fatal("test setup: the second call was admitted, want it to wait for the load cap")
 	}
 	return ga, first, patient
 }
 
-// A call whose context is here waits for room under the cap, outside the load,
-// and gets in before one that came later.
+// A call with a WaitLimit waits for the load cap without counting towards the load, and must be
+// admitted before a call that arrives later.
 func TestCapWaiterIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga, first, patient := newGateAtCap(t, 100, "a", "b")
 		if ga.Load() != 80 {
-			t.Fatalf("it did not wait outside; load %d", ga.Load())
+			t.Fatalf("load %d, want 80: the waiting call must not be part of it", ga.Load())
 		}
 		if _, re := ga.Offer(ticket("c", core.PriorityNormal)); re == nil {
-			t.Error("a later call went before it")
+			t.Error("a later call was admitted before the waiting one")
 		}
 		ga.Release(first)
 		if !started(patient) {
-			t.Error("it got no room")
+			t.Error("the waiting call was not admitted after the load dropped")
 		}
 	})
 }
 
-// Whatever comes and goes, the load is the sum of what is inside, no more run
-// than there are slots, and an empty gate is empty.
+// For any sequence of offers, releases and withdrawals, the load must equal the work of the admitted
+// tickets, and running and queued tickets must stay within their limits.
 func TestGateAccounting(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ga := newGate(4, 6)
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -7,12 +7,11 @@
 	"almondrill/core"
 )
 
-// queue holds waiting tickets by priority, each priority in order of virtual
-// start time. It is bounded by the gate to some dozens, so plain sorted slices
-// serve it best.
+// queue holds waiting tickets by priority, and within a priority in order of their start tags. The
+// gate bounds it to some dozens of tickets, for which sorted slices are the fastest.
 type queue struct {
 	classes [core.PriorityCount][]*Ticket
-	// virtualTime is the start tag of the last ticket started.
+	// virtualTime is the highest start tag of all tickets started so far.
 	virtualTime float64
 	work        core.Work
 	lastSeq     uint64
@@ -54,7 +53,7 @@
 	qu.classes[ti.Priority] = slices.Delete(class, at, at+1)
 }
 
-// first is the ticket whose turn is next, nil if there is none.
+// first returns the ticket that is next in order, nil if the queue is empty.
 func (qu *queue) first() *Ticket {
 	for pr := len(qu.classes) - 1; pr >= 0; pr-- {
 		if len(qu.classes[pr]) > 0 {
@@ -64,7 +63,7 @@
 	return nil
 }
 
-// workAhead sums the work that would go before a newcomer.
+// workAhead sums the work of the tickets that go before an arriving ticket.
 func (qu *queue) workAhead(ti *Ticket) core.Work {
 	sum := qu.workFrom(ti.Priority + 1)
 	for _, other := range qu.classes[ti.Priority] {
@@ -75,9 +74,9 @@
 	return sum
 }
 
-// pop takes the next ticket whose customer may have a slot. A ticket that has
-// waited beyond maxWait goes before its betters: without that, a steady stream
-// of urgent calls would hold back batch work for ever.
+// pop removes and returns the next ticket whose customer may have a slot, nil if there is none. A
+// ticket queued for longer than maxOvertaken goes before those of higher priority: without that, a
+// steady stream of urgent calls would starve batch work.
 func (qu *queue) pop(now time.Time, may func(ac *account) bool) *Ticket {
 	ti := qu.overdue(now, may)
 	for pr := len(qu.classes) - 1; ti == nil && pr >= 0; pr-- {
@@ -95,6 +94,7 @@
 	return ti
 }
 
+// overdue returns the ticket that has been queued longest of those beyond maxOvertaken.
 func (qu *queue) overdue(now time.Time, may func(ac *account) bool) *Ticket {
 	var oldest *Ticket
 	for _, class := range qu.classes {
@@ -107,10 +107,10 @@
 	return oldest
 }
 
-// victimFor finds the waiting ticket that should make room for a newcomer: of the
-// lowest priority below the newcomer's, else, within its priority, the last of
-// the customer with most waiting for its share, if that is more than the
-// newcomer's customer would have.
+// victimFor returns the queued ticket to evict for an arriving one, nil if there is none. It is a
+// ticket of the lowest priority below the arriving one's. If there is no such priority, it is one
+// of the same priority: the last ticket of the customer with the largest backlog relative to its
+// share, provided that it exceeds what the arriving ticket's customer would have.
 func (qu *queue) victimFor(ti *Ticket) *Ticket {
 	for pr := range ti.Priority {
 		if victim := largestBacklog(qu.classes[pr]); victim != nil {
@@ -128,6 +128,7 @@
 	return victim
 }
 
+// largestBacklog returns the last ticket of the customer with the most queued work for its weight.
 func largestBacklog(class []*Ticket) *Ticket {
 	var found *Ticket
 	var largest float64
@@ -140,7 +141,7 @@
 	return found
 }
 
-// workFrom sums the work waiting at that priority or a higher one.
+// workFrom sums the queued work of the given priority and all higher ones.
 func (qu *queue) workFrom(pr core.Priority) core.Work {
 	var sum core.Work
 	for _, class := range qu.classes[pr:] {
--- a/core/admit/stats.go
+++ b/core/admit/stats.go
@@ -6,9 +6,8 @@
 	"almondrill/core"
 )
 
-// SetUntracked takes in how much the engine's own report shows beyond what this gate
-// has given it: work that came past the gate. It counts as load until the next
-// report.
+// SetUntracked sets the work that the engine reports beyond what this gate admitted, because it
+// reached the engine by another path. It counts towards the load until the next report.
 func (ga *Gate) SetUntracked(wo core.Work) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -18,14 +17,14 @@
 	ga.admitCapWaiters()
 }
 
-// TrackedLoad is the work inside that came through this gate.
+// TrackedLoad returns the load that was admitted through this gate.
 func (ga *Gate) TrackedLoad() core.Work {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.load - ga.untracked
 }
 
-// Stats is a gate's state for reports.
+// Stats is a snapshot of a gate's state.
 type Stats struct {
 	Load       core.Work
 	Mean       core.Work
@@ -34,7 +33,7 @@
 	Queued     int
 }
 
-// Stats reads the gate's state. Drain is the work a second finished lately.
+// Stats returns the gate's state. Throughput is the recently finished work per second.
 func (ga *Gate) Stats() Stats {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -71,8 +70,8 @@
 	return time.Duration(float64(ahead) / ga.throughput * float64(time.Second))
 }
 
-// EstimatePrefill estimates how long prefilling that work takes at the rate at which
-// an endpoint like this one works.
+// EstimatePrefill estimates how long prefilling that much work takes at the endpoint's current
+// throughput.
 func (ga *Gate) EstimatePrefill(wo core.Work) time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -82,7 +81,7 @@
 	return time.Duration(float64(wo) / ga.throughput * float64(time.Second))
 }
 
-// LessLoaded names less loaded peers.
+// LessLoaded returns peers whose load is below the pool's mean.
 func (ga *Gate) LessLoaded() []core.VMID {
 	ga.mu.Lock()
 	limit := ga.Loads.Mean(ga.load)
@@ -95,7 +94,7 @@
 	limit := core.Work(ga.limits.LoadFactor*float64(mean)) - wo
 	return &core.Refusal{
 		Outcome: core.NotRun, Reason: core.ReasonLoadCap, Step: "admit", Peer: string(ga.VM),
-		Detail:       "the endpoint is at its multiple of the pool's mean load",
+		Detail:       "load cap reached: the endpoint's load is at the limit relative to the pool's mean",
 		Alternatives: ga.Loads.LessLoaded(max(limit, mean), maxAlternatives, ga.Rand),
 		RetryAfter:   minRetryAfter,
 	}
@@ -104,18 +103,18 @@
 func (ga *Gate) queueFullRefusal(ti *Ticket) *core.Refusal {
 	re := &core.Refusal{
 		Outcome: core.NotRun, Reason: core.ReasonQueueFull, Step: "admit", Peer: string(ga.VM),
-		Detail:       "the endpoint's queue is full",
+		Detail:       "endpoint queue full",
 		Alternatives: ga.Loads.LessLoaded(ga.load, maxAlternatives, ga.Rand),
 		RetryAfter:   ga.retryAfter(),
 	}
 	if float64(ti.account.queuedWork)*ga.activeWeight > float64(ga.queue.work)*ti.account.weight {
 		re.Reason = core.ReasonShareExceeded
-		re.Detail = "the queue is full and the customer is over its share of it"
+		re.Detail = "endpoint queue full and customer over its share of it"
 	}
 	return re
 }
 
-// retryAfter is when about half the queue will have been worked off.
+// retryAfter estimates when about half of the queue will be done.
 func (ga *Gate) retryAfter() time.Duration {
 	if ga.throughput < 1 {
 		return time.Second
@@ -124,14 +123,14 @@
 	return min(maxRetryAfter, max(minRetryAfter, time.Duration(half*float64(time.Second))))
 }
 
-// Load is the work inside now.
+// Load returns the current load: remaining work of admitted tickets plus untracked work.
 func (ga *Gate) Load() core.Work {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.load
 }
 
-// LoadCapRefusal is the refusal of a ticket that found no room under the cap.
+// LoadCapRefusal returns the refusal for a ticket that does not fit under the load cap.
 func (ga *Gate) LoadCapRefusal(ti *Ticket) *core.Refusal {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
