--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -2,27 +2,28 @@
 //
 // # Concepts
 //
-// A Search is one request's way through its pool. For a chat the first choice is
-// where its context should be: the caller's hint if that VM is in the pool, else
-// the chat's home, by rendezvous hashing over the pool's members of the router's
-// own region (all members where the region has none). After a refusal the next
-// few in rendezvous order come, then those that the refusal names: two of these
-// are looked at and the less loaded one is tried.
+// A Search holds the state of one request's attempts within its pool. For a chat the first choice
+// is the member that should have its context cached: the VM of the caller's hint if it is in the
+// pool, else the chat's home, which rendezvous hashing selects among the pool's members in the
+// router's own region (among all members if the region has none). After a refusal the next members
+// in rendezvous order follow, then the alternatives that the refusal names: of the first two
+// untried ones the less loaded is taken.
 //
-// A service call has no context: two members of the own zone (else region, else
-// pool) are drawn and the less loaded one is tried.
+// A service call has no context: two members of the router's zone (else region, else pool) are
+// drawn at random and the less loaded one is taken.
 //
 // # Invariants
 //
-//   - First allocates nothing and takes no lock.
-//   - No VM is tried twice, unless a refusal of another names it as the holder.
-//   - A member that is being readmitted gets only the keys within its Allowance.
+//   - First does not allocate and takes no lock.
+//   - No VM is selected twice, up to maxTried attempts.
+//   - A member that is being readmitted gets only the keys within its Allowance, unless no other
+//     member is left.
 //
 // # Usage
 //
 //	se := pick.Search{Pool: po, Key: key, Hint: hint, Rand: rand, Zone: zone}
 //	ix := se.First()
-//	ix = se.After(refusal)
+//	ix = se.Next(refusal)
 package pick
 
 import (
@@ -33,17 +34,17 @@
 	"almondrill/core/ring"
 )
 
-// preferredWalk is how far a refused chat goes down its rendezvous order before it takes
-// a less loaded member that the refusal names. The order is the chat's own, so
-// its next turns meet the same few members and find context there; the named
-// ones are random. docs/design/returning-chats.md has the figures for 0, 2 and 4.
+// preferredWalk is how many further members of its rendezvous order a refused chat tries before it
+// takes an alternative that the refusal names. The order is fixed per chat, so its next turns reach
+// the same few members and find the context cached there; the named alternatives are random.
+// docs/design/returning-chats.md compares 0, 2 and 4.
 const preferredWalk = 2
 
-// maxTried bounds the attempts that a Search remembers.
+// maxTried bounds how many attempts a Search records.
 const maxTried = 16
 
-// Search is the state of one request's choices. Set the exported fields, then
-// call First once and After for each refusal.
+// Search holds the state of one request's attempts. Set the exported fields, then call First once
+// and Next for each refusal.
 type Search struct {
 	Pool *board.Pool
 	// Key is the chat's hash; unused for services.
@@ -57,7 +58,7 @@
 	walkedSteps int
 }
 
-// First is the member to try first, -1 if the pool is empty.
+// First returns the index of the member to try first, -1 if the pool is empty.
 func (se *Search) First() int {
 	if len(se.Pool.Members) == 0 {
 		return -1
@@ -73,7 +74,8 @@
 	return se.markTried(se.home())
 }
 
-// Home is the chat's home as this process sees it, -1 if the pool is empty.
+// Home returns the index of the chat's home in this process's view of the pool, -1 if the pool is
+// empty. The home is the member that rendezvous hashing prefers for the chat.
 func Home(po *board.Pool, key uint64) int {
 	se := Search{Pool: po, Key: key}
 	if len(po.Members) == 0 {
@@ -82,8 +84,8 @@
 	return se.home()
 }
 
-// HomeWithout is what the chat's home will be once the VM has left, -1 if nobody
-// stays.
+// HomeWithout returns the index of the chat's home once the VM is removed from the pool, -1 if no
+// member remains.
 func HomeWithout(po *board.Pool, key uint64, vm core.VMID) int {
 	se := Search{Pool: po, Key: key}
 	if ix := po.Index(vm); ix >= 0 {
@@ -92,7 +94,8 @@
 	return se.nextInOrder()
 }
 
-// IsPreferred tells whether the VM is among the members that a chat's calls try first.
+// IsPreferred reports whether the VM is among the members that the chat's calls try first: its home
+// and the next preferredWalk members in rendezvous order.
 func IsPreferred(po *board.Pool, key uint64, vm core.VMID) bool {
 	se := Search{Pool: po, Key: key}
 	for range preferredWalk + 1 {
@@ -107,7 +110,8 @@
 	return false
 }
 
-// home is the best member of the own region, or of all where there is none.
+// home returns the chat's home: the highest-ranked member of the router's region, or of the pool if
+// the region has none.
 func (se *Search) home() int {
 	po := se.Pool
 	if len(po.Near) == len(po.Members) || len(po.Near) == 0 {
@@ -118,9 +122,9 @@
 	return se.nextInOrder()
 }
 
-// nextInOrder walks the rendezvous order past tried members and those of other
-// regions, and past those whose Allowance leaves this key out, unless that leaves
-// nobody: when a whole pool has come back, all of it is being readmitted.
+// nextInOrder returns the next untried member in rendezvous order, those of the router's region
+// first. It skips members whose Allowance excludes the key unless no other member is left: after an
+// outage of a whole pool, all of its members are being readmitted.
 func (se *Search) nextInOrder() int {
 	if best := se.bestUntried(true); best >= 0 {
 		return best
@@ -151,8 +155,8 @@
 	return best
 }
 
-// withinAllowance draws, from the key and the member alone, whether the key is within
-// the member's Allowance, so that all routers decide alike.
+// withinAllowance reports whether the key is within the member's Allowance. The result depends only
+// on the key and the member, so all routers decide alike.
 func withinAllowance(me *board.Member, hash, key uint64) bool {
 	if me.Allowance >= 1 {
 		return true
@@ -162,7 +166,7 @@
 	return float64(ring.Mix(key^salt, hash)>>32) < me.Allowance*top
 }
 
-// Next is the member to try after a refusal, -1 if there is no other.
+// Next returns the index of the member to try after a refusal, -1 if there is none left.
 func (se *Search) Next(re *core.Refusal) int {
 	if re.Reason == core.ReasonHeldElsewhere && len(re.Alternatives) > 0 {
 		if ix := se.Pool.Index(re.Alternatives[0]); ix >= 0 && !se.wasTried(ix) {
@@ -183,14 +187,14 @@
 	return se.markTried(se.nextInOrder())
 }
 
-// Untried tells whether the VM is in the pool and was not tried so far.
+// Untried reports whether the VM is in the pool and has not been tried yet.
 func (se *Search) Untried(vm core.VMID) bool {
 	ix := se.Pool.Index(vm)
 	return ix >= 0 && !se.wasTried(ix)
 }
 
-// lessLoaded takes the less loaded of the first two untried names. The refusing
-// agent has drawn the names at random, so this is a power of two choices.
+// lessLoaded returns the less loaded of the first two untried VMs, -1 if none is untried. The
+// refusing agent has drawn the names at random, so this is a power-of-two-choices selection.
 func (se *Search) lessLoaded(names []core.VMID) int {
 	one := -1
 	for _, vm := range names {
@@ -210,8 +214,8 @@
 	return one
 }
 
-// nearby draws two untried members of the own zone, else of the own region, else
-// of the pool, and takes the less loaded.
+// nearby draws two untried members of the router's zone, else of its region, else of the pool, and
+// returns the less loaded one.
 func (se *Search) nearby() int {
 	for _, within := range [...]func(ix int) bool{se.inZone, se.inRegion, func(int) bool { return true }} {
 		one, two := se.draw(within), se.draw(within)
@@ -226,7 +230,7 @@
 	return -1
 }
 
-// draw picks one matching untried member, all with equal odds.
+// draw returns one of the matching untried members, each with equal probability.
 func (se *Search) draw(within func(ix int) bool) int {
 	found, seen := -1, 0
 	for ix := range se.Pool.Members {
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -24,21 +24,20 @@
 	return po
 }
 
-// A zone's power returns: all of a pool's members come back at once and are all
-// being readmitted, each taking a tenth of its chats. A chat that none of them
-// would take must still be served, not refused (the router's history test, seed
-// 1, met this as an index of -1).
+// After an outage all members of a pool are readmitted at once, each with an Allowance of 0.1. A
+// chat that is within no member's Allowance must still get a member. (First returned -1 in this
+// case; found by the router's history test with seed 1.)
 func TestReadmittedPoolServesEveryChat(t *testing.T) {
 	po := pool(4, 0.1)
 	for key := range uint64(1000) {
 		se := pick.Search{Pool: po, Key: key, Rand: clock.NewRand(1)}
 		if se.First() < 0 {
-			t.Fatalf("chat %d has nowhere to go", key)
+			t.Fatalf("no member for chat %d", key)
 		}
 	}
 }
 
-// A member that is being readmitted gets about its part of its chats.
+// A member with an Allowance of 0.2 must get about a fifth of the chats whose home it is.
 func TestReadmittedMemberGetsItsAllowance(t *testing.T) {
 	po := pool(10, 1)
 	po.Members[3].Allowance, po.Ramping = 0.2, true
@@ -53,24 +52,24 @@
 		}
 	}
 	if got := float64(part) / float64(full); got < 0.15 || got > 0.25 {
-		t.Errorf("got %.2f of its chats", got)
+		t.Errorf("the readmitted member got %.2f of its chats, want about 0.2", got)
 	}
 }
 
-// Routers whose lists differ in one VM agree on every chat but that VM's.
+// Routers whose member lists differ in one VM must agree on all chats but those of that VM.
 func TestDifferingListsDisagreeOnlyOnMissingMember(t *testing.T) {
 	all := pool(20, 1).Ring
 	for key := range uint64(5000) {
 		mixed := ring.Mix(key, 2)
 		full, lacking := ring.Best(all, mixed, true), ring.Best(all[:19], mixed, true)
 		if full != 19 && full != lacking {
-			t.Fatalf("chat %d moved from %d to %d", key, full, lacking)
+			t.Fatalf("home of chat %d: member %d with the full list, %d without member 19", key, full, lacking)
 		}
 	}
 }
 
-// A refused chat walks its own order, so that its next turn meets the same two,
-// and only then takes a name from the refusal.
+// A refused chat must try the next two members of its rendezvous order, which its later turns try
+// too, before it takes an alternative that the refusal names.
 func TestWalkPrecedesAlternatives(t *testing.T) {
 	po := pool(12, 1)
 	search := func(names ...core.VMID) []int {
@@ -85,6 +84,6 @@
 	}
 	again := search(po.Members[named].VM)
 	if !slices.Equal(walked[:3], again[:3]) || again[3] != named {
-		t.Errorf("%v without names, %v with member %d named", walked, again, named)
+		t.Errorf("tried %v without alternatives, %v with member %d as alternative", walked, again, named)
 	}
 }
--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -2,14 +2,13 @@
 //
 // # Concepts
 //
-// Every member scores every key; the highest score is the key's home. No state
-// is shared: two routers whose lists differ in a few members agree on all keys
-// but those of the differing members, and a member's coming or going moves only
-// its own keys.
+// Each member has a score for each key; the member with the highest score is the key's home. No
+// state is shared: two routers whose lists differ in a few members agree on all keys but those of
+// the differing members, and adding or removing a member moves only its own keys.
 //
 // # Usage
 //
-//	home := ring.Best(members, ring.Key(customer, pool, chat), ring.Even(members))
+//	home := ring.Best(members, ring.Key(customer, pool, chat), ring.UniformWeights(members))
 package ring
 
 import (
@@ -20,15 +19,15 @@
 	"almondrill/core"
 )
 
-// Member is what placement needs of a VM. Hash is the hash of its name. Weight
-// is its relative capacity, above 0.
+// Member is a VM as a target of placement. Hash is the hash of its name. Weight is its relative
+// capacity, above 0.
 type Member struct {
 	Hash   uint64
 	Weight float64
 }
 
-// Key hashes what names a chat. The lengths of the parts are mixed in, so that
-// ("ab","c") and ("a","bc") differ.
+// Key returns the hash that identifies a chat. Each part is hashed on its own, so that ("ab","c")
+// and ("a","bc") differ.
 func Key(cu core.CustomerID, po core.PoolID, ch core.ChatID) uint64 {
 	key := xxhash.Sum64String(string(cu))
 	key = Mix(key, xxhash.Sum64String(string(po)))
@@ -43,16 +42,16 @@
 	return mixed ^ (mixed >> 31)
 }
 
-// Score is the member's claim on the key; with equal weights it orders as the
-// mixed hash does.
+// Score returns the member's weighted rendezvous score for the key. With equal weights, members are
+// in the same order as by their mixed hashes.
 func Score(me Member, key uint64) float64 {
 	const unit = 1.0 / (1 << 53)
 	uniform := (float64(Mix(me.Hash, key)>>11) + 0.5) * unit
 	return -me.Weight / math.Log(uniform)
 }
 
-// Best is the index of the key's home among members, -1 if there is none. With
-// even set, all weights are equal, the common case, and no logarithm is needed.
+// Best returns the index of the key's home among members, -1 if there are none. uniform states that
+// all weights are equal; this is the common case and needs no logarithm.
 func Best(members []Member, key uint64, uniform bool) int {
 	if !uniform {
 		return BestExcept(members, key, func(int) bool { return false })
@@ -67,7 +66,8 @@
 	return best
 }
 
-// BestExcept is the member with the highest score among those that skip passes over.
+// BestExcept returns the index of the member with the highest score among those for which skip
+// returns false, -1 if there are none.
 func BestExcept(members []Member, key uint64, skip func(ix int) bool) int {
 	best := -1
 	var high float64
@@ -82,7 +82,7 @@
 	return best
 }
 
-// UniformWeights tells whether all weights are equal.
+// UniformWeights reports whether all weights are equal.
 func UniformWeights(members []Member) bool {
 	for ix := 1; ix < len(members); ix++ {
 		if members[ix].Weight != members[0].Weight {
