--- a/core/loads/loads.go
+++ b/core/loads/loads.go
@@ -1,19 +1,18 @@
-// Package loads keeps what an agent knows of its pool's loads and estimates the
-// mean from it.
+// Package loads holds an agent's samples of its pool's loads and estimates the mean load.
 //
 // # Concepts
 //
-// Agents of a pool tell each other their loads now and then; each Table holds
-// the freshest figure per peer with its age. Mean is that of the own load and of
-// all figures that are fresh: a sample of the pool, and in a pool of more than a
-// few dozens a small error. docs/design/load-cap.md weighs other estimates.
+// Agents of a pool gossip their loads. A Table holds the latest sample of each peer with its age.
+// Mean averages the agent's own load and all fresh samples. These are a sample of the pool; in a
+// pool of more than a few dozen members the error is small. docs/design/load-cap.md discusses other
+// estimates.
 //
 // # Invariants
 //
-//   - A figure older than Stale, or of a leaving peer, does not count. If there
-//     are peers but no fresh figure of any, the mean is 0, which leaves FloorWork
-//     as the cap: an agent that hears from nobody cannot run hot.
-//   - An older figure never replaces a fresher one, whatever way it came.
+//   - Samples older than MaxAge and those of draining peers do not count. If there are peers but no
+//     fresh sample, the mean is 0, which leaves FloorWork as the load cap: an agent without reports
+//     from its peers cannot overload its endpoints.
+//   - An older sample never replaces a newer one, whichever path it arrived by.
 //
 // # Usage
 //
@@ -34,7 +33,7 @@
 	"almondrill/core"
 )
 
-// Gauge is a load that traffic goroutines read and write without locks.
+// Gauge is a load that can be read and written concurrently without locks.
 type Gauge struct {
 	work atomic.Int64
 }
@@ -42,10 +41,10 @@
 // Set stores the load.
 func (ga *Gauge) Set(wo core.Work) { ga.work.Store(int64(wo)) }
 
-// Get returns the load last stored.
+// Get returns the load that was stored last.
 func (ga *Gauge) Get() core.Work { return core.Work(ga.work.Load()) }
 
-// MaxAge is the age beyond which a figure does not count.
+// MaxAge is the age beyond which a sample does not count.
 const MaxAge = 5 * time.Second
 
 type sample struct {
@@ -55,7 +54,7 @@
 	draining   bool
 }
 
-// Table holds one pool's loads. Set the exported fields before use.
+// Table holds the load samples of one pool. Set the exported fields before use.
 type Table struct {
 	Clock core.Clock
 	Pool  core.PoolID
@@ -64,21 +63,22 @@
 	mu         sync.Mutex // guards all below
 	peers      []core.VMID
 	samples    map[core.VMID]sample
-	freshSum   core.Work // of the peers' fresh loads, as at summed
-	freshCount int       // how many figures are in sum
+	freshSum   core.Work // sum of the peers' fresh loads as of summedAt
+	freshCount int       // number of samples in freshSum
 	summedAt   time.Time
-	// The trend of the peers' mean, and the mean and time it was last taken at.
+	// trend is the change of the peers' mean in work per second. trendMean and trendAt are the mean
+	// and the time of its last update.
 	trend     float64
 	trendMean float64
 	trendAt   time.Time
 }
 
-// sumTTL is how long the sum over the peers is kept: admission reads it for
-// every call, and in so short a time it moves by less than one call's work.
+// sumTTL is how long the sum over the peers is cached. Admission reads it for every call, and within
+// this time it changes by less than the work of one call.
 const sumTTL = 10 * time.Millisecond
 
-// SetPeers replaces the pool's live members, Self among them or not. It reports
-// whether they are others than before.
+// SetPeers replaces the pool's live members; Self is ignored. It reports whether the list of peers
+// changed.
 func (ta *Table) SetPeers(vms []core.VMID) bool {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -99,7 +99,7 @@
 	return !slices.Equal(before, ta.peers)
 }
 
-// Observe takes in one figure; the entry's Age is subtracted from now.
+// Observe records a sample of a peer's load, measured en.Age ago.
 func (ta *Table) Observe(en core.LoadEntry) {
 	at := ta.Clock.Now().Add(-en.Age)
 	ta.mu.Lock()
@@ -114,7 +114,7 @@
 	ta.summedAt = time.Time{}
 }
 
-// Mean is the mean of the pool's loads as far as known, own load included.
+// Mean returns the mean of the pool's known loads, including ownLoad.
 func (ta *Table) Mean(ownLoad core.Work) core.Work {
 	now := ta.Clock.Now()
 	ta.mu.Lock()
@@ -128,7 +128,7 @@
 	return (ta.freshSum + ownLoad) / core.Work(ta.freshCount+1)
 }
 
-// refreshSum sums the fresh figures, each brought forward by its age along the trend.
+// refreshSum sums the fresh samples and extrapolates them to now along the trend.
 func (ta *Table) refreshSum(now time.Time) {
 	ta.summedAt = now
 	var sum, age float64
@@ -151,8 +151,8 @@
 	ta.freshSum = core.Work((mean + extrapolated) * float64(ta.freshCount))
 }
 
-// updateTrend keeps the trend of the peers' mean, in work a second. The own load has no
-// part in it: an agent that grows hot must not take its own growth for the pool's.
+// updateTrend updates the trend of the peers' mean, in work per second. The agent's own load is not
+// included: an agent whose load grows must not mistake its own growth for the pool's.
 func (ta *Table) updateTrend(mean float64, at time.Time) {
 	elapsed := at.Sub(ta.trendAt).Seconds()
 	if elapsed < trendInterval.Seconds() {
@@ -168,17 +168,17 @@
 }
 
 const (
-	// trendInterval and trendOver are how often the trend is looked at, and over how
-	// long it is smoothed.
+	// trendInterval is the minimum time between updates of the trend, trendWindow the time over
+	// which it is smoothed.
 	trendInterval = 300 * time.Millisecond
 	trendWindow   = time.Second
-	// maxExtrapolation bounds how far a figure is brought forward, as a part of it.
+	// maxExtrapolation bounds the extrapolated change, as a fraction of the mean.
 	maxExtrapolation = 0.25
 )
 
-// LessLoaded names up to most peers whose load is below limit. Which ones is drawn at
-// random with odds by their headroom, so that many refusals at once do not send
-// everyone to the one least loaded peer.
+// LessLoaded returns up to maxCount peers whose load is below limit. They are drawn at random with
+// probabilities proportional to their headroom, so that many refusals at once do not send all calls
+// to the one least loaded peer.
 func (ta *Table) LessLoaded(limit core.Work, maxCount int, ra core.Rand) []core.VMID {
 	type drawn struct {
 		vm  core.VMID
@@ -188,13 +188,13 @@
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var found []drawn
-	for _, vm := range ta.peers { // in order, so that a seeded run repeats
+	for _, vm := range ta.peers { // in order, for reproducible runs with a seed
 		sa, known := ta.samples[vm]
 		headroom := limit - sa.load
 		if !known || headroom <= 0 || sa.draining || now.Sub(sa.measuredAt) > MaxAge {
 			continue
 		}
-		// The smallest of Exp(1)/room is drawn with odds proportional to room.
+		// The smallest Exp(1)/headroom falls on a peer with probability proportional to its headroom.
 		found = append(found, drawn{vm, exponential(ra) / float64(headroom)})
 	}
 	slices.SortFunc(found, func(one, two drawn) int { return cmp.Compare(one.key, two.key) })
@@ -205,7 +205,8 @@
 	return names
 }
 
-// LoadOf is the last known load of a peer, and whether it is fresh.
+// LoadOf returns the last known load of a peer. The result is false if the sample is older than
+// MaxAge, the peer is draining or unknown.
 func (ta *Table) LoadOf(vm core.VMID) (core.Work, bool) {
 	now := ta.Clock.Now()
 	ta.mu.Lock()
@@ -214,7 +215,7 @@
 	return sa.load, known && !sa.draining && now.Sub(sa.measuredAt) <= MaxAge
 }
 
-// Freshest returns up to most figures, the most recent first, for passing on.
+// Freshest returns up to maxCount samples to gossip to peers, the most recent first.
 func (ta *Table) Freshest(maxCount int) []core.LoadEntry {
 	now := ta.Clock.Now()
 	ta.mu.Lock()
@@ -235,7 +236,7 @@
 	return entries[:min(maxCount, len(entries))]
 }
 
-// exponential draws from the exponential distribution with mean 1.
+// exponential returns a random number from the exponential distribution with mean 1.
 func exponential(ra core.Rand) float64 {
 	return -math.Log(1 - ra.Float64())
 }
--- a/core/loads/loads_test.go
+++ b/core/loads/loads_test.go
@@ -23,9 +23,8 @@
 
 func vm(n int) core.VMID { return core.VMID(fmt.Sprint("agent-", n)) }
 
-// A pool comes back after an outage and fills up fast. Figures of the others are
-// a second old, and on them alone every agent would take itself for too hot and
-// refuse. The trend of the others brings them forward.
+// The loads of a pool rise fast after an outage, and the peers' samples are a second old. Without
+// extrapolation every agent would consider itself above the mean and refuse calls.
 func TestRisingLoadsAreExtrapolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ta := table(10)
@@ -39,13 +38,13 @@
 		now := 1000.0 + 100*109
 		others := float64(ta.Mean(0)) * 11 / 10
 		if others < 0.95*now || others > 1.05*now {
-			t.Errorf("the others' mean is taken for %.0f, it is %.0f", others, now)
+			t.Errorf("estimated mean of the peers %.0f, want %.0f within 5 %%", others, now)
 		}
 	})
 }
 
-// One agent grows hot while the others stay as they are. It must not take its own
-// growth for the pool's: its mean is theirs and its own part in it.
+// The load of one agent grows while those of its peers stay constant. The agent must not mistake its
+// own growth for a trend of the pool: Mean must be the plain average.
 func TestOwnLoadDoesNotAffectTrend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ta := table(10)
@@ -56,25 +55,25 @@
 			}
 			own := core.Work(1000 + 200*step)
 			if mean, want := ta.Mean(own), (10*1000+own)/11; mean != want {
-				t.Fatalf("mean %d, want %d", mean, want)
+				t.Fatalf("mean load %d, want %d", mean, want)
 			}
 		}
 	})
 }
 
-// A figure that took a roundabout way arrives behind a fresher one; it is ignored.
+// A sample that arrives after a newer one, over a slower path, must be ignored.
 func TestOlderSampleIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ta := table(1)
 		ta.Observe(core.LoadEntry{Pool: "chat", VM: vm(0), Load: 500, Age: time.Second})
 		ta.Observe(core.LoadEntry{Pool: "chat", VM: vm(0), Load: 900, Age: 2 * time.Second})
 		if load, fresh := ta.LoadOf(vm(0)); load != 500 || !fresh {
-			t.Errorf("%d %v", load, fresh)
+			t.Errorf("load %d, fresh %v; want 500, true", load, fresh)
 		}
 	})
 }
 
-// Many refusals at once name less loaded peers. They do not all name the same one.
+// Many refusals at once must not all name the same less loaded peer.
 func TestAlternativesAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ta := table(10)
@@ -90,7 +89,7 @@
 			t.Errorf("%v", first)
 		}
 		if first[vm(8)]+first[vm(9)] > 0 {
-			t.Errorf("peers at or above the limit are named: %v", first)
+			t.Errorf("alternatives include peers at or above the limit: %v", first)
 		}
 	})
 }
