--- a/core/ctxdir/directory.go
+++ b/core/ctxdir/directory.go
@@ -1,27 +1,25 @@
-// Package ctxdir is an agent's directory of returning chats: which contexts its
-// own engines hold, and where those are whose home it is but that were served
-// elsewhere.
+// Package ctxdir is an agent's directory of cached chat contexts: those that its own engines have
+// cached, and pointers to the agents that hold the contexts of chats whose home is here.
 //
 // # Concepts
 //
-// A chat is known by a 64-bit key (see ring.Key). Held entries follow the
-// engine's cache: made when a call is served, dropped on the engine's eviction
-// events. Away entries are pointers that other agents placed here because this
-// agent is the chat's home. Everything is a hint: a wrong entry costs one
-// exchange or one prefill, never an answer.
+// A chat is identified by a 64-bit key (see ring.Key). CachedContext entries track the engines'
+// caches: they are added when a call is served and removed on the engine's eviction events. Pointers
+// are placed by other agents that served a chat whose home is this agent. All entries are hints: a
+// wrong one costs one message exchange or one prefill, never an answer.
 //
 // # Invariants
 //
-//   - Both tables are bounded, and an entry older than KeepFor is not used.
-//   - Cache events are applied in sequence. A gap means that evictions may have
-//     been missed: Held entries of that engine count as unsure until Resynced.
+//   - Both tables are bounded, and entries older than TTL are not used.
+//   - Cache events are applied in sequence. A gap means that evictions may have been missed; the
+//     cached entries of that engine may then be outdated until Resync.
 //
 // # Usage
 //
-//	bo := &chats.Book{Clock: clock, MaxHeld: 20000, MaxAway: 20000, KeepFor: time.Hour}
-//	bo.Keep(key, chats.Held{Endpoint: ep, Tokens: n})
-//	he, here := bo.Held(key)
-//	vm, away := bo.Away(key)
+//	di := &ctxdir.Directory{Clock: clock, MaxCached: 20000, MaxPointers: 20000, TTL: time.Hour}
+//	di.Add(key, ctxdir.CachedContext{Endpoint: ep, Tokens: n})
+//	cc, cached := di.Lookup(key)
+//	vm, known := di.Pointer(key)
 package ctxdir
 
 import (
@@ -33,18 +31,19 @@
 	"almondrill/core"
 )
 
-// CachedContext is a context in the cache of an engine of this agent.
+// CachedContext is a chat's context in the cache of one of this agent's engines.
 type CachedContext struct {
 	Endpoint core.EndpointID
 	Tokens   core.Tokens
-	// Placement names the chat, for handing it on.
+	// Placement identifies the chat when its context is handed off.
 	Placement core.Placement
-	// NotifiedHome is the home that was last told of it, where it is not this agent.
+	// NotifiedHome is the home endpoint's VM that was last notified of this context, if that is not
+	// this agent.
 	NotifiedHome core.VMID
 	usedAt       time.Time
 }
 
-// LastUsed is when the context was last used.
+// LastUsed returns when the context was last used.
 func (cc *CachedContext) LastUsed() time.Time { return cc.usedAt }
 
 type pointer struct {
@@ -52,7 +51,7 @@
 	at        time.Time
 }
 
-// Directory is one agent's directory. Set the exported fields before use.
+// Directory holds one agent's cached contexts and pointers. Set the exported fields before use.
 type Directory struct {
 	Clock       core.Clock
 	MaxCached   int
@@ -62,7 +61,7 @@
 	mu       sync.Mutex // guards all below
 	cached   *simplelru.LRU[uint64, CachedContext]
 	pointers *simplelru.LRU[uint64, pointer]
-	lastSeq  map[core.EndpointID]uint64 // last sequence number seen
+	lastSeq  map[core.EndpointID]uint64 // last sequence number of each engine's cache events
 	gaps     int64
 }
 
@@ -70,13 +69,13 @@
 	if di.cached != nil {
 		return
 	}
-	// The only error is a size below 1, which the bounds here rule out.
+	// NewLRU fails only for sizes below 1.
 	di.cached, _ = simplelru.NewLRU[uint64, CachedContext](max(1, di.MaxCached), nil)
 	di.pointers, _ = simplelru.NewLRU[uint64, pointer](max(1, di.MaxPointers), nil)
 	di.lastSeq = map[core.EndpointID]uint64{}
 }
 
-// Add notes that an engine here holds the chat's context.
+// Add records that one of this agent's engines has the chat's context cached.
 func (di *Directory) Add(key uint64, cc CachedContext) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -86,7 +85,7 @@
 	di.pointers.Remove(key)
 }
 
-// Lookup finds the chat's context in an engine here.
+// Lookup returns the chat's context if one of this agent's engines has it cached.
 func (di *Directory) Lookup(key uint64) (CachedContext, bool) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -99,7 +98,7 @@
 	return cc, known
 }
 
-// SetNotified notes which home was told of a context held here.
+// SetNotified records which home was notified of a context cached here.
 func (di *Directory) SetNotified(key uint64, home core.VMID) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -110,8 +109,8 @@
 	}
 }
 
-// AddPointer notes that another agent, the placement's VM, holds the context of a chat
-// whose home is here.
+// AddPointer records that another agent, the placement's VM, holds the context of a chat whose home
+// is here.
 func (di *Directory) AddPointer(key uint64, pl core.Placement) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -119,7 +118,7 @@
 	di.pointers.Add(key, pointer{pl, di.Clock.Now()})
 }
 
-// RemovePointer drops the pointer if it still is to that VM.
+// RemovePointer removes the chat's pointer if it still names that VM.
 func (di *Directory) RemovePointer(key uint64, vm core.VMID) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -129,7 +128,7 @@
 	}
 }
 
-// Pointer finds the VM that the chat's pointer names.
+// Pointer returns the VM that the chat's pointer names.
 func (di *Directory) Pointer(key uint64) (core.VMID, bool) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -142,10 +141,9 @@
 	return pt.placement.VM, known
 }
 
-// ApplyEviction applies an engine's cache event that drops a chat, or any other event
-// with key 0. It returns false when events were missed before it: the caller
-// then resyncs. An event that comes late or twice is ignored, as the resync that
-// its gap caused has already covered it.
+// ApplyEviction applies an engine's cache event: the eviction of a chat, or any other event with key
+// 0. It returns false if events before it were missed; the caller then has to resync. A late or
+// repeated event is ignored: the resync caused by its gap has already covered it.
 func (di *Directory) ApplyEviction(ep core.EndpointID, seq, key uint64) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -165,7 +163,7 @@
 	return true
 }
 
-// Resync replaces what is known of an engine by its own listing as of seq.
+// Resync removes the entries of an engine that are not in its own listing as of seq.
 func (di *Directory) Resync(ep core.EndpointID, seq uint64, keys map[uint64]bool) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -178,7 +176,7 @@
 	}
 }
 
-// Cached lists up to most contexts held here, the most recently used first.
+// Cached returns up to maxCount contexts cached here, the most recently used first.
 func (di *Directory) Cached(maxCount int) []CachedContext {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -191,7 +189,7 @@
 	return found
 }
 
-// Pointers lists up to most pointers kept here, the most recently used first.
+// Pointers returns up to maxCount pointers, the most recently used first.
 func (di *Directory) Pointers(maxCount int) []core.Placement {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -204,7 +202,7 @@
 	return found
 }
 
-// Sizes are the numbers of entries held, pointed elsewhere, and gaps seen.
+// Sizes returns the numbers of cached contexts, of pointers, and of gaps in cache events so far.
 func (di *Directory) Sizes() (held, pointers int, gaps int64) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
--- a/core/ctxdir/directory_test.go
+++ b/core/ctxdir/directory_test.go
@@ -14,8 +14,8 @@
 	return &ctxdir.Directory{Clock: clock.Wall{}, MaxCached: 3, MaxPointers: 3, TTL: time.Hour}
 }
 
-// An engine evicts chats, and some of its events are lost on the way. The gap is
-// noticed, and the listing that follows drops what is no longer cached.
+// Some of an engine's eviction events are lost. The gap must be detected, and the resync that follows
+// must remove the entries that are no longer cached.
 func TestGapInEventsForcesResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		di := directory()
@@ -23,26 +23,26 @@
 			di.Add(key+1, ctxdir.CachedContext{Endpoint: "e"})
 		}
 		if !di.ApplyEviction("e", 1, 1) {
-			t.Error("the first event counts as a gap")
+			t.Error("the first event was reported as a gap")
 		}
 		if di.ApplyEviction("e", 3, 0) {
-			t.Error("a gap went unnoticed")
+			t.Error("a gap in the sequence was not reported")
 		}
 		di.Resync("e", 5, map[uint64]bool{3: true})
 		if !di.ApplyEviction("e", 4, 3) {
-			t.Error("a late event counts as a gap")
+			t.Error("a late event was reported as a gap")
 		}
 		_, one := di.Lookup(1)
 		_, two := di.Lookup(2)
 		_, three := di.Lookup(3)
 		if one || two || !three {
-			t.Errorf("held: %v %v %v, want only the third", one, two, three)
+			t.Errorf("cached: %v %v %v, want only the third", one, two, three)
 		}
 	})
 }
 
-// The tables are bounded and entries age out; a chat that came home needs no
-// pointer any more.
+// Both tables must stay within their bounds and expire entries. Caching a chat's context here must
+// remove its pointer.
 func TestDirectoryIsBoundedAndExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		di := directory()
@@ -51,18 +51,18 @@
 			di.AddPointer(key+100, core.Placement{VM: "vm"})
 		}
 		if held, away, _ := di.Sizes(); held != 3 || away != 3 {
-			t.Errorf("%d held, %d pointers", held, away)
+			t.Errorf("%d contexts and %d pointers, want 3 of each", held, away)
 		}
 		di.AddPointer(9, core.Placement{VM: "vm"})
 		di.Add(9, ctxdir.CachedContext{Endpoint: "e"})
 		if _, away := di.Pointer(9); away {
-			t.Error("a chat that is here points elsewhere")
+			t.Error("a chat whose context is cached here still has a pointer")
 		}
 		time.Sleep(2 * time.Hour)
 		_, held := di.Lookup(9)
 		_, away := di.Pointer(109)
 		if held || away {
-			t.Error("old entries are used")
+			t.Error("entries older than TTL were returned")
 		}
 	})
 }
