--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -11,8 +11,7 @@
 	"almondrill/core/quota"
 )
 
-// TestMain gives rapid a fixed seed, so that every run draws the same; another is tried with
-// -rapid.seed.
+// TestMain sets a fixed seed for rapid so that runs are reproducible. Use -rapid.seed to try another.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -21,8 +20,8 @@
 	os.Exit(m.Run())
 }
 
-// Guards against more than the limit in some second, however reservations, cancelled ones and
-// sends follow each other.
+// For any sequence of reservations, cancellations and sends, no second may contain more sent requests
+// than the limit.
 func TestWindowHoldsInEverySecond(t *testing.T) {
 	begin := time.Unix(1_700_000_000, 0)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -53,7 +52,7 @@
 				}
 			}
 			if within > limit {
-				rt.Fatalf("%d sent within a second, allowed %d", within, limit)
+				rt.Fatalf("%d requests sent within a second, limit %d", within, limit)
 			}
 		}
 	})
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,22 +1,23 @@
-// Package retry bounds how often requests are tried again.
+// Package retry bounds how often requests are retried.
 //
 // # Concepts
 //
-// A Budget lets retries be at most Ratio of first attempts, per customer and in
-// all, with a small reserve for quiet times. It covers only retries of work that
-// may have run: an attempt that was provably not run costs an engine nothing.
+// A Budget limits retries to Ratio times the first attempts, per customer and in total, plus a small
+// reserve for periods with few requests. It covers only retries of work that may have run: an
+// attempt that provably did not run costs an engine nothing.
+//
+// A Window limits the additional attempts of a whole fleet of routers within a span of time.
 //
 // # Invariants
 //
-//   - Over any stretch, retries <= reserve + Ratio x first attempts, for each
-//     customer and for all together. A failing back end is thus never sent more
-//     than that part on top, however callers behave.
+//   - Over any period, retries <= reserve + Ratio x first attempts, for each customer and in total.
+//     A failing back end therefore never gets more than this additional load, whatever callers do.
 //
 // # Usage
 //
 //	bu := &retry.Budget{Ratio: 0.1}
-//	bu.First(customer)
-//	if bu.Retry(customer) { ... }
+//	bu.RecordFirst(customer)
+//	if bu.TryRetry(customer) { ... }
 package retry
 
 import (
@@ -43,7 +44,7 @@
 	started   bool
 }
 
-// RecordFirst counts a first attempt.
+// RecordFirst counts a first attempt of a customer's request.
 func (bu *Budget) RecordFirst(cu core.CustomerID) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
@@ -52,7 +53,7 @@
 	bu.customers[cu] = min(customerReserve, bu.credit(cu)+bu.Ratio)
 }
 
-// TryRetry takes one retry from the budget, if there is one.
+// TryRetry takes one retry from the budget and reports whether there was one left.
 func (bu *Budget) TryRetry(cu core.CustomerID) bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
@@ -81,9 +82,8 @@
 	return customerReserve
 }
 
-// Backoff is the wait before retry number n, from 1: it doubles, and is drawn
-// from its upper half so that callers that failed together do not return
-// together.
+// Backoff returns the delay before retry number n, counted from 1. It doubles with each retry, with
+// random jitter in its upper half so that callers that failed together do not retry together.
 func Backoff(n int, ra core.Rand) time.Duration {
 	full := min(maxBackoff, firstBackoff<<min(n-1, 10))
 	return full/2 + time.Duration(ra.Float64()*float64(full/2))
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -9,8 +9,8 @@
 	"almondrill/core/retry"
 )
 
-// A back end fails every call. However customers behave, retries stay within a
-// tenth of first attempts and a small reserve, for each and for all.
+// Retries must stay within a tenth of first attempts plus the reserve, for each customer and in
+// total, for any sequence of first attempts and retries.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		bu := &retry.Budget{Ratio: 0.1}
@@ -31,11 +31,11 @@
 		}
 		for cu, count := range retries {
 			if float64(count) > 3.001+0.1*float64(firsts[cu]) {
-				rt.Fatalf("%s: %d retries for %d", cu, count, firsts[cu])
+				rt.Fatalf("customer %s: %d retries for %d first attempts", cu, count, firsts[cu])
 			}
 		}
 		if float64(allRetries) > 10.001+0.1*float64(allFirsts) {
-			rt.Fatalf("%d retries for %d", allRetries, allFirsts)
+			rt.Fatalf("all customers: %d retries for %d first attempts", allRetries, allFirsts)
 		}
 	})
 }
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -7,16 +7,15 @@
 	"almondrill/core"
 )
 
-// Window bounds what a fleet of routers sends endpoints beyond the first attempt
-// of each request, by pool and over any span of time. Each router keeps to its
-// part without a word to the others: Ratio of its own requests, and an even part
-// of Slack. Set the exported fields before use.
+// Window bounds the attempts that a fleet of routers makes beyond the first one of each request, per
+// pool and over any span of time. Each router applies its part of the bound without coordination:
+// Ratio of its own requests plus an equal part of Slack. Set the exported fields before use.
 type Window struct {
-	// Ratio and Slack are the fleet's bound: Ratio x requests + Slack in any Span.
+	// Ratio and Slack are the fleet's bound: Ratio x requests + Slack within any Span.
 	Ratio float64
 	Slack float64
 	Span  time.Duration
-	// Routers tells how many routers share Slack.
+	// Routers returns the number of routers that share Slack.
 	Routers func() int
 
 	mu    sync.Mutex // guards all below
@@ -24,22 +23,22 @@
 }
 
 const (
-	// stepsPerSpan is how many counters a span is divided into.
+	// stepsPerSpan is the number of counters into which a span is divided.
 	stepsPerSpan = 20
-	// ratioMargin and usedSlack are the parts of the bound that are used. A router
-	// that was restarted has forgotten what it spent, and requests on their way
-	// are counted later at the endpoint than here.
+	// ratioMargin and slackMargin are the fractions of the bound that are used. The rest covers
+	// routers that lost their counts in a restart, and requests in transit, which endpoints count
+	// later than routers.
 	ratioMargin = 0.8
 	slackMargin = 0.5
 )
 
-// counts holds a ring of steps+1 counters: the oldest is still partly in the span.
+// counts is a ring of stepsPerSpan+1 counters: the oldest one is still partly within the span.
 type counts struct {
 	first, extra [stepsPerSpan + 1]int
 	step         int64 // number of the newest step
 }
 
-// RecordFirst counts a request's first attempt.
+// RecordFirst counts the first attempt of a request.
 func (wi *Window) RecordFirst(now time.Time, po core.PoolID) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
@@ -47,9 +46,9 @@
 	co.first[co.step%(stepsPerSpan+1)]++
 }
 
-// TryExtra takes one further attempt from the bound, if there is one.
+// TryExtra takes one further attempt from the bound and reports whether there was one left.
 func (wi *Window) TryExtra(now time.Time, po core.PoolID) bool {
-	routers := max(1, wi.Routers()) // before the lock, which is held for no one else's
+	routers := max(1, wi.Routers()) // before locking: not to hold mu during a callback
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	co := wi.countsAt(now, po)
@@ -87,7 +86,7 @@
 	return co
 }
 
-// SetBound changes the fleet's bound while in use.
+// SetBound changes the fleet's bound. It may be called while the Window is in use.
 func (wi *Window) SetBound(ratio, slack float64) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -10,10 +10,9 @@
 	"almondrill/core/retry"
 )
 
-// Half of a service's endpoints fail every request. Each of several routers wants to
-// try every request again; the endpoints that are left must not be buried by it.
-// Over any ten seconds all routers together stay within the bound, though they say
-// nothing to each other of what they spend.
+// Endpoints fail every request and each router retries every request, which must not overload the
+// remaining endpoints: in any ten seconds all routers together must stay within the fleet's bound,
+// although they do not coordinate.
 func TestFleetStaysWithinTheBound(t *testing.T) {
 	const (
 		span     = 10 * time.Second
@@ -58,14 +57,14 @@
 					first++
 				}
 			}
-			// The window before counts too where it holds more requests.
+			// Requests of the span before also count.
 			for _, ev := range events[:ix] {
 				if from.at-ev.at <= span && !ev.extra {
 					first++
 				}
 			}
 			if extra > ratio*first+slack {
-				rt.Fatalf("%g further attempts for %g requests from %s on", extra, first, from.at)
+				rt.Fatalf("%g further attempts for %g requests within the span from %s", extra, first, from.at)
 			}
 		}
 	})
@@ -82,10 +81,10 @@
 		return count
 	}
 	if one, two := taken("one"), taken("two"); one != 2 || two != 2 {
-		t.Errorf("taken %d and %d, want half of the slack of 4 each", one, two)
+		t.Errorf("further attempts of two pools: %d and %d, want half of the slack of 4 each", one, two)
 	}
 	now = now.Add(2 * time.Second)
 	if again := taken("one"); again != 2 {
-		t.Errorf("after the span %d, want 2", again)
+		t.Errorf("further attempts after the span: %d, want 2", again)
 	}
 }
