--- a/core/route/main_test.go
+++ b/core/route/main_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestMain gives rapid a fixed seed, so that every run draws the same; another is
-// tried with -rapid.seed.
+// TestMain sets a fixed seed for rapid so that runs are reproducible. Use -rapid.seed to try another.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,17 +1,15 @@
-// Package route finds what a request asks for: its route, its customer and the
-// pool that serves it.
+// Package route determines the route, the customer and the pool of a request.
 //
 // # Concepts
 //
-// A Table is one accepted version of the operator's routes, pools, customers and
-// limits, compiled for reading by traffic. It never changes; a later version is
-// another Table.
+// A Table is one accepted version of the operator's routes, pools, customers and limits, compiled
+// for lookups by traffic. It is immutable; a later version is a new Table.
 //
 // # Invariants
 //
-//   - Of the routes of a host, the one with the longest prefix that begins the
-//     path is found, whatever their order.
-//   - Compile refuses a document as a whole or takes it as a whole.
+//   - Find returns the route of the host with the longest matching path prefix, regardless of the
+//     order in the document.
+//   - Compile accepts or rejects a document as a whole.
 //
 // # Usage
 //
@@ -29,65 +27,66 @@
 	"almondrill/core"
 )
 
-// Version numbers the operator's documents. It rises in uneven steps.
+// Version numbers the operator's documents. It increases, but not necessarily by 1.
 type Version uint64
 
-// Kind says what of a route's requests may be repeated.
+// Kind determines which requests of a route may be repeated.
 type Kind uint8
 
 // Kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// OnceOnly requests run at most once for each attempt of the caller.
+	// OnceOnly requests run at most once per attempt of the caller.
 	OnceOnly
-	// Stream requests answer with events; they run once unless Resumable.
+	// Stream requests are answered with a stream of events; they run once unless Resumable.
 	Stream
 )
 
 var kindNames = [...]string{"Idempotent", "OnceOnly", "Stream"}
 
-// String is the kind's name in logs.
+// String returns the kind's name in logs.
 func (ki Kind) String() string { return kindNames[ki] }
 
-// Route is one kind of request.
+// Route configures the requests to a host with a path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting for the whole
-	// answer, Goal the time to its beginning for which it is on time.
+	// Timeout bounds the time until the caller has the whole answer. FirstByteGoal is the target for
+	// the time until the answer begins.
 	Timeout       time.Duration
 	FirstByteGoal time.Duration
-	// GapGoal is the longest pause between events of an answer that is on time.
+	// GapGoal is the target for the longest pause between events of an answer.
 	GapGoal time.Duration
 	// Rank orders routes by urgency; 0 is most urgent.
 	Rank int
-	// Split divides the requests among pools by weight.
+	// Split distributes the requests over pools by weight.
 	Split []PoolShare
-	// MaxAttempts bounds how many endpoints one request is sent to.
+	// MaxAttempts bounds the number of endpoints that a request is sent to.
 	MaxAttempts int
 	// Public routes need no customer.
 	Public bool
-	// Sticky routes carry the parts of their prompt.
+	// Sticky requests carry the segments of their prompt, so that they can be sent to an endpoint
+	// that has them cached.
 	Sticky bool
-	// Resumable streams may go on at another endpoint behind their last event.
+	// Resumable streams may continue at another endpoint after the last event delivered.
 	Resumable bool
-	// HomeRegions are the regions to whose endpoints its requests may go; none is all.
+	// HomeRegions are the regions whose endpoints may serve the requests; empty means all.
 	HomeRegions []core.Region
 }
 
-// PoolShare is a pool's part of a route.
+// PoolShare is a pool's weight in a route's Split.
 type PoolShare struct {
 	Pool   core.PoolID
 	Weight float64
 }
 
-// MayRepeat tells whether a request that may have run may be sent again.
+// MayRepeat reports whether a request that may have run may be sent again.
 func (ro *Route) MayRepeat() bool { return ro.Kind == Idempotent || ro.Resumable }
 
-// Pool picks a pool by weight; draw is uniform in [0, 1).
+// Pool selects a pool by weight; draw is a uniform random number in [0, 1).
 func (ro *Route) Pool(draw float64) core.PoolID {
 	var sum float64
 	for _, sh := range ro.Split {
@@ -106,35 +105,34 @@
 // Pool is a group of endpoints that answer the same requests.
 type Pool struct {
 	ID core.PoolID
-	// MaxConns is how many connections one of its endpoints takes from all
-	// routers together.
+	// MaxConns is the number of connections that one endpoint accepts from all routers together.
 	MaxConns int
-	// Engine is set for pools of model engines, Slots to the requests that one
-	// of them runs at a time (0: its registration says).
+	// Engine is set for pools of model engines. Slots is the number of requests that one engine runs
+	// concurrently; 0 means that the engine's registration states it.
 	Engine bool
 	Slots  int
-	// CacheTokens is what an engine keeps of contexts.
+	// CacheTokens is the number of tokens of contexts that an engine can cache.
 	CacheTokens core.Tokens
-	// FetchTokensPerMs is how many kept tokens one of them takes over from another in a
-	// millisecond; 0 if they cannot.
+	// FetchTokensPerMs is the number of cached tokens that an engine can fetch from another one per
+	// millisecond; 0 if engines cannot fetch.
 	FetchTokensPerMs float64
-	// ColdDuration is how long an endpoint is cold after its start, and ColdRate how many requests
-	// a second it tolerates then; 0 if none is declared.
+	// ColdDuration is how long an endpoint counts as cold after its start. ColdRate is the number of
+	// requests per second that it tolerates while cold. 0 means not declared.
 	ColdDuration time.Duration
 	ColdRate     float64
 }
 
-// Customer owns keys.
+// Customer is a customer whose API keys the operator has configured.
 type Customer struct {
 	ID core.CustomerID
-	// Rank, where Ranked, goes before the route's.
+	// Rank, if HasRank is set, overrides the route's rank.
 	Rank    int
 	HasRank bool
-	// HomeRegions are the regions to whose endpoints its requests may go; none is all.
+	// HomeRegions are the regions whose endpoints may serve its requests; empty means all.
 	HomeRegions []core.Region
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds the size of a caller's request and the time to send it.
 type Limits struct {
 	MaxHeader     core.Bytes
 	MaxBody       core.Bytes
@@ -142,19 +140,19 @@
 	IdleTimeout   time.Duration
 }
 
-// Document is what a Table is compiled from.
+// Document is the source from which a Table is compiled.
 type Document struct {
 	Version   Version
 	Routes    []Route
 	Pools     []Pool
 	Customers []Customer
-	// Keys names the customer of each key. Keyed is set if requests need one.
+	// Keys maps API keys to customers. KeyRequired is set if requests must have a key.
 	Keys        map[string]core.CustomerID
 	KeyRequired bool
 	Limits      Limits
 }
 
-// Table is a Document compiled for traffic.
+// Table is a Document compiled for lookups by traffic.
 type Table struct {
 	Version     Version
 	Limits      Limits
@@ -165,8 +163,8 @@
 	keys        map[string]core.CustomerID
 }
 
-// Compile checks a document and makes its Table. The error lists everything that
-// is wrong.
+// Compile validates a document and compiles its Table. The error lists the first problem of every
+// invalid route.
 func Compile(doc *Document) (*Table, error) {
 	ta := &Table{
 		Version: doc.Version, Limits: doc.Limits, KeyRequired: doc.KeyRequired, keys: doc.Keys,
@@ -196,31 +194,32 @@
 	return ta, nil
 }
 
-// check says what is wrong with a route, "" if nothing is.
+// check returns the first problem of a route, "" if it is valid.
 func (ta *Table) check(ro *Route) string {
 	switch {
 	case !strings.HasPrefix(ro.Prefix, "/") || !strings.HasSuffix(ro.Prefix, "/"):
 		return fmt.Sprintf("prefix %q does not begin and end with a slash", ro.Prefix)
 	case ro.Timeout <= 0:
-		return "has no timeout"
+		return "timeout is not positive"
 	case ro.MaxAttempts < 1:
-		return "allows no attempt"
+		return "maximum number of attempts is below 1"
 	case len(ro.Split) == 0:
-		return "names no pool"
+		return "has no pool"
 	}
 	for _, sh := range ro.Split {
 		if ta.pools[sh.Pool] == nil {
-			return fmt.Sprintf("names unknown pool %q", sh.Pool)
+			return fmt.Sprintf("unknown pool %q", sh.Pool)
 		}
 		if !(sh.Weight >= 0) {
-			return fmt.Sprintf("gives pool %q the weight %g", sh.Pool, sh.Weight)
+			return fmt.Sprintf("weight of pool %q is %g, must not be negative", sh.Pool, sh.Weight)
 		}
 	}
 	return ""
 }
 
-// HomeRegionsOf are the regions to whose endpoints a request may go: where its route and its customer,
-// which may be nil, both have homes, both bind. all is set if it may go to any.
+// HomeRegionsOf returns the regions whose endpoints may serve a request: the home regions of its
+// route or of its customer, or the intersection if both have some. cu may be nil. all is set if
+// endpoints of any region may serve it.
 func HomeRegionsOf(ro *Route, cu *Customer) (homes []core.Region, all bool) {
 	switch {
 	case cu == nil || len(cu.HomeRegions) == 0:
@@ -236,7 +235,7 @@
 	return homes, false
 }
 
-// Find is the route of a request, nil if there is none. The host may carry a port.
+// Find returns the route of a request, nil if there is none. The host may include a port.
 func (ta *Table) Find(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		host = host[:at]
@@ -249,10 +248,10 @@
 	return nil
 }
 
-// Pool is the pool of that name, nil if there is none.
+// Pool returns the pool with that id, nil if there is none.
 func (ta *Table) Pool(id core.PoolID) *Pool { return ta.pools[id] }
 
-// CustomerByKey is the customer that holds the key, nil if none does.
+// CustomerByKey returns the customer that owns the key, nil if there is none.
 func (ta *Table) CustomerByKey(key string) *Customer {
 	id, known := ta.keys[key]
 	if !known {
@@ -264,7 +263,7 @@
 	return &Customer{ID: id}
 }
 
-// Counts are the numbers of routes and customers, for logs.
+// Counts returns the numbers of routes and customers, for logs.
 func (ta *Table) Counts() (routes, customers int) {
 	for _, list := range ta.hosts {
 		routes += len(list)
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -62,8 +62,7 @@
 	}
 }
 
-// Whatever the order of the routes, the found one begins the path and none that is
-// longer does.
+// Regardless of the order of the routes, Find must return the one with the longest matching prefix.
 func TestLongestPrefixInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -118,11 +117,11 @@
 	doc.Routes[2].Timeout = 0
 	_, err := route.Compile(doc)
 	if err == nil {
-		t.Fatal("a wrong document was taken")
+		t.Fatal("an invalid document was accepted")
 	}
 	for _, want := range []string{"version 7", "route open", "slash", "route lost", `"nowhere"`, "route fine", "timeout"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: does not say %q", err, want)
+			t.Errorf("error %q does not contain %q", err, want)
 		}
 	}
 }
@@ -134,18 +133,18 @@
 	doc.Keys = map[string]core.CustomerID{"k1": "herb", "k2": "unlisted"}
 	ta := compile(t, doc)
 	if cu := ta.CustomerByKey("k1"); cu == nil || cu.ID != "herb" || cu.Rank != 2 {
-		t.Errorf("k1: %+v", cu)
+		t.Errorf("key k1: customer %+v, want herb with rank 2", cu)
 	}
 	if cu := ta.CustomerByKey("k2"); cu == nil || cu.ID != "unlisted" || cu.HasRank {
-		t.Errorf("k2: %+v", cu)
+		t.Errorf("key k2: customer %+v, want unlisted without a rank", cu)
 	}
 	if cu := ta.CustomerByKey(""); cu != nil {
-		t.Errorf("no key: %+v", cu)
+		t.Errorf("empty key: customer %+v, want none", cu)
 	}
 }
 
-// Guards against a request that leaves the home regions of its route or of its customer: where
-// both have some, both bind, also where they have none in common.
+// A request must stay within the home regions of both its route and its customer, also if these have
+// no region in common.
 func TestHomeRegionsOfRouteAndCustomerBothBind(t *testing.T) {
 	for _, on := range []struct {
 		route, customer []core.Region
@@ -160,10 +159,10 @@
 	} {
 		homes, all := route.HomeRegionsOf(&route.Route{HomeRegions: on.route}, &route.Customer{HomeRegions: on.customer})
 		if !slices.Equal(homes, on.want) || all != on.all {
-			t.Errorf("route %v, customer %v: %v, all %v", on.route, on.customer, homes, all)
+			t.Errorf("route %v, customer %v: home regions %v, all %v", on.route, on.customer, homes, all)
 		}
 	}
 	if homes, all := route.HomeRegionsOf(&route.Route{HomeRegions: []core.Region{"n"}}, nil); len(homes) != 1 || all {
-		t.Errorf("without a customer: %v, all %v", homes, all)
+		t.Errorf("without a customer: home regions %v, all %v", homes, all)
 	}
 }
