--- a/core/call.go
+++ b/core/call.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// Call is one attempt at a caller's request as it travels from router to agent
-// to endpoint. It is not changed once sent.
+// Call is one attempt at a caller's request, sent from a router to an agent and from there to an
+// endpoint. It must not be modified once sent.
 type Call struct {
 	Attempt  AttemptID
 	Customer CustomerID
 	Pool     PoolID
 	Chat     ChatID
-	// Key is the caller's idempotency key; empty where the request may repeat.
+	// Key is the caller's idempotency key; empty for idempotent requests.
 	Key IdemKey
-	// MayRepeat says that running it twice does no harm.
+	// MayRepeat marks an idempotent request, which may run twice.
 	MayRepeat bool
 	Priority  Priority
 	Deadline  time.Time
-	// Stream asks for server-sent events.
+	// Stream requests the answer as server-sent events.
 	Stream bool
-	// Prompt and Output are the expected sizes in tokens.
+	// Prompt and Output are the expected numbers of prompt and output tokens.
 	Prompt Tokens
 	Output Tokens
-	// StaleHolder is a VM that was asked for the chat's context and has it no longer.
+	// StaleHolder is a VM that a pointer named as the holder of the chat's context but that no longer
+	// has it cached.
 	StaleHolder VMID
-	// NoRedirect asks the agent to run the call rather than point elsewhere for the
-	// chat's context: the router has already followed a pointer.
+	// NoRedirect asks the agent to run the call instead of redirecting it to the holder of the
+	// chat's context: the router has already followed a redirect.
 	NoRedirect bool
-	// Method, Path and ContentType are those of the request to the endpoint.
+	// Method, Path and ContentType are those of the HTTP request to the endpoint.
 	Method      string
 	Path        string
 	ContentType string
@@ -38,80 +39,79 @@
 	Revision Revision
 }
 
-// Part is a piece of an answer. Data is valid only during Sink.Send.
+// Part is a chunk of an answer. Data is valid only during Sink.Send.
 type Part struct {
 	Attempt AttemptID
-	// Position counts the stream's events up to and including this part.
+	// Position is the number of events in the stream up to and including this part.
 	Position int64
 	// Status and ContentType are set on the first part only.
 	Status      int
 	ContentType string
 	Data        []byte
-	// End marks the last part of a whole answer.
+	// End marks the last part of a complete answer.
 	End bool
 }
 
-// Sink takes the parts of an answer in order. An error stops the answer.
+// Sink receives the parts of an answer in order. An error aborts the answer.
 type Sink interface {
 	Send(pa *Part) error
 }
 
-// Report comes back beside an answer or a refusal: what the agent tells of
-// itself.
+// Report is the agent's state, returned along with an answer or a refusal.
 type Report struct {
 	VM          VMID
 	Incarnation Incarnation
-	// Load is the work at the agent's endpoints of the call's pool; Mean is the
-	// agent's estimate of the pool's mean load.
+	// Load is the outstanding work of the agent's endpoints in the call's pool; Mean is the agent's
+	// estimate of the pool's mean load.
 	Load     Work
 	Mean     Work
 	Draining bool
 	Revision Revision
-	// Cached is how many prompt tokens were found in the engine's cache.
+	// Cached is the number of prompt tokens found in the engine's cache.
 	Cached Tokens
 	Tokens Tokens
 }
 
-// Endpoint is an engine or a service beside an agent. Do sends one call and
-// passes the answer's parts on; it returns a *Refusal unless the answer was
-// whole. Source: the endpoint's own HTTP protocol, see io/back.
+// Endpoint is an engine or a service on an agent's VM. Do sends one call and forwards the answer's
+// parts to the Sink; it returns a *Refusal unless the answer was complete. Source: the endpoint's
+// own HTTP protocol, see io/back.
 type Endpoint interface {
 	Do(ctx context.Context, ca *Call, si Sink) (Usage, error)
 }
 
-// LivenessProber is an endpoint that can be asked whether its process is there.
+// LivenessProber is an endpoint whose process can be probed.
 type LivenessProber interface {
-	// Alive is false only if nothing listens there.
+	// Alive returns false only if nothing listens at the endpoint's address.
 	Alive(ctx context.Context) bool
 }
 
-// Usage is what an endpoint tells of a finished call, in tokens.
+// Usage is the token usage that an endpoint reports for a finished call.
 type Usage struct {
 	Prompt Tokens
 	Cached Tokens
 	Output Tokens
 }
 
-// Peers reaches the other processes of the fleet. Serve's error is a *Refusal;
-// Report may be nil where the peer was not reached.
+// Peers sends requests to the other processes of the fleet. Serve's error is a *Refusal; its Report
+// may be nil if the peer was not reached.
 type Peers interface {
 	Serve(ctx context.Context, to VMID, ca *Call, si Sink) (*Report, error)
 	Exchange(ctx context.Context, to VMID, di *Digest) (*Digest, error)
 	Claim(ctx context.Context, to VMID, cl *Claim) (*ClaimReply, error)
 	Fetch(ctx context.Context, to VMID, since Revision) (*Changes, error)
 	UpdatePlacements(ctx context.Context, to VMID, pl []Placement) error
-	// NotifyCrash tells a router of a request that crashes endpoints.
+	// NotifyCrash sends a router a notice about a request that crashes endpoints.
 	NotifyCrash(ctx context.Context, to VMID, no *CrashNotice) error
-	// Order hands an agent an order for an endpoint beside it, and Inspect asks
-	// for the state of all of them. Order's error is a *Refusal.
+	// Order sends an agent an order for one of its endpoints, and Inspect returns the state of all
+	// of them. Order's error is a *Refusal.
 	Order(ctx context.Context, to VMID, or *Order) error
 	Inspect(ctx context.Context, to VMID) ([]EndpointState, error)
-	// HandOver moves a chat's context to another agent's engine. Its error is a
-	// *Refusal. A context that cannot be read to its end is not kept there.
+	// HandOver transfers a chat's context to another agent's engine. Its error is a *Refusal. A
+	// context that cannot be read to its end is discarded there.
 	HandOver(ctx context.Context, to VMID, ha *Handover, context io.Reader) error
 }
 
-// Digest is what two processes tell each other in the background.
+// Digest is a process's state as exchanged with others by background gossip.
 type Digest struct {
 	From        VMID
 	Incarnation Incarnation
@@ -120,66 +120,68 @@
 	Loads       []LoadEntry
 }
 
-// LoadEntry is one agent's load in one pool. Age tells how old the figure is.
+// LoadEntry is a sample of one agent's load in one pool, taken Age ago.
 type LoadEntry struct {
 	Pool PoolID
 	VM   VMID
 	Load Work
-	// Throughput is the work a second that the endpoint finished lately.
+	// Throughput is the work per second that the agent's endpoints recently finished.
 	Throughput Work
 	Age        time.Duration
 	Draining   bool
 }
 
-// Placement says that an agent holds a chat's context; sent to the chat's home.
+// Placement states that an agent holds a chat's context. It is sent to the chat's home endpoint, the
+// one that rendezvous hashing prefers.
 type Placement struct {
 	Customer CustomerID
 	Pool     PoolID
 	Chat     ChatID
 	VM       VMID
-	// Withdrawn withdraws it.
+	// Withdrawn withdraws an earlier placement.
 	Withdrawn bool
 }
 
-// Handover is a chat's context on its way from a leaving agent to another one.
-// Placement names the chat; its VM is the sender.
+// Handover describes a chat's context that a draining agent transfers to another one. Placement
+// identifies the chat; its VM is the sender.
 type Handover struct {
 	Placement Placement
 	Tokens    Tokens
 }
 
-// Cache is an endpoint whose contexts can be moved. What Export writes is the
-// engine's own format, and Import keeps it only if it can be read to its end.
-// Source: the engine's own HTTP protocol.
+// Cache is an endpoint whose cached contexts can be transferred. Export writes the engine's own
+// format, and Import discards a context that cannot be read to its end. Source: the engine's own
+// HTTP protocol.
 type Cache interface {
 	Export(ctx context.Context, key uint64, wr io.Writer) error
 	Import(ctx context.Context, key uint64, rd io.Reader) error
 }
 
-// Claim asks the keeper of a claim shard for a key.
+// Claim asks the owner of a claim shard for an idempotency key.
 type Claim struct {
 	Hash KeyHash
 	By   Claimant
 }
 
-// KeyHash is the 128-bit hash of customer and idempotency key.
+// KeyHash is the 128-bit hash of a customer and its idempotency key.
 type KeyHash [16]byte
 
-// Claimant is the process that wants to run the call of a key. A process that
-// started anew is another one.
+// Claimant is a process that wants to run the call of an idempotency key. A restarted process is a
+// different claimant.
 type Claimant struct {
 	VM          VMID
 	Incarnation Incarnation
 }
 
-// ClaimReply answers a Claim. Granted: By is the asker. Otherwise Holder has it.
+// ClaimReply answers a Claim. If Granted, the key belongs to the claimant of the request, otherwise
+// to Holder.
 type ClaimReply struct {
 	Granted bool
 	Holder  Claimant
 }
 
-// Changes brings a process from one revision to a later one: Snapshot, where
-// set, replaces everything at SnapshotAt; Deltas follow in order.
+// Changes brings a process from one configuration revision to a later one. Snapshot, if set, replaces
+// the whole configuration as of SnapshotAt; the Deltas are applied after it in order.
 type Changes struct {
 	SnapshotAt Revision
 	Snapshot   []byte
--- a/core/crash.go
+++ b/core/crash.go
@@ -6,83 +6,84 @@
 	"time"
 )
 
-// Fingerprint names a request by what it asks: it is equal for all attempts at the same
-// request of a customer, whichever router or connection they come by. It tells nothing of
-// the request's content.
+// Fingerprint identifies a request by its content: it is equal for all attempts at the same request
+// of a customer, whichever router or connection they arrive on. It does not reveal the content.
 type Fingerprint [16]byte
 
-// String is the first half in hexadecimal, which is enough to find a request in logs.
+// String returns the first half in hexadecimal, which is enough to find a request in logs.
 func (fp Fingerprint) String() string { return hex.EncodeToString(fp[:len(fp)/2]) }
 
-// EndpointRef names one start of an endpoint.
+// EndpointRef identifies one incarnation of an endpoint.
 type EndpointRef struct {
 	ID   EndpointID
 	Addr string
-	// Hash is that of its id and start, by which routers tell each other of it.
+	// Hash is the hash of the id and the incarnation. Routers use it in messages to each other.
 	Hash uint64
 }
 
-// Crash is an endpoint's crash under a request.
+// Crash is a crash of an endpoint, identified by its hash, during a request.
 type Crash struct {
 	Endpoint uint64
 	At       time.Time
 }
 
-// CrashNoticeKind is what a BlameNote tells.
+// CrashNoticeKind is the kind of a CrashNotice.
 type CrashNoticeKind uint8
 
 const (
-	// BlameSuspected: the request was running at an endpoint when that crashed.
+	// NoticeSuspected: the request was running at an endpoint when that endpoint crashed.
 	NoticeSuspected CrashNoticeKind = iota + 1
-	// BlameQuarantined: it has crashed so many that it is not sent to any more.
+	// NoticeQuarantined: the request crashed so many endpoints that it is no longer sent.
 	NoticeQuarantined
-	// BlameCleared: an attempt at it has ended well, or it was lifted; it is not suspected any more.
+	// NoticeCleared: the request is no longer suspected, because an attempt succeeded or an operator
+	// lifted its quarantine.
 	NoticeCleared
 )
 
-// CrashNotice is what routers tell each other about a request.
+// CrashNotice is a message between routers about a request that may crash endpoints.
 type CrashNotice struct {
 	Kind    CrashNoticeKind
 	Request Fingerprint
 	Crashes []Crash
 }
 
-// Quarantine is an entry of the platform's store: a request that crashes endpoints and is
-// not sent to any more. The entry lapses if it is not written again.
+// Quarantine is an entry of the platform's store for a request that crashes endpoints and is no
+// longer sent to any. The entry expires unless it is rewritten.
 type Quarantine struct {
 	Request Fingerprint
-	// Trials is how often the request was sent since, to see whether it still does; Crashes at
-	// how many crashes of endpoints it was running, as far as the writer knew.
+	// Trials is how often the request has been sent since, to test whether it still crashes
+	// endpoints. Crashes is the number of crashes during the request that the writer knew of.
 	Trials  int
 	Crashes int
-	// Rev is the entry's revision; 0 if there is none yet.
+	// Rev is the entry's version; 0 if the entry does not exist yet.
 	Rev Version
 }
 
-// QuarantineStore keeps entries in the platform's store.
+// QuarantineStore reads and writes Quarantine entries in the platform's store.
 type QuarantineStore interface {
-	// PutQuarantine writes the entry if the store's is still of revision Rev, and returns
-	// its new one. ErrConflict: it is not.
+	// PutQuarantine writes the entry if the stored one still has version Rev, and returns the new
+	// version. Otherwise it returns ErrConflict.
 	PutQuarantine(ctx context.Context, qu Quarantine) (Version, error)
-	// DeleteQuarantine removes the entry if it is still of revision Rev.
+	// DeleteQuarantine removes the entry if it still has version Rev.
 	DeleteQuarantine(ctx context.Context, qu Quarantine) error
 }
 
-// CrashTracker finds out which requests crash the endpoints that run them.
+// CrashTracker attributes crashes of endpoints to the requests that cause them.
 type CrashTracker interface {
-	// Allowed tells whether the request may be sent to an endpoint now, or else when it might.
+	// Allowed reports whether the request may be sent to an endpoint now, and if not, after what
+	// time to ask again.
 	Allowed(ctx context.Context, fp Fingerprint) (allowed bool, after time.Duration)
-	// Succeeded tells that an attempt ended well.
+	// Succeeded reports that an attempt succeeded.
 	Succeeded(fp Fingerprint)
-	// Crashed tells that an endpoint, named by a hash, crashed while it ran the request.
+	// Crashed reports that an endpoint, identified by its hash, crashed while it ran the request.
 	Crashed(endpoint uint64, fp Fingerprint)
 }
 
-// CrashDetector is a Blame that finds out by itself whether endpoints crashed.
+// CrashDetector is a CrashTracker that detects by itself whether endpoints crashed.
 type CrashDetector interface {
 	CrashTracker
-	// Interrupted tells that an attempt broke off, or got no answer in its time.
+	// Interrupted reports that an attempt begun at the given time was interrupted or timed out.
 	Interrupted(en EndpointRef, began time.Time, fp Fingerprint)
-	// ConnRefused tells that the endpoint refused a connection.
+	// ConnRefused reports that the endpoint refused a connection.
 	ConnRefused(en EndpointRef)
 }
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,24 +1,22 @@
-// Package core holds the named types and the interfaces that the rest of
-// almondrill is built on.
+// Package core defines the types and interfaces that the rest of almondrill is built on.
 //
 // # Concepts
 //
-// A router takes a caller's request and hands it, as a Call, to the agent on
-// some VM. The agent passes it to one of the endpoints (engine or service)
-// beside it and streams the answer back as Parts. Every attempt ends in exactly
-// one Outcome; see Outcome for what each allows.
+// A router receives a caller's request and sends it, as a Call, to the agent on some VM. The agent
+// forwards it to one of the endpoints (engine or service) on its VM and streams the answer back as
+// Parts. Every attempt ends with exactly one Outcome, which determines whether it may be retried.
 //
 // # Invariants
 //
-//   - Nothing at or below this package opens a socket, reads a clock of its own
-//     or draws from a global random source. Time comes from Clock, randomness
-//     from Rand, everything outside from KV, VMList, Peers and Endpoint.
-//   - NotRun is said only where the call provably never reached an endpoint.
-//     Whatever cannot be proved is Unknown.
+//   - Nothing in or below this package opens a socket, reads the system clock or uses a global
+//     random source. Time comes from Clock, randomness from Rand, and the outside world is reached
+//     through KV, VMList, Peers and Endpoint.
+//   - NotRun is reported only if the call provably never reached an endpoint. Anything that cannot
+//     be proved is Unknown.
 //
 // # Usage
 //
-// Implementations live below this package (core/router, core/agent and what
-// they use); adapters that satisfy the interfaces live under io/. Tests supply
-// fakes and run the same code on virtual time.
+// The logic lives in the packages below this one (core/router, core/agent and those that they use);
+// adapters that implement the interfaces are under io/. Tests provide fakes and run the same code on
+// virtual time.
 package core
--- a/core/ids.go
+++ b/core/ids.go
@@ -1,14 +1,13 @@
 package core
 
-// Names of the things that the fleet keeps apart. Each is opaque: nothing
-// parses one.
+// Identifiers. All are opaque: nothing parses them.
 type (
-	// VMID names a VM as the platform's list does.
+	// VMID is a VM's name in the platform's list.
 	VMID string
-	// Zone is an availability zone; Region holds one or more of them.
+	// Zone is an availability zone; a Region consists of one or more zones.
 	Zone   string
 	Region string
-	// CustomerID, PoolID and EndpointID are the names in the declarations.
+	// CustomerID, PoolID and EndpointID are names from the operator's configuration.
 	CustomerID string
 	PoolID     string
 	EndpointID string
@@ -18,35 +17,35 @@
 	IdemKey string
 )
 
-// Numbers that order or tell apart.
+// Sequence numbers and numeric identifiers.
 type (
-	// AttemptID marks one attempt at one request on every hop and back.
+	// AttemptID identifies one attempt at one request on all hops, in both directions.
 	AttemptID uint64
-	// Incarnation changes whenever a process starts; 0 is unknown.
+	// Incarnation changes with every start of a process; 0 means unknown.
 	Incarnation uint64
-	// Revision numbers accepted configurations from 1 upwards; 0 is none.
+	// Revision numbers accepted configurations, starting with 1; 0 means none.
 	Revision uint64
-	// Fence is the number of a lease; a later holder has a higher one.
+	// Fence is the fencing number of a lease; a later holder has a higher one.
 	Fence uint64
-	// LeaseID names a lease granted by the KV; 0 is no lease.
+	// LeaseID identifies a lease granted by the KV; 0 means no lease.
 	LeaseID uint64
 )
 
 // Units.
 type (
-	// Tokens counts model tokens.
+	// Tokens is a number of model tokens.
 	Tokens int64
-	// Work is what an endpoint has yet to do, in token equivalents: uncached
-	// prompt tokens scaled by PrefillCost plus expected output tokens.
+	// Work is outstanding work in token equivalents: uncached prompt tokens divided by
+	// PrefillPerOutput plus expected output tokens.
 	Work int64
-	// Bytes counts bytes.
+	// Bytes is a number of bytes.
 	Bytes int64
-	// Priority orders queued calls; higher goes first.
+	// Priority orders queued calls; higher values go first.
 	Priority uint8
 )
 
-// Priorities from lowest to highest. Lookups of services default to
-// PriorityUrgent, chats to PriorityNormal.
+// Priorities from lowest to highest. Calls of services default to PriorityUrgent, chats to
+// PriorityNormal.
 const (
 	PriorityBatch Priority = iota
 	PriorityNormal
@@ -56,12 +55,12 @@
 	PriorityCount
 )
 
-// PrefillPerOutput is how many prompt tokens cost an engine as much as one
-// output token: prefill is batched over the prompt, decode is not.
+// PrefillPerOutput is the number of prompt tokens that cost an engine as much as one output token:
+// prefill is batched over the prompt, decode is not.
 const PrefillPerOutput = 4
 
-// WorkOf is the work of a call with that many uncached prompt tokens and
-// expected output tokens; at least 1.
+// WorkOf returns the work of a call with the given uncached prompt tokens and expected output
+// tokens; at least 1.
 func WorkOf(uncached, output Tokens) Work {
 	return max(1, Work(uncached/PrefillPerOutput)+Work(output))
 }
--- a/core/orders.go
+++ b/core/orders.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// OrderKind says what an order to an engine changes.
+// OrderKind is the kind of change that an order requests of an engine.
 type OrderKind string
 
 // Kinds of orders.
 const (
-	// OrderLoadModel loads Name at Version in place of the model that is loaded.
+	// OrderLoadModel loads the model Name at Version in place of the loaded model.
 	OrderLoadModel OrderKind = "LoadModel"
 	// OrderLoadAdapter and OrderUnloadAdapter add and remove the adapter Name.
 	OrderLoadAdapter   OrderKind = "LoadAdapter"
 	OrderUnloadAdapter OrderKind = "UnloadAdapter"
-	// OrderChangeRole makes Name (Prefill, Decode or Both) the engine's role.
+	// OrderChangeRole changes the engine's role to Name (Prefill, Decode or Both).
 	OrderChangeRole OrderKind = "ChangeRole"
 )
 
-// Order tells an engine to change. It names the state that is wanted, not a step
-// towards it, so that giving it again does no harm.
+// Order requests a change of an engine. It states the desired state, not a step towards it, so that
+// repeating an order is harmless.
 type Order struct {
-	// Fence is the number of the lease under which it was given.
+	// Fence is the fencing number of the lease under which the order was given.
 	Fence    Fence
 	Endpoint EndpointID
 	Kind     OrderKind
@@ -31,7 +31,7 @@
 	Version  string
 }
 
-// EngineState is what an engine has loaded.
+// EngineState is the model, adapters and role that an engine runs with.
 type EngineState struct {
 	Model    string
 	Version  string
@@ -39,7 +39,7 @@
 	Role     string
 }
 
-// Satisfies tells whether the state is what the order wants.
+// Satisfies reports whether the state is the one that the order requests.
 func (es *EngineState) Satisfies(or *Order) bool {
 	switch or.Kind {
 	case OrderLoadModel:
@@ -54,36 +54,36 @@
 	return false
 }
 
-// Phase is how far an endpoint is with its orders.
+// Phase is an endpoint's progress with its orders.
 type Phase string
 
 // Phases of an endpoint.
 const (
-	// PhaseReady: it takes calls and has no order in progress.
+	// PhaseReady: the endpoint accepts calls and no order is in progress.
 	PhaseReady Phase = "Ready"
 	// PhaseOrdered: an order is in progress.
 	PhaseOrdered Phase = "Ordered"
-	// PhaseUnmanaged: it takes no orders.
+	// PhaseUnmanaged: the endpoint does not support orders.
 	PhaseUnmanaged Phase = "Unmanaged"
-	// PhaseUnreachable: its state could not be read.
+	// PhaseUnreachable: the endpoint's state could not be read.
 	PhaseUnreachable Phase = "Unreachable"
 )
 
-// EndpointState is what an agent tells of an endpoint beside it.
+// EndpointState is the state of an endpoint as reported by its agent.
 type EndpointState struct {
 	Endpoint EndpointID
 	Pool     PoolID
 	Phase    Phase
 	Engine   EngineState
-	// Problem says why the last order was not carried out, "" if it was.
+	// Problem is the reason why the last order failed, nil if it succeeded.
 	Problem *Refusal
 }
 
-// ErrNoOrders: the endpoint has no interface for orders.
-var ErrOrdersUnsupported = errors.New("endpoint takes no orders")
+// ErrOrdersUnsupported is returned for an endpoint without an interface for orders.
+var ErrOrdersUnsupported = errors.New("endpoint does not support orders")
 
-// Orderable is an endpoint that takes orders. Order returns once the engine is
-// done; its error is a *Refusal. Source: the engine's own HTTP protocol.
+// Orderable is an endpoint that supports orders. Order returns once the engine has completed the
+// order; its error is a *Refusal. Source: the engine's own HTTP protocol.
 type Orderable interface {
 	State(ctx context.Context) (*EngineState, error)
 	Order(ctx context.Context, or *Order) error
--- a/core/outcome.go
+++ b/core/outcome.go
@@ -6,73 +6,73 @@
 	"time"
 )
 
-// Outcome is how an attempt, or a whole request, ended.
+// Outcome is the result of an attempt, or of a whole request.
 type Outcome uint8
 
 const (
 	// Whole: the endpoint's complete answer was delivered.
 	Whole Outcome = iota
-	// NotRun: provably never handed to an endpoint; may be retried freely.
+	// NotRun: provably never sent to an endpoint; may always be retried.
 	NotRun
-	// Failed: it ran, and the endpoint said that it failed or broke off.
+	// Failed: it ran, and the endpoint reported an error or ended the answer early.
 	Failed
-	// Unknown: it may have run. Only idempotent work may be tried again.
+	// Unknown: it may have run. Only idempotent requests may be retried.
 	Unknown
 )
 
 var outcomeNames = [...]string{"Whole", "NotRun", "Failed", "Unknown"}
 
-// String is the name used in answers to callers.
+// String returns the name used in answers to callers.
 func (ou Outcome) String() string { return outcomeNames[ou] }
 
-// Reason says why an attempt was refused or broke off. Every reason has a
-// counter; docs/operate/COUNTERS.md lists them.
+// Reason is why an attempt was refused or failed. Every reason has a counter; see
+// docs/operate/COUNTERS.md.
 type Reason string
 
 // Reasons of refusals and failures.
 const (
-	ReasonBadRequest    Reason = "BadRequest"    // the caller's input is malformed
-	ReasonBadKey        Reason = "BadKey"        // no customer has this bearer key
-	ReasonTooLarge      Reason = "TooLarge"      // body over the limit
+	ReasonBadRequest    Reason = "BadRequest"    // the request is malformed
+	ReasonBadKey        Reason = "BadKey"        // the bearer key belongs to no customer
+	ReasonTooLarge      Reason = "TooLarge"      // the body exceeds the limit
 	ReasonSlowCaller    Reason = "SlowCaller"    // the caller did not send its body in time
-	ReasonUnknownModel  Reason = "UnknownModel"  // no pool of this customer has the model
-	ReasonNoConfig      Reason = "NoConfig"      // no accepted configuration known yet
-	ReasonNoEndpoint    Reason = "NoEndpoint"    // no live endpoint in the pool
+	ReasonUnknownModel  Reason = "UnknownModel"  // no pool of this customer serves the model
+	ReasonNoConfig      Reason = "NoConfig"      // no accepted configuration is known yet
+	ReasonNoEndpoint    Reason = "NoEndpoint"    // the pool has no live endpoint
 	ReasonWrongPool     Reason = "WrongPool"     // the agent has no endpoint of that pool
-	ReasonDraining      Reason = "Draining"      // the process is leaving
-	ReasonLoadCap       Reason = "LoadCap"       // the cap over the pool's mean is reached
-	ReasonQueueFull     Reason = "QueueFull"     // the bounded queue is full
-	ReasonShareExceeded Reason = "ShareExceeded" // the customer is over its share
-	ReasonBusyHolder    Reason = "BusyHolder"    // prefilling elsewhere is cheaper than waiting
-	ReasonHeldElsewhere Reason = "HeldElsewhere" // another agent has the context or the key
+	ReasonDraining      Reason = "Draining"      // the process is draining
+	ReasonLoadCap       Reason = "LoadCap"       // the endpoint is at its load cap
+	ReasonQueueFull     Reason = "QueueFull"     // the endpoint's queue is full
+	ReasonShareExceeded Reason = "ShareExceeded" // the queue is full and the customer is over its share
+	ReasonBusyHolder    Reason = "BusyHolder"    // the cache holder is busy and prefilling elsewhere is cheaper
+	ReasonHeldElsewhere Reason = "HeldElsewhere" // another agent holds the context or the key
 	ReasonDeadline      Reason = "Deadline"      // the deadline passed
-	ReasonCallerGone    Reason = "CallerGone"    // the caller left
-	ReasonKVDown        Reason = "KVDown"        // a claim could not be made
-	ReasonClaimLost     Reason = "ClaimLost"     // the claim outlived its claimant
-	ReasonKeyReused     Reason = "KeyReused"     // same key, other request
-	ReasonAnswerGone    Reason = "AnswerGone"    // ran to its end, but the answer is no longer kept
-	ReasonUnreachable   Reason = "Unreachable"   // no connection to the peer
-	ReasonPeerLost      Reason = "PeerLost"      // the connection broke after sending
-	ReasonEndpointDown  Reason = "EndpointDown"  // no connection to the endpoint
-	ReasonEndpointError Reason = "EndpointError" // the endpoint answered with an error
+	ReasonCallerGone    Reason = "CallerGone"    // the caller disconnected
+	ReasonKVDown        Reason = "KVDown"        // the KV is unavailable, so no claim could be made
+	ReasonClaimLost     Reason = "ClaimLost"     // the process that held the claim is gone
+	ReasonKeyReused     Reason = "KeyReused"     // the idempotency key was used with a different request
+	ReasonAnswerGone    Reason = "AnswerGone"    // the call completed, but its answer is no longer kept
+	ReasonUnreachable   Reason = "Unreachable"   // could not connect to the peer
+	ReasonPeerLost      Reason = "PeerLost"      // the connection to the peer was lost after sending
+	ReasonEndpointDown  Reason = "EndpointDown"  // could not connect to the endpoint
+	ReasonEndpointError Reason = "EndpointError" // the endpoint returned an error
 	ReasonCrashed       Reason = "Crashed"       // the endpoint crashed while it ran the request
-	ReasonCutShort      Reason = "CutShort"      // the stream ended without its end mark
-	ReasonCrossed       Reason = "Crossed"       // the reply was for another attempt
-	ReasonStalled       Reason = "Stalled"       // nothing came for too long
-	ReasonRetryBudget   Reason = "RetryBudget"   // the retry budget is spent
+	ReasonCutShort      Reason = "CutShort"      // the stream ended without an end marker
+	ReasonCrossed       Reason = "Crossed"       // the reply belongs to another attempt
+	ReasonStalled       Reason = "Stalled"       // no data arrived within the timeout
+	ReasonRetryBudget   Reason = "RetryBudget"   // the retry budget is used up
 	ReasonQuarantined   Reason = "Quarantined"   // the request crashed the endpoints that ran it
-	ReasonEvacuated     Reason = "Evacuated"     // all endpoints of the pool are in evacuated zones
+	ReasonEvacuated     Reason = "Evacuated"     // all of the pool's endpoints are in evacuated zones
 	ReasonNoHome        Reason = "NoHome"        // the pool has no endpoint in the request's home regions
-	ReasonColdLimit     Reason = "ColdLimit"     // the endpoint is cold, and its limit in requests a second used up
-	ReasonMemory        Reason = "Memory"        // the router holds as many bytes of bodies and answers as it may
-	ReasonBackoff       Reason = "Backoff"       // the endpoint asked for no requests for a time
+	ReasonColdLimit     Reason = "ColdLimit"     // the cold endpoint is at its request rate limit
+	ReasonMemory        Reason = "Memory"        // the router is at its memory limit for bodies and answers
+	ReasonBackoff       Reason = "Backoff"       // the endpoint asked for a pause in requests
 	ReasonReloading     Reason = "Reloading"     // the engine is loading another model or version
-	ReasonOldFence      Reason = "OldFence"      // an order from a past holder of the lease
+	ReasonOldFence      Reason = "OldFence"      // the order came from a former holder of the lease
 	ReasonOrderBusy     Reason = "OrderBusy"     // another order is in progress at the endpoint
-	ReasonWeightsBusy   Reason = "WeightsBusy"   // the weight store gave no weights in time
+	ReasonWeightsBusy   Reason = "WeightsBusy"   // the weight store did not deliver in time
 )
 
-// Reasons lists every reason, for counters and documents.
+// Reasons lists all reasons, for counters and documentation.
 var Reasons = []Reason{
 	ReasonBadRequest, ReasonBadKey, ReasonTooLarge, ReasonSlowCaller, ReasonUnknownModel,
 	ReasonNoConfig, ReasonNoEndpoint, ReasonWrongPool, ReasonDraining, ReasonLoadCap,
@@ -83,32 +83,33 @@
 	ReasonEvacuated, ReasonNoHome, ReasonColdLimit, ReasonBackoff, ReasonMemory, ReasonReloading, ReasonOldFence, ReasonOrderBusy, ReasonWeightsBusy,
 }
 
-// Refusal is the error of an attempt that did not end Whole.
+// Refusal is the error of an attempt whose Outcome is not Whole.
 type Refusal struct {
 	Outcome Outcome
 	Reason  Reason
-	// Step is where on the path it arose, such as "admit"; Peer is the process
-	// or endpoint concerned.
+	// Step is the processing step at which the error arose, such as "admit"; Peer is the process or
+	// endpoint concerned.
 	Step string
 	Peer string
-	// Detail is for people, Basis what it was decided on, for logs: callers do not see it.
+	// Detail is a human-readable explanation. Basis holds the facts behind the decision, for logs
+	// only: callers do not see it.
 	Detail string
 	Basis  string
-	// RetryAfter tells when trying again makes sense; 0 is unspecified.
+	// RetryAfter is the suggested delay before a retry; 0 means unspecified.
 	RetryAfter time.Duration
-	// Status is the endpoint's own HTTP status where it answered with an error.
+	// Status is the endpoint's HTTP status if it returned an error.
 	Status int
-	// Alternatives names VMs to try in its place, best first.
+	// Alternatives names VMs to try instead, best first.
 	Alternatives []VMID
 }
 
-// Error carries step and peer.
+// Error includes the step and the peer.
 func (re *Refusal) Error() string {
 	return fmt.Sprintf("%s: %s at %s: %s: %s", re.Step, re.Outcome, re.Peer, re.Reason, re.Detail)
 }
 
-// AsRefusal finds the Refusal in err. An error that is none becomes Unknown:
-// whatever is not provably NotRun may have run.
+// AsRefusal returns the Refusal in err's chain. An error without one is converted to a Refusal with
+// Outcome Unknown: anything that is not provably NotRun may have run.
 func AsRefusal(err error, step, peer string) *Refusal {
 	var ref *Refusal
 	if errors.As(err, &ref) {
--- a/core/platform.go
+++ b/core/platform.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Clock tells and waits for time. Sleep returns ctx's error when that ends
-// first.
+// Clock provides the time. Sleep returns ctx's error if ctx ends first.
 type Clock interface {
 	Now() time.Time
 	Sleep(ctx context.Context, d time.Duration) error
@@ -19,62 +18,60 @@
 	Float64() float64
 }
 
-// Errors of a KV. Any other error means that the call may or may not have
-// taken effect.
+// Errors of a KV. After any other error the call may or may not have taken effect.
 var (
-	// ErrAbsent: no such entry.
-	ErrNotFound = errors.New("kv: entry absent")
+	// ErrNotFound: the entry does not exist.
+	ErrNotFound = errors.New("kv: entry not found")
 	// ErrConflict: the entry's version is not the expected one; nothing was written.
 	ErrConflict = errors.New("kv: version conflict")
-	// ErrLeaseGone: the lease has lapsed; nothing was written.
-	ErrLeaseExpired = errors.New("kv: lease gone")
+	// ErrLeaseExpired: the lease has expired; nothing was written.
+	ErrLeaseExpired = errors.New("kv: lease expired")
 )
 
-// Entry is a KV entry. Version grows with every write to the store, so it also
-// serves as a fencing number.
+// Entry is a KV entry. Version increases with every write to the store, so it also serves as a
+// fencing number.
 type Entry struct {
 	Key     string
 	Value   []byte
 	Version Version
 }
 
-// KV is the platform's key-value service. Values hold at most a megabyte; every
-// call counts against its rate.
+// KV is the platform's key-value service. Values are limited to a megabyte, and every call counts
+// towards its rate limit.
 type KV interface {
 	Get(ctx context.Context, key string) (Entry, error)
-	// Put writes if the entry's version is still expect (0: must not exist).
-	// With a lease, the entry goes when the lease does.
+	// Put writes the entry if its version is still expect (0: it must not exist). An entry written
+	// with a lease is removed when the lease expires.
 	Put(ctx context.Context, key string, value []byte, expect Version, le LeaseID) (Version, error)
 	// Delete removes the entry if its version is still expect.
 	Delete(ctx context.Context, key string, expect Version) error
-	// List returns entries with from <= key < to in key order, at most limit.
+	// List returns at most limit entries with from <= key < to in key order.
 	List(ctx context.Context, from, to string, limit int) ([]Entry, error)
-	// Grant creates a lease; Renew prolongs it by its time to live.
+	// Grant creates a lease; Renew extends it by its TTL.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	Renew(ctx context.Context, le LeaseID) error
-	// Watch waits until an entry with the prefix has a version above after, and
-	// returns it.
+	// Watch waits until an entry with the prefix has a version above after, and returns the entry.
 	Watch(ctx context.Context, prefix string, after Version) (Entry, error)
 }
 
-// InFlightCounts knows how many calls endpoints have, from what they said to any router.
-// Endpoints are named by the hashes of their ids and starts.
+// InFlightCounts shares among routers how many calls each endpoint has in flight, as endpoints
+// report it to any router. Endpoints are identified by the hashes of their ids and incarnations.
 type InFlightCounts interface {
-	// InFlight tells how many calls the endpoint has, before the one that the asker is about to
-	// place; false if that is unknown, or not told in time.
+	// InFlight returns the endpoint's number of calls, without the one that the asking router is
+	// about to place; false if it is unknown or no reply arrived in time.
 	InFlight(ctx context.Context, endpoint uint64) (calls int, known bool)
-	// ReportInFlight passes on what an endpoint said.
+	// ReportInFlight shares the number of calls that an endpoint reported.
 	ReportInFlight(endpoint uint64, calls int)
-	// ReportDown passes on that no connection to the endpoint could be made, Leaves that it has
-	// announced that it leaves.
+	// ReportDown shares that connecting to the endpoint failed, ReportDraining that the endpoint
+	// announced its shutdown.
 	ReportDown(endpoint uint64)
 	ReportDraining(endpoint uint64)
 }
 
-// RateLimiter divides limits in requests a second among the routers that share them.
+// RateLimiter divides limits in requests per second among all routers.
 type RateLimiter interface {
-	// Grant takes one of the requests a second that the endpoint gets from all routers; false,
-	// and when to ask again, if there is none, or if nobody could tell.
+	// Grant takes one request from the rate that the endpoint gets from all routers together. It
+	// returns false, and after what time to ask again, if none is left or if no router could decide.
 	Grant(ctx context.Context, endpoint uint64, perSecond int) (granted bool, after time.Duration)
 }
 
@@ -82,15 +79,15 @@
 type VMState uint8
 
 const (
-	// VMLive may get work.
+	// VMLive accepts work.
 	VMLive VMState = iota
-	// VMDraining finishes what it has.
+	// VMDraining finishes its work and accepts no more.
 	VMDraining
-	// VMGone is no longer there.
+	// VMGone no longer exists.
 	VMGone
 )
 
-// Role is what a VM's process does.
+// Role is the role of a VM's process.
 type Role string
 
 // Roles of processes.
@@ -99,27 +96,27 @@
 	RoleAgent  Role = "Agent"
 )
 
-// VM is one VM of the platform's list.
+// VM is an entry of the platform's list of VMs.
 type VM struct {
 	ID     VMID
 	Addr   string
 	Zone   Zone
 	Region Region
 	Role   Role
-	// Pools are those that its endpoints belong to.
+	// Pools are the pools of the VM's endpoints.
 	Pools []PoolID
-	// Weight is its relative capacity; 0 counts as 1.
+	// Weight is the VM's relative capacity; 0 counts as 1.
 	Weight float64
 	State  VMState
 }
 
-// VMList is the platform's lagging list. Changes returns what changed after
-// mark, with the new mark; mark 0 returns everything.
+// VMList is the platform's list of VMs, which may lag behind. Changes returns the VMs that changed
+// after mark and the new mark; mark 0 returns all VMs.
 type VMList interface {
 	Changes(ctx context.Context, mark uint64) ([]VM, uint64, error)
 }
 
-// Item is a key's newest state in the platform's store.
+// Item is the latest state of a key in the platform's store.
 type Item struct {
 	Key     string
 	Rev     Version
@@ -127,18 +124,18 @@
 	Deleted bool
 }
 
-// ErrCompacted: the store no longer has the changes that were asked for.
+// ErrCompacted is returned if the store no longer has the requested changes.
 var ErrCompacted = errors.New("kv: history compacted")
 
-// ChangeFeed tells what changes in the platform's store.
+// ChangeFeed reports the contents and the changes of the platform's store.
 type ChangeFeed interface {
-	// List lists every item, and the revision from which on changes may be missing. heard is
-	// called whenever a part of the answer has arrived, with the items that became complete by
-	// it, if any; it may be called from any goroutine. With stale, parts of the listing may be
-	// some seconds old, at a fraction of what it costs the store otherwise.
-	List(ctx context.Context, stale bool, heard func(some []Item)) ([]Item, Version, error)
-	// Changes waits until something changed after that revision, or for wait. It
-	// returns the changes and the revision up to which they are complete.
-	// ErrCompacted: they are no longer known; list anew.
+	// List returns all items and the version up to which the list is complete; later changes may be
+	// missing. onItems is called whenever a part of the response arrives, with the items completed by
+	// it, if any; it may be called from any goroutine. With stale, parts of the list may be some
+	// seconds old, at a fraction of the cost for the store.
+	List(ctx context.Context, stale bool, onItems func(items []Item)) ([]Item, Version, error)
+	// Changes waits until something changes after that version, at most for wait. It returns the
+	// changes and the version up to which they are complete. After ErrCompacted the changes are no
+	// longer available, and the caller has to call List again.
 	Changes(ctx context.Context, after Version, wait time.Duration) ([]Item, Version, error)
 }
--- a/core/version.go
+++ b/core/version.go
@@ -2,32 +2,33 @@
 
 import "fmt"
 
-// Version orders the changes of a store, and is the version of the entry that a change wrote; 0
-// means that the entry does not exist.
+// Version orders the changes of a store, and identifies the version of an entry that a change wrote.
+// 0 means that the entry does not exist.
 //
-// A store that comes back from a copy gives revisions out again. The version therefore holds the
-// store's era above the revision, so that whatever was written after a restore is later than all
-// before it. In a store that is never restored the version is the revision.
+// A store restored from a backup assigns some revisions again. The version therefore has the store's
+// era in its high bits and the revision in the low ones, so that everything written after a restore
+// is later than everything before it. In a store that was never restored, the version equals the
+// revision.
 type Version uint64
 
-// Era counts how often a store came back from a copy.
+// Era counts how often a store was restored from a backup.
 type Era uint16
 
-// revisionBits are those of a Version that hold the revision.
+// revisionBits is the number of low bits of a Version that hold the revision.
 const revisionBits = 48
 
-// VersionOf is the version of a revision in an era.
+// VersionOf returns the version for a revision in an era.
 func VersionOf(er Era, revision uint64) Version {
 	return Version(uint64(er)<<revisionBits | revision&(1<<revisionBits-1))
 }
 
-// Era is the era in which the change was made.
+// Era returns the era in which the change was made.
 func (ve Version) Era() Era { return Era(ve >> revisionBits) }
 
-// Revision is the store's own number of the change.
+// Revision returns the store's own revision number of the change.
 func (ve Version) Revision() uint64 { return uint64(ve) & (1<<revisionBits - 1) }
 
-// String writes the era, if it is not 0, and the revision, with a point between.
+// String returns the revision, prefixed by the era and a dot if the era is not 0.
 func (ve Version) String() string {
 	if ve.Era() == 0 {
 		return fmt.Sprint(ve.Revision())
