--- a/core/admit/fair_test.go
+++ b/core/admit/fair_test.go
@@ -71,14 +71,14 @@
 // them.
 func TestCapWaitersDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga, first, patient := newGateAtCap(t, 130, "surge", "surge")
-		marshal, lookup := ticket("other", core.PriorityNormal), ticket("surge", core.PriorityUrgent)
-		marshal.Work, lookup.Work = 10, 10
-		if !offer(t, ga, marshal) || !offer(t, ga, lookup) {
+		ga, first, waiting := newGateAtCap(t, 130, "surge", "surge")
+		other, lookup := ticket("other", core.PriorityNormal), ticket("surge", core.PriorityUrgent)
+		other.Work, lookup.Work = 10, 10
+		if !offer(t, ga, other) || !offer(t, ga, lookup) {
 			t.Error("a call that fits was blocked by one that waits for the load cap")
 		}
 		ga.Release(first)
-		if !started(patient) {
+		if !started(waiting) {
 			t.Error("the waiting call was not admitted after the load dropped")
 		}
 	})
--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -60,8 +60,8 @@
 		if _, re := ga.Offer(ticket("surge", core.PriorityNormal)); re == nil || re.RetryAfter == 0 {
 			t.Fatalf("ninth call of the surging customer with slots and queue full: refusal %v, want one with RetryAfter", re)
 		}
-		marshal := ticket("other", core.PriorityNormal)
-		offer(t, ga, marshal)
+		other := ticket("other", core.PriorityNormal)
+		offer(t, ga, other)
 		var out *core.Refusal
 		for _, ti := range surge[4:] {
 			select {
@@ -75,7 +75,7 @@
 		}
 		ga.Release(surge[0])
 		ga.Release(surge[1])
-		if !started(marshal) {
+		if !started(other) {
 			t.Error("the other customer's call is still queued after two slots became free")
 		}
 	})
@@ -132,7 +132,7 @@
 
 // newGateAtCap returns a gate whose load cap is reached by a call of the first customer, and a call
 // of the second customer that waits for the cap.
-func newGateAtCap(t *testing.T, floor core.Work, one, two core.CustomerID) (ga *admit.Gate, first, patient *admit.Ticket) {
+func newGateAtCap(t *testing.T, floor core.Work, one, two core.CustomerID) (ga *admit.Gate, first, waiting *admit.Ticket) {
 	t.Helper()
 	ga = newGate(100, 100)
 	ga.SetLimits(decl.Limits{LoadFactor: 1.25, FloorWork: floor, Slots: 100, QueueCalls: 100, Headroom: decl.DefaultHeadroom})
@@ -144,19 +144,19 @@
 	time.Sleep(time.Second)
 	ga.Progress(first, 20)
 	ga.Stats()
-	patient = ticket(two, core.PriorityNormal)
-	patient.WaitLimit = time.Minute
-	if offer(t, ga, patient) || started(patient) {
+	waiting = ticket(two, core.PriorityNormal)
+	waiting.WaitLimit = time.Minute
+	if offer(t, ga, waiting) || started(waiting) {
 		t.Fatal("test setup: the second call was admitted, want it to wait for the load cap")
 	}
-	return ga, first, patient
+	return ga, first, waiting
 }
 
 // A call with a WaitLimit waits for the load cap without counting towards the load, and must be
 // admitted before a call that arrives later.
 func TestCapWaiterIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga, first, patient := newGateAtCap(t, 100, "a", "b")
+		ga, first, waiting := newGateAtCap(t, 100, "a", "b")
 		if ga.Load() != 80 {
 			t.Fatalf("load %d, want 80: the waiting call must not be part of it", ga.Load())
 		}
@@ -164,7 +164,7 @@
 			t.Error("a later call was admitted before the waiting one")
 		}
 		ga.Release(first)
-		if !started(patient) {
+		if !started(waiting) {
 			t.Error("the waiting call was not admitted after the load dropped")
 		}
 	})
@@ -192,7 +192,7 @@
 				}
 			}
 		}
-		anyone := func(running bool) *admit.Ticket {
+		anyTicket := func(running bool) *admit.Ticket {
 			for ti, is := range inside {
 				if is == running {
 					return ti
@@ -208,13 +208,13 @@
 				}
 			},
 			"leave": func(*rapid.T) {
-				if ti := anyone(true); ti != nil {
+				if ti := anyTicket(true); ti != nil {
 					ga.Release(ti)
 					delete(inside, ti)
 				}
 			},
 			"withdraw": func(*rapid.T) {
-				if ti := anyone(false); ti != nil && ga.Withdraw(ti) {
+				if ti := anyTicket(false); ti != nil && ga.Withdraw(ti) {
 					delete(inside, ti)
 				}
 			},
--- a/core/ctxdir/directory.go
+++ b/core/ctxdir/directory.go
@@ -203,7 +203,7 @@
 }
 
 // Sizes returns the numbers of cached contexts, of pointers, and of gaps in cache events so far.
-func (di *Directory) Sizes() (held, pointers int, gaps int64) {
+func (di *Directory) Sizes() (cached, pointers int, gaps int64) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	di.init()
--- a/core/ctxdir/directory_test.go
+++ b/core/ctxdir/directory_test.go
@@ -50,18 +50,18 @@
 			di.Add(key, ctxdir.CachedContext{Endpoint: "e"})
 			di.AddPointer(key+100, core.Placement{VM: "vm"})
 		}
-		if held, away, _ := di.Sizes(); held != 3 || away != 3 {
-			t.Errorf("%d contexts and %d pointers, want 3 of each", held, away)
+		if cached, pointed, _ := di.Sizes(); cached != 3 || pointed != 3 {
+			t.Errorf("%d contexts and %d pointers, want 3 of each", cached, pointed)
 		}
 		di.AddPointer(9, core.Placement{VM: "vm"})
 		di.Add(9, ctxdir.CachedContext{Endpoint: "e"})
-		if _, away := di.Pointer(9); away {
+		if _, pointed := di.Pointer(9); pointed {
 			t.Error("a chat whose context is cached here still has a pointer")
 		}
 		time.Sleep(2 * time.Hour)
-		_, held := di.Lookup(9)
-		_, away := di.Pointer(109)
-		if held || away {
+		_, cached := di.Lookup(9)
+		_, pointed := di.Pointer(109)
+		if cached || pointed {
 			t.Error("entries older than TTL were returned")
 		}
 	})
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -61,9 +61,9 @@
 	all := pool(20, 1).Ring
 	for key := range uint64(5000) {
 		mixed := ring.Mix(key, 2)
-		full, lacking := ring.Best(all, mixed, true), ring.Best(all[:19], mixed, true)
-		if full != 19 && full != lacking {
-			t.Fatalf("home of chat %d: member %d with the full list, %d without member 19", key, full, lacking)
+		full, reduced := ring.Best(all, mixed, true), ring.Best(all[:19], mixed, true)
+		if full != 19 && full != reduced {
+			t.Fatalf("home of chat %d: member %d with the full list, %d without member 19", key, full, reduced)
 		}
 	}
 }
