--- a/core/crash.go
+++ b/core/crash.go
@@ -21,7 +21,7 @@
 	Hash uint64
 }
 
-// Crash is a crash of an endpoint, identified by its hash, during a request.
+// Crash is a crash of an endpoint, identified by its hash, while it ran a request.
 type Crash struct {
 	Endpoint uint64
 	At       time.Time
@@ -52,7 +52,8 @@
 type Quarantine struct {
 	Request Fingerprint
 	// Trials is how often the request has been sent since, to test whether it still crashes
-	// endpoints. Crashes is the number of crashes during the request that the writer knew of.
+	// endpoints. Crashes is the number of endpoint crashes during the request that the writer
+	// knew of.
 	Trials  int
 	Crashes int
 	// Rev is the entry's version; 0 if the entry does not exist yet.
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -82,8 +82,9 @@
 	return customerReserve
 }
 
-// Backoff returns the delay before retry number n, counted from 1. It doubles with each retry, with
-// random jitter in its upper half so that callers that failed together do not retry together.
+// Backoff returns the delay before retry number n, counted from 1. Its bound doubles with each retry
+// up to maxBackoff. The delay is drawn at random from the upper half of the bound, so that callers
+// that failed together do not retry together.
 func Backoff(n int, ra core.Rand) time.Duration {
 	full := min(maxBackoff, firstBackoff<<min(n-1, 10))
 	return full/2 + time.Duration(ra.Float64()*float64(full/2))
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -10,9 +10,9 @@
 	"almondrill/core/retry"
 )
 
-// Endpoints fail every request and each router retries every request, which must not overload the
-// remaining endpoints: in any ten seconds all routers together must stay within the fleet's bound,
-// although they do not coordinate.
+// Half of a service's endpoints fail every request, and each router tries to retry all of them, which
+// must not overload the remaining endpoints. In any ten seconds all routers together must stay within
+// the fleet's bound, although they do not coordinate.
 func TestFleetStaysWithinTheBound(t *testing.T) {
 	const (
 		span     = 10 * time.Second
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestPoolsHaveBoundsOfTheirOwn(t *testing.T) {
+func TestBoundsArePerPool(t *testing.T) {
 	wi := &retry.Window{Slack: 4, Span: time.Second, Routers: func() int { return 1 }}
 	now := time.Unix(1_700_000_000, 0)
 	taken := func(po core.PoolID) int {
