--- a/core/admit/fair_test.go
+++ b/core/admit/fair_test.go
@@ -54,9 +54,9 @@
 }
 
 // nextStarted returns the ticket that has just got a slot.
-func nextStarted(t *testing.T, lines ...*customerQueue) *admit.Ticket {
+func nextStarted(t *testing.T, queues ...*customerQueue) *admit.Ticket {
 	t.Helper()
-	for _, li := range lines {
+	for _, li := range queues {
 		if ti := li.tickets[li.started]; started(ti) {
 			li.started++
 			return ti
