--- a/core/place/pool_stats.go
+++ b/core/place/pool_stats.go
@@ -60,7 +60,7 @@
 	}
 	if ch.backingOffCount > 0 {
 		re.Reason = core.ReasonBackoff
-		re.Detail = "the endpoints of the pool accept no requests for a time"
+		re.Detail = "the endpoints of the pool asked for no requests for a time"
 		re.RetryAfter = ch.backoffEnds.Sub(ch.now)
 		re.Basis = fmt.Sprintf("%d of %d endpoints accept no requests", ch.backingOffCount, ch.openCount)
 	}
--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -61,7 +61,7 @@
 )
 
 // ErrStray is returned if the endpoint's responses belong to other requests.
-var ErrStray = errors.New("response belongs to another request")
+var ErrStray = errors.New("the answer is for another request")
 
 // Pool keeps idle connections by address. The zero value is ready to use.
 type Pool struct {
@@ -300,7 +300,7 @@
 	for range maxStray {
 		rs, err := http.ReadResponse(co.rd, rq)
 		if err != nil {
-			return nil, fmt.Errorf("read response from %s: %w", co.Addr, err)
+			return nil, fmt.Errorf("read answer of %s: %w", co.Addr, err)
 		}
 		if rs.StatusCode >= http.StatusOK && isOwn(rs.Header) {
 			return rs, nil
@@ -312,10 +312,10 @@
 			break // the body ends with the connection
 		}
 		if _, err = io.Copy(io.Discard, rs.Body); err != nil {
-			return nil, fmt.Errorf("discard stray response from %s: %w", co.Addr, err)
+			return nil, fmt.Errorf("read stray answer of %s: %w", co.Addr, err)
 		}
 	}
-	return nil, fmt.Errorf("read response from %s: %w", co.Addr, ErrStray)
+	return nil, fmt.Errorf("read answer of %s: %w", co.Addr, ErrStray)
 }
 
 // write sends the request. A long body is written in the background, since an endpoint may respond
--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -143,10 +143,10 @@
 }
 
 var (
-	errAddressReused = errors.New("the address now belongs to another endpoint")
-	errNoLongerOpen  = errors.New("the endpoint stopped accepting requests after it was chosen")
+	errAddressReused = errors.New("another endpoint has the address")
+	errNoLongerOpen  = errors.New("the endpoint was closed to new requests after it was chosen")
 	errCallerGone    = errors.New("the caller's connection was closed before the request was sent")
-	errNoStamp       = errors.New("the response has no stamp or is encoded, so it is not the endpoint's")
+	errNoStamp       = errors.New("the answer bears no stamp, or is encoded: it is not the endpoint's")
 )
 
 // handleFailure keeps an endpoint's failure response, to be forwarded if no other attempt succeeds.
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -197,7 +197,7 @@
 func (rq *request) resolve() *core.Refusal {
 	rq.table = rq.re.table.Load()
 	if rq.table == nil {
-		rf := rq.notRun(core.ReasonNoConfig, "find", "the router has not received a configuration yet")
+		rf := rq.notRun(core.ReasonNoConfig, "find", "no configuration is known yet")
 		rf.RetryAfter = noConfigRetryAfter
 		return rf
 	}
@@ -241,7 +241,7 @@
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 0 {
-		rf := rq.notRun(core.ReasonBadRequest, "read", rq.re.Dialect.Deadline+" is not a valid number of milliseconds: "+text)
+		rf := rq.notRun(core.ReasonBadRequest, "read", rq.re.Dialect.Deadline+" is no number of milliseconds: "+text)
 		rf.Status = http.StatusBadRequest
 		return rf
 	}
@@ -274,13 +274,13 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.Is(err, errNoMemory):
-		rf := rq.notRun(core.ReasonMemory, "read", "request and response bodies of other requests use all of the buffer memory")
+		rf := rq.notRun(core.ReasonMemory, "read", "bodies and answers of other requests take the memory that there is for them")
 		rf.RetryAfter = memoryRetryAfter
 		return rf
 	case errors.As(err, &large):
 		return rq.tooLarge(http.StatusRequestEntityTooLarge, "body", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		rf := rq.notRun(core.ReasonSlowCaller, "read", "the body did not arrive before the request's deadline")
+		rf := rq.notRun(core.ReasonSlowCaller, "read", "the body did not come in time")
 		rf.Status = http.StatusRequestTimeout
 		return rf
 	case hr.Context().Err() != nil || errors.Is(err, io.ErrUnexpectedEOF):
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -135,7 +135,7 @@
 	if rq.sends > 0 && !rq.re.Budget.TryExtra(time.Now(), rq.pool) {
 		tk.Done(time.Now(), place.Neutral)
 		rq.re.Stats.Refuse(core.ReasonRetryBudget)
-		return rq.notRun(core.ReasonRetryBudget, "retry", "the retry budget is exhausted")
+		return rq.notRun(core.ReasonRetryBudget, "retry", "the budget of further attempts is spent")
 	}
 	return nil
 }
