--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -43,9 +43,9 @@
 	Pool     core.PoolID
 	Endpoint core.Endpoint
 
-	gate    *admit.Gate
-	door    door
-	crashes crashes
+	gate  *admit.Gate
+	calls callTracker
+	crash crashRecord
 }
 
 // Gate is the admission before the endpoint.
@@ -55,13 +55,13 @@
 type Keys interface {
 	// Begin returns a Run if the call may run, else either the replay of the
 	// outcome, already sent to si, with a nil error, or a refusal.
-	Begin(ctx context.Context, ca *core.Call, si core.Sink) (Run, error)
-	// Knows tells whether a call with the key has run or is running here.
-	Knows(ca *core.Call) bool
+	Begin(ctx context.Context, ca *core.Call, si core.Sink) (Execution, error)
+	// Seen tells whether a call with the key has run or is running here.
+	Seen(ca *core.Call) bool
 }
 
-// Run is the permission to run a call with a key once.
-type Run interface {
+// Execution is the permission to run a call with a key once.
+type Execution interface {
 	// Claim makes the claim; the endpoint must not be called before it is nil.
 	Claim(ctx context.Context) *core.Refusal
 	// Sink records what the endpoint answers on its way to the caller.
@@ -82,14 +82,14 @@
 	Keys        Keys
 	Peers       core.Peers
 	// Heard, if set, is told of a peer's revision.
-	Heard func(from core.VMID, rev core.Revision)
+	RevisionSeen func(from core.VMID, rev core.Revision)
 	// Sending, if set, is asked before control messages are sent.
-	Sending func(size core.Bytes) bool
+	AllowSend func(size core.Bytes) bool
 
-	tables map[core.PoolID]*loads.Table
-	places outbox
-	door   door
-	taking atomic.Int64 // contexts being taken in
+	tables    map[core.PoolID]*loads.Table
+	outbox    outbox
+	calls     callTracker
+	importing atomic.Int64 // contexts being taken in
 
 	mu       sync.Mutex // guards revision
 	revision core.Revision
@@ -120,10 +120,10 @@
 func (ag *Agent) Adopt(sn *board.Snapshot) {
 	for id, ta := range ag.tables {
 		if po := sn.Pools[id]; po != nil && ta.SetPeers(po.VMs()) {
-			go ag.rehome(sn, id)
+			go ag.notifyNewHomes(sn, id)
 		}
 	}
-	if sn.Config == nil || !ag.newer(sn.Revision()) {
+	if sn.Config == nil || !ag.advance(sn.Revision()) {
 		return
 	}
 	for _, sl := range ag.Slots {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (ag *Agent) newer(rev core.Revision) bool {
+func (ag *Agent) advance(rev core.Revision) bool {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	if rev <= ag.revision {
@@ -145,47 +145,47 @@
 
 // Serve runs one call. The error, if any, is a *core.Refusal.
 func (ag *Agent) Serve(ctx context.Context, ca *core.Call, si core.Sink) (*core.Report, error) {
-	known := ca.Key != "" && ag.Keys != nil && ag.Keys.Knows(ca)
-	if !ag.door.enter(known) {
+	known := ca.Key != "" && ag.Keys != nil && ag.Keys.Seen(ca)
+	if !ag.calls.begin(known) {
 		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonDraining, "enter", "the agent is leaving")
 	}
-	defer ag.door.leave()
+	defer ag.calls.end()
 	sn := ag.Board.Snapshot()
 	if sn.Config == nil {
 		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonNoConfig, "enter", "no configuration yet")
 	}
 	gr := sn.Config.Group(ca.Pool)
 	key := ring.Key(ca.Customer, ca.Pool, ca.Chat)
-	sl, he := ag.choose(ca.Pool, key)
+	sl, he := ag.chooseSlot(ca.Pool, key)
 	if sl == nil || gr == nil {
 		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonWrongPool, "enter", "no endpoint of pool "+string(ca.Pool))
 	}
 	if !gr.Service && !known {
-		if re := ag.pointElsewhere(sn, gr, sl, ca, key, he); re != nil {
+		if re := ag.redirect(sn, gr, sl, ca, key, he); re != nil {
 			return ag.report(sl, core.Usage{}), re
 		}
 	}
-	if !sl.door.enter(known) {
-		return ag.report(sl, core.Usage{}), ag.reloading(sl)
+	if !sl.calls.begin(known) {
+		return ag.report(sl, core.Usage{}), ag.refuseReloading(sl)
 	}
-	defer sl.door.leave()
-	us, err := ag.keyed(ctx, sn, sl, ca, he, si)
+	defer sl.calls.end()
+	us, err := ag.serveKeyed(ctx, sn, sl, ca, he, si)
 	if err == nil && !gr.Service {
-		ag.remember(sn, sl, ca, key, us)
+		ag.recordContext(sn, sl, ca, key, us)
 	}
 	return ag.report(sl, us), err
 }
 
-// keyed runs the call under its idempotency key, where it has one.
-func (ag *Agent) keyed(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *ctxdir.CachedContext, si core.Sink) (core.Usage, error) {
+// serveKeyed runs the call under its idempotency key, where it has one.
+func (ag *Agent) serveKeyed(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *ctxdir.CachedContext, si core.Sink) (core.Usage, error) {
 	if ca.Key == "" || ag.Keys == nil {
-		return ag.admitted(ctx, sn, sl, ca, he, si, nil)
+		return ag.serveAdmitted(ctx, sn, sl, ca, he, si, nil)
 	}
 	ru, err := ag.Keys.Begin(ctx, ca, si)
 	if err != nil || ru == nil {
 		return core.Usage{}, err
 	}
-	us, err := ag.admitted(ctx, sn, sl, ca, he, ru.Sink(), ru)
+	us, err := ag.serveAdmitted(ctx, sn, sl, ca, he, ru.Sink(), ru)
 	if err != nil {
 		ru.End(core.AsRefusal(err, "endpoint", string(sl.ID)))
 		return us, err
@@ -194,8 +194,8 @@
 	return us, nil
 }
 
-// admitted waits for a slot, makes the claim and calls the endpoint.
-func (ag *Agent) admitted(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *ctxdir.CachedContext, si core.Sink, ru Run) (core.Usage, error) {
+// serveAdmitted waits for a slot, makes the claim and calls the endpoint.
+func (ag *Agent) serveAdmitted(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *ctxdir.CachedContext, si core.Sink, ru Execution) (core.Usage, error) {
 	ti := &admit.Ticket{
 		Customer: ca.Customer,
 		Weight:   sn.Config.Share(ca.Customer, ca.Pool),
@@ -207,7 +207,7 @@
 		saved := min(ca.Prompt, he.Tokens)
 		ti.WaitLimit = time.Duration(gr.ReuseBias * float64(sl.gate.EstimatePrefill(core.WorkOf(saved, 0))))
 	}
-	if re := ag.pass(ctx, sl, ti); re != nil {
+	if re := ag.awaitSlot(ctx, sl, ti); re != nil {
 		return core.Usage{}, re
 	}
 	defer sl.gate.Release(ti)
@@ -216,30 +216,30 @@
 			return core.Usage{}, re
 		}
 	}
-	ctx, cancel := ag.outlast(ctx, ca)
+	ctx, cancel := ag.callContext(ctx, ca)
 	defer cancel()
 	began := ag.Clock.Now()
 	us, err := sl.Endpoint.Do(ctx, ca, &progress{sink: si, gate: sl.gate, ticket: ti})
 	if err != nil {
 		re := core.AsRefusal(err, "endpoint", string(sl.ID))
-		ag.findCrash(ctx, sl, began, re)
+		ag.detectCrash(ctx, sl, began, re)
 		return us, re
 	}
 	return us, nil
 }
 
-// outlast lets a call with a key run to its end though its caller leaves: the
+// callContext lets a call with a key run to its end though its caller leaves: the
 // caller cannot know whether it ran and will ask again with the same key, and
 // only a run that was not broken off has an answer for it.
-func (ag *Agent) outlast(ctx context.Context, ca *core.Call) (context.Context, context.CancelFunc) {
+func (ag *Agent) callContext(ctx context.Context, ca *core.Call) (context.Context, context.CancelFunc) {
 	if ca.Key == "" {
 		return context.WithCancel(ctx)
 	}
-	kept := context.WithoutCancel(ctx)
+	detached := context.WithoutCancel(ctx)
 	if ca.Deadline.IsZero() {
-		return context.WithCancel(kept)
+		return context.WithCancel(detached)
 	}
-	return context.WithDeadline(kept, ca.Deadline)
+	return context.WithDeadline(detached, ca.Deadline)
 }
 
 func workOf(ca *core.Call, he *ctxdir.CachedContext) core.Work {
@@ -250,18 +250,18 @@
 	return core.WorkOf(uncached, ca.Output)
 }
 
-// pass takes the ticket through the gate.
-func (ag *Agent) pass(ctx context.Context, sl *Slot, ti *admit.Ticket) *core.Refusal {
+// awaitSlot takes the ticket through the gate.
+func (ag *Agent) awaitSlot(ctx context.Context, sl *Slot, ti *admit.Ticket) *core.Refusal {
 	run, re := sl.gate.Offer(ti)
 	if run || re != nil {
 		return re
 	}
-	late, stop := ag.patience(ctx, ti)
+	limit, stop := ag.waitLimit(ctx, ti)
 	defer stop()
 	select {
 	case re = <-ti.Ready():
 		return re
-	case <-late:
+	case <-limit:
 		if sl.gate.WithdrawCapWait(ti) {
 			return sl.gate.LoadCapRefusal(ti)
 		}
@@ -286,19 +286,19 @@
 	return ag.refuse(core.ReasonCallerGone, "queue", "the caller left while waiting for a slot")
 }
 
-// patience closes the channel once the ticket's patience is over; a ticket that
+// waitLimit closes the channel once the ticket's patience is over; a ticket that
 // has none, and waits for a slot, waits until ctx ends.
-func (ag *Agent) patience(ctx context.Context, ti *admit.Ticket) (<-chan struct{}, context.CancelFunc) {
+func (ag *Agent) waitLimit(ctx context.Context, ti *admit.Ticket) (<-chan struct{}, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	late := make(chan struct{})
+	limit := make(chan struct{})
 	if ti.WaitLimit > 0 {
 		go func() {
 			if ag.Clock.Sleep(ctx, ti.WaitLimit) == nil {
-				close(late)
+				close(limit)
 			}
 		}()
 	}
-	return late, cancel
+	return limit, cancel
 }
 
 func (ag *Agent) refuse(reason core.Reason, step, detail string) *core.Refusal {
@@ -308,8 +308,8 @@
 	}
 }
 
-// reloading refuses a call while the endpoint loads another model or version.
-func (ag *Agent) reloading(sl *Slot) *core.Refusal {
+// refuseReloading refuses a call while the endpoint loads another model or version.
+func (ag *Agent) refuseReloading(sl *Slot) *core.Refusal {
 	re := ag.refuse(core.ReasonReloading, "enter", "the engine is loading another model or version")
 	re.Alternatives = sl.gate.LessLoaded()
 	return re
--- a/core/agent/control.go
+++ b/core/agent/control.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// exchangeEvery is the pace of exchanges with one random peer of the pool.
-	exchangeEvery = 450 * time.Millisecond
-	// placesEvery is how long placements are collected before they are sent.
-	placesEvery = 250 * time.Millisecond
-	// MostEntries bounds the loads in one digest.
-	MostEntries = 8
+	// exchangeInterval is the pace of exchanges with one random peer of the pool.
+	exchangeInterval = 450 * time.Millisecond
+	// placementInterval is how long placements are collected before they are sent.
+	placementInterval = 250 * time.Millisecond
+	// MaxEntries bounds the loads in one digest.
+	MaxEntries = 8
 	// entrySize, placementSize and digestSize are message sizes for the meter.
 	entrySize     core.Bytes = 22
 	placementSize core.Bytes = 48
@@ -24,7 +24,7 @@
 // Run exchanges loads and placements with peers until ctx ends.
 func (ag *Agent) Run(ctx context.Context) error {
 	go ag.sendPlacements(ctx)
-	for ag.Clock.Sleep(ctx, ag.jitter(exchangeEvery)) == nil {
+	for ag.Clock.Sleep(ctx, ag.jitter(exchangeInterval)) == nil {
 		ag.exchange(ctx)
 	}
 	return nil
@@ -48,7 +48,7 @@
 		if to == ag.Self {
 			continue
 		}
-		di := ag.Digest(MostEntries)
+		di := ag.Digest(MaxEntries)
 		if !ag.maySend(DigestSize(di)) {
 			continue
 		}
@@ -57,7 +57,7 @@
 			ag.Board.Post(board.Traffic{VM: to, Reached: false})
 			continue
 		}
-		ag.Hear(got)
+		ag.ApplyDigest(got)
 	}
 }
 
@@ -67,47 +67,47 @@
 }
 
 func (ag *Agent) maySend(size core.Bytes) bool {
-	return ag.Sending == nil || ag.Sending(size)
+	return ag.AllowSend == nil || ag.AllowSend(size)
 }
 
 // Digest tells the agent's own loads and the freshest it knows of others.
-func (ag *Agent) Digest(most int) *core.Digest {
+func (ag *Agent) Digest(maxEntries int) *core.Digest {
 	di := &core.Digest{
 		From: ag.Self, Incarnation: ag.Incarnation, Draining: ag.Draining(),
 		Revision: ag.Board.Snapshot().Revision(),
 	}
 	for id, ta := range ag.tables {
 		own := core.LoadEntry{Pool: id, VM: ag.Self, Draining: di.Draining}
-		ag.addStandings(&own)
+		ag.fillOwnLoad(&own)
 		di.Loads = append(di.Loads, own)
-		di.Loads = append(di.Loads, ta.Freshest(most-1)...)
+		di.Loads = append(di.Loads, ta.Freshest(maxEntries-1)...)
 	}
 	return di
 }
 
-// addStandings fills in the mean over the agent's endpoints of the pool, as the
+// fillOwnLoad fills in the mean over the agent's endpoints of the pool, as the
 // cap compares single endpoints.
-func (ag *Agent) addStandings(own *core.LoadEntry) {
-	count, held := core.Work(0), true
+func (ag *Agent) fillOwnLoad(own *core.LoadEntry) {
+	count, paused := core.Work(0), true
 	for _, sl := range ag.Slots {
 		if sl.Pool == own.Pool {
-			held = held && sl.Held()
+			paused = paused && sl.Paused()
 			st := sl.gate.Stats()
 			own.Load += st.Load
 			own.Throughput += st.Throughput
 			count++
 		}
 	}
-	own.Draining = own.Draining || held
+	own.Draining = own.Draining || paused
 	own.Load /= max(1, count)
 	own.Throughput /= max(1, count)
 }
 
-// Hear takes in a peer's digest.
-func (ag *Agent) Hear(di *core.Digest) {
+// ApplyDigest takes in a peer's digest.
+func (ag *Agent) ApplyDigest(di *core.Digest) {
 	ag.Board.Post(board.Announced{VM: di.From, Incarnation: di.Incarnation, Draining: di.Draining})
-	if ag.Heard != nil {
-		ag.Heard(di.From, di.Revision)
+	if ag.RevisionSeen != nil {
+		ag.RevisionSeen(di.From, di.Revision)
 	}
 	for _, en := range di.Loads {
 		if ta := ag.tables[en.Pool]; ta != nil {
@@ -118,7 +118,7 @@
 
 // sendPlacements tells homes which of their chats are held here.
 func (ag *Agent) sendPlacements(ctx context.Context) {
-	for ag.Clock.Sleep(ctx, ag.jitter(placesEvery)) == nil {
+	for ag.Clock.Sleep(ctx, ag.jitter(placementInterval)) == nil {
 		ag.FlushPlacements(ctx)
 	}
 }
@@ -126,7 +126,7 @@
 // FlushPlacements sends what waits. What the budget holds back is dropped: a
 // missing pointer costs one prefill.
 func (ag *Agent) FlushPlacements(ctx context.Context) {
-	for home, pls := range ag.places.take() {
+	for home, pls := range ag.outbox.take() {
 		if ag.maySend(placementSize * core.Bytes(len(pls))) {
 			// A lost message is only a lost hint.
 			_ = ag.Peers.UpdatePlacements(ctx, home, pls)
--- a/core/agent/crash_test.go
+++ b/core/agent/crash_test.go
@@ -9,20 +9,20 @@
 	"almondrill/core/agent"
 )
 
-// gone is an endpoint at which calls break off, and that is there or not.
-type gone struct {
+// crashingEndpoint is an endpoint at which calls break off, and that is there or not.
+type crashingEndpoint struct {
 	core.Endpoint
 	alive bool
 }
 
-func (en *gone) Alive(context.Context) bool { return en.alive }
+func (en *crashingEndpoint) Alive(context.Context) bool { return en.alive }
 
 // An answer is lost, and a moment later the endpoint crashes under a call that began since: that
 // one was running, whatever broke off before.
-func TestBreakBeforeACrashHidesNothing(t *testing.T) {
+func TestInterruptionBeforeCrashDoesNotHideIt(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	now, en := start, &gone{alive: true}
-	find := agent.CrashFinder(func() time.Time { return now }, en)
+	now, en := start, &crashingEndpoint{alive: true}
+	find := agent.CrashDetection(func() time.Time { return now }, en)
 	lost := &core.Refusal{Outcome: core.Unknown, Reason: core.ReasonCutShort}
 	find(start.Add(-time.Second), lost)
 	now, en.alive = start.Add(500*time.Millisecond), false
@@ -36,12 +36,12 @@
 // An endpoint crashes with two calls. A third is sent a moment later on a connection that was
 // kept, and breaks off too: it was not running, and must not be counted for the crash. Where
 // the endpoint is there still, an answer was lost, and no call is told as crashed.
-func TestCallThatCameAfterTheCrashDidNotRun(t *testing.T) {
+func TestCallSentAfterCrashIsNotAttributed(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, alive := range []bool{false, true} {
 		now := start
-		find := agent.CrashFinder(func() time.Time { return now }, &gone{alive: alive})
-		broke := func(began, at int) core.Reason {
+		find := agent.CrashDetection(func() time.Time { return now }, &crashingEndpoint{alive: alive})
+		interrupted := func(began, at int) core.Reason {
 			now = start.Add(time.Duration(at) * time.Millisecond)
 			re := &core.Refusal{Outcome: core.Unknown, Reason: core.ReasonCutShort}
 			find(start.Add(time.Duration(began)*time.Millisecond), re)
@@ -55,7 +55,7 @@
 			if ca.ran && !alive {
 				want = core.ReasonCrashed
 			}
-			if got := broke(ca.began, ca.at); got != want {
+			if got := interrupted(ca.began, ca.at); got != want {
 				t.Errorf("alive %v, from %d to %d ms: %s, want %s", alive, ca.began, ca.at, got, want)
 			}
 		}
--- a/core/agent/drain.go
+++ b/core/agent/drain.go
@@ -7,112 +7,112 @@
 	"almondrill/core"
 )
 
-// door counts the calls inside and can be shut. Both happen under one lock: a
+// callTracker counts the calls inside and can be shut. Both happen under one lock: a
 // call that Wait does not wait for is always one that was kept out.
-type door struct {
+type callTracker struct {
 	mu     sync.Mutex // guards all below
-	shut   bool
-	inside int
-	empty  chan struct{}
+	closed bool
+	active int
+	idle   chan struct{}
 }
 
-// enter lets a call in unless the door is shut. A call that is known is no new
+// begin lets a call in unless the door is shut. A call that is known is no new
 // work and is let in while others are inside.
-func (do *door) enter(known bool) bool {
-	do.mu.Lock()
-	defer do.mu.Unlock()
-	if do.shut && !(known && do.inside > 0) {
+func (ct *callTracker) begin(known bool) bool {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	if ct.closed && !(known && ct.active > 0) {
 		return false
 	}
-	do.inside++
+	ct.active++
 	return true
 }
 
-func (do *door) leave() {
-	do.mu.Lock()
-	defer do.mu.Unlock()
-	do.inside--
-	if do.shut && do.inside == 0 {
-		close(do.empty)
+func (ct *callTracker) end() {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	ct.active--
+	if ct.closed && ct.active == 0 {
+		close(ct.idle)
 	}
 }
 
 // close keeps new calls out; it may be called more than once.
-func (do *door) close() {
-	do.mu.Lock()
-	defer do.mu.Unlock()
-	if do.shut {
+func (ct *callTracker) close() {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	if ct.closed {
 		return
 	}
-	do.shut = true
-	do.empty = make(chan struct{})
-	if do.inside == 0 {
-		close(do.empty)
+	ct.closed = true
+	ct.idle = make(chan struct{})
+	if ct.active == 0 {
+		close(ct.idle)
 	}
 }
 
-// open lets calls in again.
-func (do *door) open() {
-	do.mu.Lock()
-	defer do.mu.Unlock()
-	do.shut = false
+// reopen lets calls in again.
+func (ct *callTracker) reopen() {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	ct.closed = false
 }
 
 // wait waits until nobody is inside a door that is shut, or ctx ends.
-func (do *door) wait(ctx context.Context) error {
-	do.mu.Lock()
-	empty := do.empty
-	do.mu.Unlock()
+func (ct *callTracker) wait(ctx context.Context) error {
+	ct.mu.Lock()
+	idle := ct.idle
+	ct.mu.Unlock()
 	select {
-	case <-empty:
+	case <-idle:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (do *door) state() (shut bool, inside int) {
-	do.mu.Lock()
-	defer do.mu.Unlock()
-	return do.shut, do.inside
+func (ct *callTracker) state() (closed bool, active int) {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	return ct.closed, ct.active
 }
 
 // Draining tells whether the agent refuses new calls.
 func (ag *Agent) Draining() bool {
-	shut, _ := ag.door.state()
-	return shut
+	closed, _ := ag.calls.state()
+	return closed
 }
 
-// Inside is the number of calls in progress.
-func (ag *Agent) Inside() int {
-	_, inside := ag.door.state()
-	return inside
+// InProgress is the number of calls in progress.
+func (ag *Agent) InProgress() int {
+	_, active := ag.calls.state()
+	return active
 }
 
-// StopTaking makes the agent refuse new calls from now on. It may be called
+// StopAccepting makes the agent refuse new calls from now on. It may be called
 // more than once.
-func (ag *Agent) StopTaking() { ag.door.close() }
+func (ag *Agent) StopAccepting() { ag.calls.close() }
 
-// Hold keeps new calls from the endpoint and waits for those in progress, so that
+// Pause keeps new calls from the endpoint and waits for those in progress, so that
 // an order to load another model cuts off none. The agent's others go on.
-func (sl *Slot) Hold(ctx context.Context) error {
-	sl.door.close()
-	return sl.door.wait(ctx)
+func (sl *Slot) Pause(ctx context.Context) error {
+	sl.calls.close()
+	return sl.calls.wait(ctx)
 }
 
-// Release lets calls come again after Hold.
-func (sl *Slot) Release() { sl.door.open() }
+// Resume lets calls come again after Hold.
+func (sl *Slot) Resume() { sl.calls.reopen() }
 
-// Held tells whether the endpoint is kept from new calls.
-func (sl *Slot) Held() bool {
-	shut, _ := sl.door.state()
-	return shut
+// Paused tells whether the endpoint is kept from new calls.
+func (sl *Slot) Paused() bool {
+	closed, _ := sl.calls.state()
+	return closed
 }
 
 // Drain refuses new calls and waits for those in progress, until ctx ends.
 func (ag *Agent) Drain(ctx context.Context) error {
-	ag.StopTaking()
-	return ag.door.wait(ctx)
+	ag.StopAccepting()
+	return ag.calls.wait(ctx)
 }
 
 // outbox collects placements per home until they are sent.
--- a/core/agent/place.go
+++ b/core/agent/place.go
@@ -11,10 +11,10 @@
 	"almondrill/core/ring"
 )
 
-// rehome tells a chat's new home where its context is, after the pool changed: a
+// notifyNewHomes tells a chat's new home where its context is, after the pool changed: a
 // VM that joins becomes the home of chats that it has never seen.
-func (ag *Agent) rehome(sn *board.Snapshot, id core.PoolID) {
-	for _, he := range ag.Book.Cached(mostRehomed) {
+func (ag *Agent) notifyNewHomes(sn *board.Snapshot, id core.PoolID) {
+	for _, he := range ag.Book.Cached(maxNotified) {
 		pl := he.Placement
 		if pl.Pool != id {
 			continue
@@ -23,64 +23,64 @@
 		home := ag.home(sn, id, key)
 		if home != "" && home != ag.Self && home != he.NotifiedHome {
 			ag.Book.SetNotified(key, home)
-			ag.places.add(home, pl)
+			ag.outbox.add(home, pl)
 		}
 	}
 }
 
-// mostRehomed bounds the work after a change; the most recent chats go first.
-const mostRehomed = 4096
+// maxNotified bounds the work after a change; the most recent chats go first.
+const maxNotified = 4096
 
-// choose takes the endpoint of the pool that holds the chat's context, else the
+// chooseSlot takes the endpoint of the pool that holds the chat's context, else the
 // least loaded.
-func (ag *Agent) choose(po core.PoolID, key uint64) (*Slot, *ctxdir.CachedContext) {
-	he, here := ag.Book.Lookup(key)
+func (ag *Agent) chooseSlot(po core.PoolID, key uint64) (*Slot, *ctxdir.CachedContext) {
+	he, cached := ag.Book.Lookup(key)
 	var best *Slot
-	var least core.Work
+	var minLoad core.Work
 	for _, sl := range ag.Slots {
 		if sl.Pool != po {
 			continue
 		}
-		if here && sl.ID == he.Endpoint && !sl.Held() {
+		if cached && sl.ID == he.Endpoint && !sl.Paused() {
 			return sl, &he
 		}
 		load := sl.gate.Load()
-		if sl.Held() {
+		if sl.Paused() {
 			load = math.MaxInt64
 		}
-		if best == nil || load < least {
-			best, least = sl, load
+		if best == nil || load < minLoad {
+			best, minLoad = sl, load
 		}
 	}
 	return best, nil
 }
 
-// pointElsewhere refuses a call whose chat is better served by another agent.
-func (ag *Agent) pointElsewhere(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, key uint64, he *ctxdir.CachedContext) *core.Refusal {
+// redirect refuses a call whose chat is better served by another agent.
+func (ag *Agent) redirect(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, key uint64, he *ctxdir.CachedContext) *core.Refusal {
 	if ca.NoRedirect {
 		return nil
 	}
 	if he != nil && he.Tokens*4 >= ca.Prompt*3 {
-		return ag.tooBusy(gr, sl, ca)
+		return ag.refuseBusy(gr, sl, ca)
 	}
-	if vm, away := ag.Book.Pointer(key); away {
-		if vm == ca.StaleHolder || !ag.worthGoing(sn, gr, sl, ca, vm) {
+	if vm, known := ag.Book.Pointer(key); known {
+		if vm == ca.StaleHolder || !ag.worthRedirect(sn, gr, sl, ca, vm) {
 			ag.Book.RemovePointer(key, vm)
 			return nil
 		}
-		return ag.pointTo(vm, "another agent has the chat's context")
+		return ag.refuseRedirect(vm, "another agent has the chat's context")
 	}
 	if home := ag.home(sn, ca.Pool, key); home != ag.Self && home != ca.StaleHolder && home != "" {
-		return ag.pointTo(home, "the chat's home is another agent")
+		return ag.refuseRedirect(home, "the chat's home is another agent")
 	}
 	return nil
 }
 
-// tooBusy weighs waiting here, where the context is, against prefilling it
+// refuseBusy weighs waiting here, where the context is, against prefilling it
 // elsewhere. What counts is how much sooner it would be elsewhere: when all
 // engines have queues, moving gains nothing and loses the context. ReuseBias
 // above 1 stays longer.
-func (ag *Agent) tooBusy(gr *decl.Group, sl *Slot, ca *core.Call) *core.Refusal {
+func (ag *Agent) refuseBusy(gr *decl.Group, sl *Slot, ca *core.Call) *core.Refusal {
 	if sl.gate.EstimateWait(ca.Priority) == 0 {
 		return nil
 	}
@@ -98,9 +98,9 @@
 	return re
 }
 
-// worthGoing tells whether the holder of the context can be expected to take the
+// worthRedirect tells whether the holder of the context can be expected to take the
 // call: it is in the pool and not known to be over the cap.
-func (ag *Agent) worthGoing(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, vm core.VMID) bool {
+func (ag *Agent) worthRedirect(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, vm core.VMID) bool {
 	po := sn.Pools[ca.Pool]
 	if po == nil || po.Index(vm) < 0 {
 		return false
@@ -127,38 +127,38 @@
 	return po.Members[ix].VM
 }
 
-// remember notes that the engine now holds the chat, and tells the chat's home
+// recordContext notes that the engine now holds the chat, and tells the chat's home
 // if that is another agent.
-func (ag *Agent) remember(sn *board.Snapshot, sl *Slot, ca *core.Call, key uint64, us core.Usage) {
+func (ag *Agent) recordContext(sn *board.Snapshot, sl *Slot, ca *core.Call, key uint64, us core.Usage) {
 	tokens := ca.Prompt + ca.Output
 	if us.Prompt > 0 {
 		tokens = us.Prompt + us.Output
 	}
 	pl := core.Placement{Customer: ca.Customer, Pool: ca.Pool, Chat: ca.Chat, VM: ag.Self}
-	ag.keep(sn, key, ctxdir.CachedContext{Endpoint: sl.ID, Tokens: tokens, Placement: pl})
+	ag.addContext(sn, key, ctxdir.CachedContext{Endpoint: sl.ID, Tokens: tokens, Placement: pl})
 }
 
-// keep notes a context held here and tells the chat's home, unless that knows.
-func (ag *Agent) keep(sn *board.Snapshot, key uint64, he ctxdir.CachedContext) {
+// addContext notes a context held here and tells the chat's home, unless that knows.
+func (ag *Agent) addContext(sn *board.Snapshot, key uint64, he ctxdir.CachedContext) {
 	_, known := ag.Book.Lookup(key)
 	ag.Book.Add(key, he)
-	if known || ag.onWalk(sn, he.Placement.Pool, key) {
+	if known || ag.isPreferred(sn, he.Placement.Pool, key) {
 		return
 	}
 	if home := ag.home(sn, he.Placement.Pool, key); home != "" {
-		ag.places.add(home, he.Placement)
+		ag.outbox.add(home, he.Placement)
 	}
 }
 
-// onWalk tells whether this agent is one of those that routers ask anyway when
+// isPreferred tells whether this agent is one of those that routers ask anyway when
 // the chat returns, so that its home need not know.
-func (ag *Agent) onWalk(sn *board.Snapshot, id core.PoolID, key uint64) bool {
+func (ag *Agent) isPreferred(sn *board.Snapshot, id core.PoolID, key uint64) bool {
 	po := sn.Pools[id]
 	return po != nil && pick.IsPreferred(po, key, ag.Self)
 }
 
-// Placed takes in placements sent to this agent as the chats' home.
-func (ag *Agent) Placed(pls []core.Placement) {
+// ApplyPlacements takes in placements sent to this agent as the chats' home.
+func (ag *Agent) ApplyPlacements(pls []core.Placement) {
 	for _, pl := range pls {
 		key := ring.Key(pl.Customer, pl.Pool, pl.Chat)
 		switch {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (ag *Agent) pointTo(vm core.VMID, detail string) *core.Refusal {
+func (ag *Agent) refuseRedirect(vm core.VMID, detail string) *core.Refusal {
 	re := ag.refuse(core.ReasonHeldElsewhere, "place", detail)
 	re.Alternatives = []core.VMID{vm}
 	return re
--- a/core/claim/keys.go
+++ b/core/claim/keys.go
@@ -62,9 +62,9 @@
 	gone    bool // the answer was too large or had to make room
 }
 
-// Knows tells whether the key was taken here, so that a leaving agent still
+// Seen tells whether the key was taken here, so that a leaving agent still
 // replays its outcome.
-func (ke *Keys) Knows(ca *core.Call) bool {
+func (ke *Keys) Seen(ca *core.Call) bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	re := ke.records[Hash(ca.Customer, ca.Key)]
@@ -73,7 +73,7 @@
 
 // Begin lets one call of a key through at a time. Others wait for its end, then
 // get the same outcome, or run if it was not run.
-func (ke *Keys) Begin(ctx context.Context, ca *core.Call, si core.Sink) (agent.Run, error) {
+func (ke *Keys) Begin(ctx context.Context, ca *core.Call, si core.Sink) (agent.Execution, error) {
 	hash := Hash(ca.Customer, ca.Key)
 	print := fingerprint(ca)
 	for {
--- a/core/trial/failure_test.go
+++ b/core/trial/failure_test.go
@@ -54,11 +54,11 @@
 		all.Go(func() { st.callers(12, 10*time.Second) })
 		time.Sleep(4 * time.Second)
 		for _, me := range st.fl.LiveAgents()[:2] {
-			if me.Agent.Inside() == 0 {
+			if me.Agent.InProgress() == 0 {
 				t.Error("nothing in progress: this shows nothing")
 			}
-			if err := me.Agent.Drain(st.ctx); err != nil || me.Agent.Inside() != 0 {
-				t.Errorf("%v, %d inside", err, me.Agent.Inside())
+			if err := me.Agent.Drain(st.ctx); err != nil || me.Agent.InProgress() != 0 {
+				t.Errorf("%v, %d inside", err, me.Agent.InProgress())
 			}
 			me.Kill()
 		}
@@ -296,7 +296,7 @@
 	onStage(t, 10, func(st *stage) {
 		live := st.fl.LiveAgents()
 		for _, me := range live[2:] {
-			me.Agent.StopTaking()
+			me.Agent.StopAccepting()
 		}
 		for _, me := range st.fl.All() {
 			if me.Router != nil {
@@ -332,7 +332,7 @@
 				me.Kill()
 				continue
 			}
-			me.Agent.StopTaking()
+			me.Agent.StopAccepting()
 		}
 		asked.Wait()
 		if st.ran() != 1 {
--- a/core/trial/leave_test.go
+++ b/core/trial/leave_test.go
@@ -82,7 +82,7 @@
 		live := st.fl.LiveAgents()
 		leaver, holder := live[0], live[3]
 		pl := core.Placement{Customer: "c", Pool: poolID, Chat: "chat", VM: holder.ID}
-		leaver.Agent.Placed([]core.Placement{pl})
+		leaver.Agent.ApplyPlacements([]core.Placement{pl})
 		st.fl.Leave(leaver, 1<<20)
 		time.Sleep(5 * time.Second)
 		for _, me := range st.fl.LiveAgents() {
--- a/core/trial/orders_test.go
+++ b/core/trial/orders_test.go
@@ -108,7 +108,7 @@
 func (ro *rollout) serving() int {
 	count := 0
 	for _, me := range ro.fl.All() {
-		if me.Agent != nil && !me.Agent.Slots[0].Held() {
+		if me.Agent != nil && !me.Agent.Slots[0].Paused() {
 			count++
 		}
 	}
--- a/core/trial/policy_test.go
+++ b/core/trial/policy_test.go
@@ -128,7 +128,7 @@
 		switch round % 3 {
 		case 0:
 			fl.SetState(one, core.VMDraining)
-			one.Agent.StopTaking()
+			one.Agent.StopAccepting()
 		case 1:
 			fl.AddAgent(fmt.Sprint("joiner-", round), round)
 		case 2:
--- a/io/node/leave.go
+++ b/io/node/leave.go
@@ -15,9 +15,9 @@
 	se := pr.Settings
 	ctx, cancel := context.WithTimeout(context.Background(), se.DrainTimeout)
 	defer cancel()
-	ha, err := pr.agent.Leave(ctx, se.HandOverTimeout, se.HandOverBytes)
+	ha, err := pr.agent.Shutdown(ctx, se.HandOverTimeout, se.HandOverBytes)
 	if err != nil {
-		pr.part.Warn("Work was still in progress at the end of the drain timeout.", zap.Int("Calls", pr.agent.Inside()))
+		pr.part.Warn("Work was still in progress at the end of the drain timeout.", zap.Int("Calls", pr.agent.InProgress()))
 	}
 	pr.Stats.Add(stats.ContextsHanded, int64(ha.Contexts))
 	pr.Stats.Add(stats.PointersHanded, int64(ha.Pointers))
@@ -28,7 +28,7 @@
 
 // takeContext takes a context in and counts it.
 func (pr *Process) takeContext(ctx context.Context, ha *core.Handover, rd io.Reader) error {
-	err := pr.agent.Take(ctx, ha, rd)
+	err := pr.agent.ImportContext(ctx, ha, rd)
 	if err == nil {
 		pr.Stats.Add(stats.ContextsTaken, 1)
 	}
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -258,7 +258,7 @@
 // digest tells the own state.
 func (pr *Process) digest() *core.Digest {
 	if pr.agent != nil {
-		return pr.agent.Digest(agent.MostEntries)
+		return pr.agent.Digest(agent.MaxEntries)
 	}
 	return &core.Digest{
 		From: pr.Settings.Name, Incarnation: pr.incarnation, Draining: pr.draining.Load(), Revision: pr.log.Revision(),
@@ -273,7 +273,7 @@
 	}
 	pr.meter.Spend(agent.DigestSize(own))
 	if pr.agent != nil {
-		pr.agent.Hear(di)
+		pr.agent.ApplyDigest(di)
 	} else {
 		pr.board.Post(board.Announced{VM: di.From, Incarnation: di.Incarnation, Draining: di.Draining})
 	}
@@ -305,7 +305,7 @@
 	pr.part.Info("The list marks this VM as leaving.")
 	pr.draining.Store(true)
 	if pr.agent != nil {
-		pr.agent.StopTaking()
+		pr.agent.StopAccepting()
 	}
 }
 
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -51,7 +51,7 @@
 		out.Warn("An order was not carried out.", append(orderFields(or, pr.Settings.Name), zap.Error(re))...)
 	}
 	for ix, sl := range pr.agent.Slots {
-		se := &order.Seat{ID: sl.ID, Pool: sl.Pool, Hold: sl.Hold, Release: sl.Release}
+		se := &order.Seat{ID: sl.ID, Pool: sl.Pool, Hold: sl.Pause, Release: sl.Resume}
 		if endpoints[ix].Engine {
 			se.Engine = endpoints[ix]
 		}
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -43,7 +43,7 @@
 	pr.agent = &agent.Agent{
 		Clock: pr.clock, Rand: pr.rand, Board: pr.board, Self: se.Name, Incarnation: pr.incarnation,
 		Book:  &ctxdir.Directory{Clock: pr.clock, MaxCached: se.MaxChats, MaxPointers: se.MaxChats, TTL: se.KeepChats},
-		Peers: pr.peers, Sending: pr.meter.Allow, Heard: pr.spreader.Heard,
+		Peers: pr.peers, AllowSend: pr.meter.Allow, RevisionSeen: pr.spreader.Heard,
 	}
 	var endpoints []*back.Endpoint
 	for _, ep := range se.Endpoints {
@@ -63,7 +63,7 @@
 	}
 	pr.board.Published = pr.agent.Adopt
 	pr.server.Serve = pr.serve
-	pr.server.Place = pr.agent.Placed
+	pr.server.Place = pr.agent.ApplyPlacements
 	pr.server.Hand = pr.takeContext
 }
 
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -75,7 +75,7 @@
 
 func (me *Member) digest() *core.Digest {
 	if me.Agent != nil {
-		return me.Agent.Digest(agent.MostEntries)
+		return me.Agent.Digest(agent.MaxEntries)
 	}
 	return &core.Digest{From: me.ID, Incarnation: me.incarnation, Revision: me.Log.Revision()}
 }
@@ -88,7 +88,7 @@
 	}
 	me.Meter.Spend(agent.DigestSize(own))
 	if me.Agent != nil {
-		me.Agent.Hear(di)
+		me.Agent.ApplyDigest(di)
 	}
 	return own
 }
@@ -197,13 +197,13 @@
 		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Self: me.ID, Incarnation: me.incarnation,
 		Slots: []*agent.Slot{{ID: core.EndpointID(name), Pool: fl.Pool, Endpoint: en}},
 		Book:  &ctxdir.Directory{Clock: fl.Clock, MaxCached: 20000, MaxPointers: 20000, TTL: time.Hour},
-		Keys:  me.Keys, Peers: port{fl.Net, me.ID}, Sending: me.Meter.Allow, Heard: me.Spreader.Heard,
+		Keys:  me.Keys, Peers: port{fl.Net, me.ID}, AllowSend: me.Meter.Allow, RevisionSeen: me.Spreader.Heard,
 	}
 	me.Agent.Init()
 	me.Orders = &order.Gate{KV: ownKV{fl.Store, me}, Clock: fl.Clock, Self: me.ID}
 	for _, sl := range me.Agent.Slots {
 		me.Orders.Seats = append(me.Orders.Seats, &order.Seat{
-			ID: sl.ID, Pool: sl.Pool, Engine: en, Hold: sl.Hold, Release: sl.Release,
+			ID: sl.ID, Pool: sl.Pool, Engine: en, Hold: sl.Pause, Release: sl.Resume,
 		})
 	}
 	en.evicted = func(key uint64) { me.Agent.Book.ApplyEviction(core.EndpointID(name), en.nextEvent(), key) }
@@ -284,7 +284,7 @@
 	}
 	lister := &board.Lister{Board: me.Board, List: list, Leaving: func() {
 		if me.Agent != nil {
-			me.Agent.StopTaking()
+			me.Agent.StopAccepting()
 		}
 	}}
 	for _, loop := range []func(context.Context) error{me.Board.Run, lister.Run, me.Spreader.Run} {
@@ -320,7 +320,7 @@
 	const within = 20 * time.Second
 	fl.SetState(me, core.VMDraining)
 	go func() {
-		_, _ = me.Agent.Leave(me.alive, within, most)
+		_, _ = me.Agent.Shutdown(me.alive, within, most)
 		fl.SetState(me, core.VMGone)
 		me.Kill()
 	}()
--- a/io/stand/inmem/net.go
+++ b/io/stand/inmem/net.go
@@ -208,7 +208,7 @@
 	if err != nil || me.Agent == nil {
 		return errCut
 	}
-	me.Agent.Placed(pls)
+	me.Agent.ApplyPlacements(pls)
 	return nil
 }
 
@@ -252,5 +252,5 @@
 			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errCut.Error(),
 		}
 	}
-	return me.Agent.Take(ctx, ha, rd)
+	return me.Agent.ImportContext(ctx, ha, rd)
 }
