--- a/core/router/router.go
+++ b/core/router/router.go
@@ -53,9 +53,9 @@
 	// Exhausted, if set, counts a retry that the Budget did not allow.
 	Exhausted func()
 	// Blame, if set, knows requests that crash endpoints.
-	Blame core.CrashTracker
+	Crashes core.CrashTracker
 	// Heard, if set, is told of every peer's revision.
-	Heard func(from core.VMID, rev core.Revision)
+	RevisionSeen func(from core.VMID, rev core.Revision)
 }
 
 // Request is one caller's request. Call.Attempt, Revision, Missed and Forced are
@@ -67,10 +67,10 @@
 	Hint core.VMID
 }
 
-// Served is told with the first part of an answer.
-type Served interface {
-	// From names the VM that answers.
-	From(vm core.VMID)
+// ServerObserver is told with the first part of an answer.
+type ServerObserver interface {
+	// ServedBy names the VM that answers.
+	ServedBy(vm core.VMID)
 }
 
 // attempts is the state of one Route.
@@ -80,10 +80,10 @@
 	se     pick.Search
 	pool   *board.Pool
 	number int
-	// pointed is set once a claimant of the call's key has been named.
-	pointed bool
-	// ran is how an earlier attempt ended that may have run, nil if there is none.
-	ran *core.Refusal
+	// claimantNamed is set once a claimant of the call's key has been named.
+	claimantNamed bool
+	// mayHaveRun is how an earlier attempt ended that may have run, nil if there is none.
+	mayHaveRun *core.Refusal
 	// fingerprint tells that attempts of the caller are the same request.
 	fingerprint core.Fingerprint
 }
@@ -100,7 +100,7 @@
 		Pool: po, Hint: rq.Hint, Zone: ro.Zone, Rand: ro.Rand,
 		Key: ring.Key(rq.Call.Customer, rq.Group.ID, rq.Call.Chat),
 	}}
-	if ro.Blame != nil {
+	if ro.Crashes != nil {
 		ca := &rq.Call
 		at.fingerprint = crash.Fingerprint(ca.Customer, ca.Method, string(ca.Pool), ca.Path, ca.Body)
 	}
@@ -112,63 +112,63 @@
 	rq.Call.Revision = sn.Revision()
 	ix := at.se.First()
 	for {
-		if re := at.quarantined(ctx); re != nil {
+		if re := at.checkQuarantine(ctx); re != nil {
 			return nil, at.final(re)
 		}
 		at.number++
-		gu := &guard{sink: si, vm: at.pool.Members[ix].VM, dropped: at.ro.Dropped}
-		rep, re := at.once(ctx, ix, gu)
+		as := &attemptSink{sink: si, vm: at.pool.Members[ix].VM, dropped: at.ro.Dropped}
+		rep, re := at.attempt(ctx, ix, as)
 		if re == nil {
 			return rep, nil
 		}
-		if !at.mayRetry(re, gu.passed) {
+		if !at.mayRetry(re, as.forwarded) {
 			return rep, at.final(re)
 		}
-		next := at.next(re, ix)
+		next := at.nextMember(re, ix)
 		if next < 0 {
 			return rep, at.final(re)
 		}
 		if re.Outcome != core.NotRun {
-			at.ran = re
-			if !at.wait(ctx) {
+			at.mayHaveRun = re
+			if !at.backOff(ctx) {
 				return rep, re
 			}
 		}
 		if expired(ctx, at.ro.Clock, rq.Call.Deadline) {
 			return rep, at.final(re)
 		}
-		at.ro.count(re.Reason)
+		at.ro.countRetry(re.Reason)
 		ix = next
 	}
 }
 
-// once makes one attempt.
-func (at *attempts) once(ctx context.Context, ix int, gu *guard) (*core.Report, *core.Refusal) {
+// attempt makes one attempt.
+func (at *attempts) attempt(ctx context.Context, ix int, as *attemptSink) (*core.Report, *core.Refusal) {
 	ca := at.rq.Call
 	ca.Attempt = core.AttemptID(at.ro.Rand.Uint64())
-	gu.attempt = ca.Attempt
-	rep, err := at.ro.Peers.Serve(ctx, gu.vm, &ca, gu)
-	at.learn(ix, rep, err)
-	at.tellBlame(gu.vm, err)
+	as.attempt = ca.Attempt
+	rep, err := at.ro.Peers.Serve(ctx, as.vm, &ca, as)
+	at.applyReport(ix, rep, err)
+	at.reportCrash(as.vm, err)
 	if err != nil {
-		return rep, core.AsRefusal(err, "serve", string(gu.vm))
+		return rep, core.AsRefusal(err, "serve", string(as.vm))
 	}
-	if !gu.ended {
+	if !as.ended {
 		return rep, &core.Refusal{
-			Outcome: core.Unknown, Reason: core.ReasonCutShort, Step: "serve", Peer: string(gu.vm),
+			Outcome: core.Unknown, Reason: core.ReasonCutShort, Step: "serve", Peer: string(as.vm),
 			Detail: "the answer stopped before its end mark",
 		}
 	}
 	return rep, nil
 }
 
-// quarantined refuses a request that crashes the endpoints that run it, before each attempt: it
+// checkQuarantine refuses a request that crashes the endpoints that run it, before each attempt: it
 // comes again through any router, and each attempt costs an endpoint.
-func (at *attempts) quarantined(ctx context.Context) *core.Refusal {
-	if at.ro.Blame == nil {
+func (at *attempts) checkQuarantine(ctx context.Context) *core.Refusal {
+	if at.ro.Crashes == nil {
 		return nil
 	}
-	allowed, after := at.ro.Blame.Allowed(ctx, at.fingerprint)
+	allowed, after := at.ro.Crashes.Allowed(ctx, at.fingerprint)
 	if allowed {
 		return nil
 	}
@@ -177,31 +177,31 @@
 	return re
 }
 
-// tellBlame tells how an attempt ended: at a crash, or whole. An endpoint's own failure tells
+// reportCrash tells how an attempt ended: at a crash, or whole. An endpoint's own failure tells
 // nothing of the request, as endpoints fail some that they have hardly begun.
-func (at *attempts) tellBlame(vm core.VMID, err error) {
-	if at.ro.Blame == nil {
+func (at *attempts) reportCrash(vm core.VMID, err error) {
+	if at.ro.Crashes == nil {
 		return
 	}
 	if err == nil {
-		at.ro.Blame.Succeeded(at.fingerprint)
+		at.ro.Crashes.Succeeded(at.fingerprint)
 		return
 	}
 	if re := core.AsRefusal(err, "serve", string(vm)); re.Reason == core.ReasonCrashed {
-		at.ro.Blame.Crashed(ring.Mix(decl.HashName(string(vm)), decl.HashName(re.Peer)), at.fingerprint)
+		at.ro.Crashes.Crashed(ring.Mix(decl.HashName(string(vm)), decl.HashName(re.Peer)), at.fingerprint)
 	}
 }
 
-// learn passes on what the attempt showed of the agent.
-func (at *attempts) learn(ix int, rep *core.Report, err error) {
+// applyReport passes on what the attempt showed of the agent.
+func (at *attempts) applyReport(ix int, rep *core.Report, err error) {
 	me := &at.pool.Members[ix]
 	if rep != nil {
 		me.Load.Set(rep.Load)
 		if rep.Draining || me.Suspect || me.Allowance < 1 || rep.Incarnation != me.Incarnation {
 			at.ro.Board.Post(board.Announced{VM: me.VM, Incarnation: rep.Incarnation, Draining: rep.Draining})
 		}
-		if at.ro.Heard != nil {
-			at.ro.Heard(me.VM, rep.Revision)
+		if at.ro.RevisionSeen != nil {
+			at.ro.RevisionSeen(me.VM, rep.Revision)
 		}
 		return
 	}
@@ -215,14 +215,14 @@
 }
 
 // mayRetry tells whether another attempt does no harm.
-func (at *attempts) mayRetry(re *core.Refusal, passed bool) bool {
-	if at.number >= MaxAttempts || passed || re.Reason == core.ReasonCallerGone || re.Reason == core.ReasonDeadline {
+func (at *attempts) mayRetry(re *core.Refusal, forwarded bool) bool {
+	if at.number >= MaxAttempts || forwarded || re.Reason == core.ReasonCallerGone || re.Reason == core.ReasonDeadline {
 		return false
 	}
 	if re.Outcome == core.NotRun {
 		return re.Reason != core.ReasonKVDown && re.Reason != core.ReasonKeyReused
 	}
-	if !at.rq.Call.MayRepeat || !temporary(re) {
+	if !at.rq.Call.MayRepeat || !isTransient(re) {
 		return false
 	}
 	if at.ro.Budget.TryRetry(at.rq.Call.Customer) {
@@ -234,9 +234,9 @@
 	return false
 }
 
-// temporary tells a failure that another endpoint may not have from one that the
+// isTransient tells a failure that another endpoint may not have from one that the
 // request itself brought about.
-func temporary(re *core.Refusal) bool {
+func isTransient(re *core.Refusal) bool {
 	const firstServerError = 500
 	switch re.Reason {
 	case core.ReasonEndpointError:
@@ -247,10 +247,10 @@
 	return false
 }
 
-// next picks the member for the following attempt, -1 if there is none.
-func (at *attempts) next(re *core.Refusal, ix int) int {
+// nextMember picks the member for the following attempt, -1 if there is none.
+func (at *attempts) nextMember(re *core.Refusal, ix int) int {
 	ca := &at.rq.Call
-	if at.pointed {
+	if at.claimantNamed {
 		return -1
 	}
 	if re.Reason != core.ReasonHeldElsewhere {
@@ -260,7 +260,7 @@
 	if re.Step == stepClaim && len(re.Alternatives) > 0 {
 		// The key is claimed there: only that agent knows the outcome.
 		ca.NoRedirect = true
-		at.pointed = true
+		at.claimantNamed = true
 		return at.pool.Index(re.Alternatives[0])
 	}
 	if ca.StaleHolder != "" {
@@ -289,9 +289,9 @@
 	switch {
 	case re.Outcome != core.NotRun:
 		return re
-	case at.ran != nil:
-		return at.ran
-	case !at.pointed:
+	case at.mayHaveRun != nil:
+		return at.mayHaveRun
+	case !at.claimantNamed:
 		return re
 	}
 	lost := *re
@@ -301,12 +301,12 @@
 	return &lost
 }
 
-// wait backs off before a retry of work that may have run.
-func (at *attempts) wait(ctx context.Context) bool {
+// backOff backs off before a retry of work that may have run.
+func (at *attempts) backOff(ctx context.Context) bool {
 	return at.ro.Clock.Sleep(ctx, retry.Backoff(at.number, at.ro.Rand)) == nil
 }
 
-func (ro *Router) count(re core.Reason) {
+func (ro *Router) countRetry(re core.Reason) {
 	if ro.Retried != nil {
 		ro.Retried(re)
 	}
@@ -322,34 +322,34 @@
 	return ctx.Err() != nil || (!deadline.IsZero() && !cl.Now().Before(deadline))
 }
 
-// guard passes one attempt's parts on. It drops those of another attempt: a
+// attemptSink passes one attempt's parts on. It drops those of another attempt: a
 // reply that was delayed or crossed on its way must not reach this caller.
-type guard struct {
-	sink    core.Sink
-	vm      core.VMID
-	attempt core.AttemptID
-	dropped func()
-	passed  bool
-	ended   bool
+type attemptSink struct {
+	sink      core.Sink
+	vm        core.VMID
+	attempt   core.AttemptID
+	dropped   func()
+	forwarded bool
+	ended     bool
 }
 
 // Send passes a part on.
-func (gu *guard) Send(pa *core.Part) error {
-	if pa.Attempt != gu.attempt {
-		if gu.dropped != nil {
-			gu.dropped()
+func (as *attemptSink) Send(pa *core.Part) error {
+	if pa.Attempt != as.attempt {
+		if as.dropped != nil {
+			as.dropped()
 		}
 		return nil
 	}
-	if !gu.passed {
-		gu.passed = true
-		if se, ok := gu.sink.(Served); ok {
-			se.From(gu.vm)
+	if !as.forwarded {
+		as.forwarded = true
+		if se, ok := as.sink.(ServerObserver); ok {
+			se.ServedBy(as.vm)
 		}
 	}
-	if err := gu.sink.Send(pa); err != nil {
+	if err := as.sink.Send(pa); err != nil {
 		return err
 	}
-	gu.ended = gu.ended || pa.End
+	as.ended = as.ended || pa.End
 	return nil
 }
--- a/io/front/write.go
+++ b/io/front/write.go
@@ -22,8 +22,8 @@
 	begun   bool
 }
 
-// From sets the hint that the caller brings back with the chat's next turn.
-func (wt *writer) From(vm core.VMID) { wt.wr.Header().Set(HeaderHint, hintText(vm)) }
+// ServedBy sets the hint that the caller brings back with the chat's next turn.
+func (wt *writer) ServedBy(vm core.VMID) { wt.wr.Header().Set(HeaderHint, hintText(vm)) }
 
 // Send writes a part. A caller that takes nothing for too long is given up, so
 // that it does not hold a slot of the engine.
--- a/io/node/guard.go
+++ b/io/node/guard.go
@@ -15,7 +15,7 @@
 		Peers: &guard.Fleet{Board: pr.board, Peers: pr.peers, Rand: pr.rand, Spent: pr.meter.Spend, Log: log},
 		Store: &guard.KVStore{KV: pr.kv}, Stats: pr.Stats, Log: log,
 	}
-	pr.router.Blame = pr.ledger
+	pr.router.Crashes = pr.ledger
 	pr.server.Blame = func(no *core.CrashNotice) { pr.ledger.Hear(time.Now(), "peer", *no) }
 }
 
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -219,11 +219,11 @@
 		pr.server.Register = pr.registerOperators
 		pr.router = &router.Router{
 			Clock: pr.clock, Rand: pr.rand, Board: pr.board, Peers: pr.peers, Zone: pr.Settings.Zone,
-			Budget:    &retry.Budget{Ratio: pr.Settings.RetryRatio},
-			Retried:   pr.Stats.Retry,
-			Dropped:   func() { pr.Stats.Add(stats.PartsDropped, 1) },
-			Exhausted: func() { pr.Stats.Refuse(core.ReasonRetryBudget) },
-			Heard:     pr.spreader.Heard,
+			Budget:       &retry.Budget{Ratio: pr.Settings.RetryRatio},
+			Retried:      pr.Stats.Retry,
+			Dropped:      func() { pr.Stats.Add(stats.PartsDropped, 1) },
+			Exhausted:    func() { pr.Stats.Refuse(core.ReasonRetryBudget) },
+			RevisionSeen: pr.spreader.Heard,
 		}
 		pr.buildControl()
 		pr.buildGuard()
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -218,14 +218,14 @@
 	me := fl.member(name, ix, core.RoleRouter, nil)
 	me.Router = &router.Router{
 		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Peers: port{fl.Net, me.ID}, Zone: me.VM.Zone,
-		Budget: &retry.Budget{Ratio: 0.1}, Heard: me.Spreader.Heard,
+		Budget: &retry.Budget{Ratio: 0.1}, RevisionSeen: me.Spreader.Heard,
 	}
 	store := &guard.KVStore{KV: ownKV{fl.Store, me}}
 	me.Ledger = &guard.Ledger{
 		Peers: &guard.Fleet{Board: me.Board, Peers: port{fl.Net, me.ID}, Rand: fl.Rand, Spent: me.Meter.Spend, Log: zap.NewNop()},
 		Store: store, Stats: stats.New(), Log: zap.NewNop(),
 	}
-	me.Router.Blame = me.Ledger
+	me.Router.Crashes = me.Ledger
 	me.Control = &order.Controller{
 		Lease: &order.Lease{
 			KV: ownKV{fl.Store, me}, Clock: fl.Clock, TTL: order.DefaultTTL,
