--- a/io/kvrpc/kvrpc.go
+++ b/io/kvrpc/kvrpc.go
@@ -53,9 +53,9 @@
 // Close closes the connection.
 func (cl *Client) Close() error { return cl.conn.Close() }
 
-// wrap turns the status codes of meaning back into core's errors and gives the
+// fromStatus turns the status codes of meaning back into core's errors and gives the
 // others step and peer.
-func (cl *Client) wrap(step string, err error) error {
+func (cl *Client) fromStatus(step string, err error) error {
 	switch status.Code(err) {
 	case codes.OK:
 		return nil
@@ -73,7 +73,7 @@
 func (cl *Client) Get(ctx context.Context, key string) (core.Entry, error) {
 	got, err := cl.rpc.Get(ctx, &GetCall{Key: key})
 	if err != nil {
-		return core.Entry{}, cl.wrap("get", err)
+		return core.Entry{}, cl.fromStatus("get", err)
 	}
 	return fromWire(got), nil
 }
@@ -82,7 +82,7 @@
 func (cl *Client) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
 	got, err := cl.rpc.Put(ctx, &PutCall{Key: key, Value: value, Expect: uint64(expect), Lease: uint64(le)})
 	if err != nil {
-		return 0, cl.wrap("put", err)
+		return 0, cl.fromStatus("put", err)
 	}
 	return core.Version(got.Version), nil
 }
@@ -90,14 +90,14 @@
 // Delete removes an entry.
 func (cl *Client) Delete(ctx context.Context, key string, expect core.Version) error {
 	_, err := cl.rpc.Delete(ctx, &DeleteCall{Key: key, Expect: uint64(expect)})
-	return cl.wrap("delete", err)
+	return cl.fromStatus("delete", err)
 }
 
 // List reads a range.
 func (cl *Client) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
 	got, err := cl.rpc.List(ctx, &ListCall{From: from, To: to, Limit: int32(limit)})
 	if err != nil {
-		return nil, cl.wrap("list", err)
+		return nil, cl.fromStatus("list", err)
 	}
 	found := make([]core.Entry, 0, len(got.Entries))
 	for _, en := range got.Entries {
@@ -110,7 +110,7 @@
 func (cl *Client) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
 	got, err := cl.rpc.Grant(ctx, &GrantCall{TTLMillis: ttl.Milliseconds()})
 	if err != nil {
-		return 0, cl.wrap("grant", err)
+		return 0, cl.fromStatus("grant", err)
 	}
 	return core.LeaseID(got.ID), nil
 }
@@ -118,14 +118,14 @@
 // Renew prolongs a lease.
 func (cl *Client) Renew(ctx context.Context, le core.LeaseID) error {
 	_, err := cl.rpc.Renew(ctx, &Lease{ID: uint64(le)})
-	return cl.wrap("renew", err)
+	return cl.fromStatus("renew", err)
 }
 
 // Watch waits for a newer entry.
 func (cl *Client) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
 	got, err := cl.rpc.Watch(ctx, &WatchCall{Prefix: prefix, After: uint64(after)})
 	if err != nil {
-		return core.Entry{}, cl.wrap("watch", err)
+		return core.Entry{}, cl.fromStatus("watch", err)
 	}
 	return fromWire(got), nil
 }
--- a/io/node/guard.go
+++ b/io/node/guard.go
@@ -16,7 +16,7 @@
 		Store: &guard.KVStore{KV: pr.kv}, Stats: pr.Stats, Log: log,
 	}
 	pr.router.Crashes = pr.ledger
-	pr.server.Blame = func(no *core.CrashNotice) { pr.ledger.Hear(time.Now(), "peer", *no) }
+	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.ledger.Hear(time.Now(), "peer", *no) }
 }
 
 func (pr *Process) followQuarantines(ctx context.Context) error {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -213,7 +213,7 @@
 func (pr *Process) buildRole() {
 	pr.server = &rpc.Server{
 		Listener: pr.listeners.peers, Exchange: pr.exchanged, Fetch: pr.log.Since,
-		Heard: pr.spreader.Heard, Revision: pr.log.Revision,
+		RevisionSeen: pr.spreader.Heard, Revision: pr.log.Revision,
 	}
 	if pr.Role == core.RoleRouter {
 		pr.server.Register = pr.registerOperators
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -63,8 +63,8 @@
 	}
 	pr.board.Published = pr.agent.Adopt
 	pr.server.Serve = pr.serve
-	pr.server.Place = pr.agent.ApplyPlacements
-	pr.server.Hand = pr.takeContext
+	pr.server.UpdatePlacements = pr.agent.ApplyPlacements
+	pr.server.HandOver = pr.takeContext
 }
 
 const (
@@ -127,7 +127,7 @@
 	st.Read(stats.ControlHeld, pr.meter.Refused)
 	st.Read(stats.ConfigRevision, func() int64 { return int64(pr.log.Revision()) })
 	st.Read(stats.EventsDropped, pr.board.Dropped)
-	st.Read(stats.ConnectionsOpen, func() int64 { return int64(pr.peers.Open()) })
+	st.Read(stats.ConnectionsOpen, func() int64 { return int64(pr.peers.OpenCount()) })
 	if pr.agent == nil {
 		st.Read(stats.OrdersFence, func() int64 {
 			fence, _ := pr.control.Lease.Fence()
--- a/io/rpc/client.go
+++ b/io/rpc/client.go
@@ -41,21 +41,21 @@
 )
 
 const (
-	idleAfter = 60 * time.Second
-	// keepaliveAfter finds a peer that vanished without closing its connection:
+	idleTimeout = 60 * time.Second
+	// keepaliveInterval finds a peer that vanished without closing its connection:
 	// the call would otherwise hang until its deadline.
-	keepaliveAfter   = 10 * time.Second
-	keepaliveTimeout = 3 * time.Second
-	connectTimeout   = time.Second
+	keepaliveInterval = 10 * time.Second
+	keepaliveTimeout  = 3 * time.Second
+	connectTimeout    = time.Second
 	// maxMessage is above the largest request body that a router takes.
 	maxMessage = 16 << 20
 	bufferSize = 8 << 10
 )
 
-// pauses are those between attempts to connect to a peer. Without them a router dials an
+// connectBackoff are those between attempts to connect to a peer. Without them a router dials an
 // agent that is gone some five thousand times a second. A peer that is back is found
 // within the longest; until then calls fail at once and go elsewhere.
-var pauses = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 2 * time.Second}
+var connectBackoff = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 2 * time.Second}
 
 // Client reaches peers. Set the exported fields before use.
 type Client struct {
@@ -63,22 +63,22 @@
 	Addr     func(vm core.VMID) string
 	MaxConns int
 
-	mu    sync.Mutex // guards all below
-	conns map[string]*conn
-	uses  uint64
+	mu       sync.Mutex // guards all below
+	conns    map[string]*conn
+	useCount uint64
 }
 
 var _ core.Peers = (*Client)(nil)
 
 type conn struct {
-	grpc  *grpc.ClientConn
-	addr  string
-	inUse int
-	used  uint64
+	grpc    *grpc.ClientConn
+	addr    string
+	inUse   int
+	lastUse uint64
 }
 
-// Open is the number of connections kept.
-func (cl *Client) Open() int {
+// OpenCount is the number of connections kept.
+func (cl *Client) OpenCount() int {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return len(cl.conns)
@@ -94,7 +94,7 @@
 	}
 }
 
-func (cl *Client) take(vm core.VMID) (*conn, error) {
+func (cl *Client) acquire(vm core.VMID) (*conn, error) {
 	addr := cl.Addr(vm)
 	if addr == "" {
 		return nil, oops.In("dial").With("peer", vm).Errorf("no address known")
@@ -112,22 +112,22 @@
 			cl.conns = map[string]*conn{}
 		}
 		cl.conns[addr] = co
-		cl.shrink()
+		cl.closeOldestIdle()
 	}
-	cl.uses++
-	co.used = cl.uses
+	cl.useCount++
+	co.lastUse = cl.useCount
 	co.inUse++
 	return co, nil
 }
 
-// shrink closes the unused connection that was used least lately.
-func (cl *Client) shrink() {
+// closeOldestIdle closes the unused connection that was used least lately.
+func (cl *Client) closeOldestIdle() {
 	if cl.MaxConns <= 0 || len(cl.conns) <= cl.MaxConns {
 		return
 	}
 	var oldest *conn
 	for _, co := range cl.conns {
-		if co.inUse == 0 && co.used > 0 && (oldest == nil || co.used < oldest.used) {
+		if co.inUse == 0 && co.lastUse > 0 && (oldest == nil || co.lastUse < oldest.lastUse) {
 			oldest = co
 		}
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-func (cl *Client) put(co *conn) {
+func (cl *Client) release(co *conn) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	co.inUse--
@@ -146,12 +146,12 @@
 func dial(addr string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithIdleTimeout(idleAfter),
+		grpc.WithIdleTimeout(idleTimeout),
 		grpc.WithDisableServiceConfig(),
 		// A retry inside grpc would be an attempt that nobody counts.
 		grpc.WithDisableRetry(),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveAfter, Timeout: keepaliveTimeout}),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: pauses, MinConnectTimeout: connectTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: connectBackoff, MinConnectTimeout: connectTimeout}),
 		grpc.WithReadBufferSize(bufferSize),
 		grpc.WithWriteBufferSize(bufferSize),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
@@ -160,22 +160,22 @@
 
 // Serve runs a call on an agent.
 func (cl *Client) Serve(ctx context.Context, to core.VMID, ca *core.Call, si core.Sink) (*core.Report, error) {
-	co, err := cl.take(to)
+	co, err := cl.acquire(to)
 	if err != nil {
 		return nil, unreachable(to, err)
 	}
-	defer cl.put(co)
+	defer cl.release(co)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	st, err := co.grpc.NewStream(ctx, &wire.Node_ServiceDesc.Streams[0], wire.Node_Serve_FullMethodName)
 	if err != nil {
-		return nil, notOpened(ctx, to)
+		return nil, streamNotOpened(ctx, to)
 	}
 	if err = st.SendMsg(callToWire(ca, time.Now())); err == nil {
 		err = st.CloseSend()
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		return nil, lost(ctx, to, err)
+		return nil, peerLost(ctx, to, err)
 	}
 	return receive(ctx, st, to, si)
 }
@@ -186,17 +186,17 @@
 	var pa core.Part
 	for {
 		if err := st.RecvMsg(&part); err != nil {
-			return nil, lost(ctx, to, err)
+			return nil, peerLost(ctx, to, err)
 		}
 		// The last message has the report, and the last part if the answer is whole.
-		told := part.Told != nil
-		if !told || (part.End && part.Refused == nil) {
+		last := part.Told != nil
+		if !last || (part.End && part.Refused == nil) {
 			partFromWire(&part, &pa)
 			if err := si.Send(&pa); err != nil {
 				return nil, callerGone(err)
 			}
 		}
-		if told {
+		if last {
 			return reportFromWire(part.Told), refusalFromWire(part.Refused)
 		}
 	}
@@ -208,13 +208,13 @@
 	}
 }
 
-// notOpened tells why a stream could not be opened. The request message had not
+// streamNotOpened tells why a stream could not be opened. The request message had not
 // been handed over, so the call did not run.
-func notOpened(ctx context.Context, to core.VMID) error {
+func streamNotOpened(ctx context.Context, to core.VMID) error {
 	// Callers read the detail: it names no address of the inside.
 	re := unreachable(to, errNoConnection)
 	if ctx.Err() != nil {
-		re.Reason = goneReason(ctx)
+		re.Reason = contextReason(ctx)
 	}
 	return re
 }
@@ -228,39 +228,39 @@
 	}
 }
 
-// lost tells of a call that broke off after the request was handed over: it may
+// peerLost tells of a call that broke off after the request was handed over: it may
 // have run. An Unavailable on a connection that never came up is told apart by
 // the caller having no open stream, see notOpened.
-func lost(ctx context.Context, to core.VMID, err error) error {
+func peerLost(ctx context.Context, to core.VMID, err error) error {
 	re := &core.Refusal{
 		Outcome: core.Unknown, Reason: core.ReasonPeerLost, Step: "serve", Peer: string(to), Detail: err.Error(),
 	}
 	if ctx.Err() != nil || status.Code(err) == codes.DeadlineExceeded {
-		re.Reason = goneReason(ctx)
+		re.Reason = contextReason(ctx)
 	}
 	return re
 }
 
-func goneReason(ctx context.Context) core.Reason {
+func contextReason(ctx context.Context) core.Reason {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return core.ReasonCallerGone
 	}
 	return core.ReasonDeadline
 }
 
-// node calls one of the unary methods on a peer.
-func node[A, B any](ctx context.Context, cl *Client, to core.VMID, step string, call func(wire.NodeClient) (*A, error), back func(*A) B) (B, error) {
-	var none B
-	co, err := cl.take(to)
+// callUnary calls one of the unary methods on a peer.
+func callUnary[A, B any](ctx context.Context, cl *Client, to core.VMID, step string, call func(wire.NodeClient) (*A, error), convert func(*A) B) (B, error) {
+	var zero B
+	co, err := cl.acquire(to)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
-	defer cl.put(co)
+	defer cl.release(co)
 	got, err := call(wire.NewNodeClient(co.grpc))
 	if err != nil {
-		return none, oops.In(step).With("peer", to).Wrap(err)
+		return zero, oops.In(step).With("peer", to).Wrap(err)
 	}
-	return back(got), nil
+	return convert(got), nil
 }
 
 // controlTimeout bounds a control message's exchange; inspectTimeout is longer, as
@@ -274,23 +274,23 @@
 func (cl *Client) Exchange(ctx context.Context, to core.VMID, di *core.Digest) (*core.Digest, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	return node(ctx, cl, to, "exchange", func(nc wire.NodeClient) (*wire.Digest, error) {
+	return callUnary(ctx, cl, to, "exchange", func(nc wire.NodeClient) (*wire.Digest, error) {
 		return nc.Exchange(ctx, digestToWire(di))
 	}, digestFromWire)
 }
 
 // Claim asks a keeper for a key.
 func (cl *Client) Claim(ctx context.Context, to core.VMID, ask *core.Claim) (*core.ClaimReply, error) {
-	return node(ctx, cl, to, "claim", func(nc wire.NodeClient) (*wire.ClaimReply, error) {
+	return callUnary(ctx, cl, to, "claim", func(nc wire.NodeClient) (*wire.ClaimReply, error) {
 		return nc.Claim(ctx, claimToWire(ask))
-	}, verdictFromWire)
+	}, claimReplyFromWire)
 }
 
 // Fetch asks a peer for the configuration after a revision.
 func (cl *Client) Fetch(ctx context.Context, to core.VMID, since core.Revision) (*core.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	return node(ctx, cl, to, "fetch", func(nc wire.NodeClient) (*wire.FetchReply, error) {
+	return callUnary(ctx, cl, to, "fetch", func(nc wire.NodeClient) (*wire.FetchReply, error) {
 		return nc.Fetch(ctx, &wire.FetchCall{Since: uint64(since)})
 	}, changesFromWire)
 }
@@ -299,8 +299,8 @@
 func (cl *Client) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	_, err := node(ctx, cl, to, "place", func(nc wire.NodeClient) (*wire.PlaceReply, error) {
-		return nc.Place(ctx, placesToWire(pls))
+	_, err := callUnary(ctx, cl, to, "place", func(nc wire.NodeClient) (*wire.PlaceReply, error) {
+		return nc.Place(ctx, placementsToWire(pls))
 	}, func(re *wire.PlaceReply) *wire.PlaceReply { return re })
 	return err
 }
@@ -309,19 +309,19 @@
 func (cl *Client) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	_, err := node(ctx, cl, to, "blame", func(nc wire.NodeClient) (*wire.BlameReply, error) {
-		return nc.Blame(ctx, blameToWire(time.Now(), no))
+	_, err := callUnary(ctx, cl, to, "blame", func(nc wire.NodeClient) (*wire.BlameReply, error) {
+		return nc.Blame(ctx, crashNoticeToWire(time.Now(), no))
 	}, func(re *wire.BlameReply) *wire.BlameReply { return re })
 	return err
 }
 
 // Order hands an agent an order. Without an answer it may have been taken.
 func (cl *Client) Order(ctx context.Context, to core.VMID, or *core.Order) error {
-	refused, err := node(ctx, cl, to, "order", func(nc wire.NodeClient) (*wire.OrderReply, error) {
+	refused, err := callUnary(ctx, cl, to, "order", func(nc wire.NodeClient) (*wire.OrderReply, error) {
 		return nc.Order(ctx, orderToWire(or))
 	}, func(re *wire.OrderReply) error { return refusalFromWire(re.Refused) })
 	if err != nil {
-		return lost(ctx, to, err)
+		return peerLost(ctx, to, err)
 	}
 	return refused
 }
@@ -330,7 +330,7 @@
 func (cl *Client) Inspect(ctx context.Context, to core.VMID) ([]core.EndpointState, error) {
 	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
-	return node(ctx, cl, to, "inspect", func(nc wire.NodeClient) (*wire.InspectReply, error) {
+	return callUnary(ctx, cl, to, "inspect", func(nc wire.NodeClient) (*wire.InspectReply, error) {
 		return nc.Inspect(ctx, &wire.InspectCall{})
 	}, statesFromWire)
 }
@@ -345,5 +345,5 @@
 	return connectivity.Shutdown
 }
 
-// maxBudget stands for a call without a deadline.
-const maxBudget = math.MaxInt64
+// noDeadlineBudget stands for a call without a deadline.
+const noDeadlineBudget = math.MaxInt64
--- a/io/rpc/client_test.go
+++ b/io/rpc/client_test.go
@@ -14,20 +14,20 @@
 // An agent's VM takes connections but its program is gone, or another program has its
 // port: every connection ends at once. A router that connects again without a pause
 // spends its processor on it, and floods whoever has the port.
-func TestClientPausesBetweenConnections(t *testing.T) {
+func TestClientBacksOffBetweenConnections(t *testing.T) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer li.Close()
-	var taken atomic.Int32
+	var accepted atomic.Int32
 	go func() {
 		for {
 			co, err := li.Accept()
 			if err != nil {
 				return
 			}
-			taken.Add(1)
+			accepted.Add(1)
 			_ = co.Close()
 		}
 	}()
@@ -41,8 +41,8 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	const most = 12
-	if got := taken.Load(); got < 1 || got > most {
-		t.Errorf("%d connections within a second, want 1 to %d", got, most)
+	const maxConnections = 12
+	if got := accepted.Load(); got < 1 || got > maxConnections {
+		t.Errorf("%d connections within a second, want 1 to %d", got, maxConnections)
 	}
 }
--- a/io/rpc/convert.go
+++ b/io/rpc/convert.go
@@ -11,7 +11,7 @@
 // callToWire sends the time left rather than the deadline: the two processes'
 // clocks may differ.
 func callToWire(ca *core.Call, now time.Time) *wire.Call {
-	budget := int64(maxBudget)
+	budget := int64(noDeadlineBudget)
 	if !ca.Deadline.IsZero() {
 		budget = max(0, ca.Deadline.Sub(now).Microseconds())
 	}
@@ -27,7 +27,7 @@
 
 func callFromWire(ca *wire.Call, now time.Time) *core.Call {
 	var deadline time.Time
-	if ca.BudgetMicros != maxBudget {
+	if ca.BudgetMicros != noDeadlineBudget {
 		deadline = now.Add(time.Duration(ca.BudgetMicros) * time.Microsecond)
 	}
 	return &core.Call{
@@ -123,7 +123,7 @@
 	return out
 }
 
-func blameToWire(now time.Time, no *core.CrashNotice) *wire.BlameCall {
+func crashNoticeToWire(now time.Time, no *core.CrashNotice) *wire.BlameCall {
 	out := &wire.BlameCall{Kind: uint32(no.Kind), Request: no.Request[:]}
 	for _, cr := range no.Crashes {
 		out.Endpoints = append(out.Endpoints, cr.Endpoint)
@@ -132,24 +132,24 @@
 	return out
 }
 
-var errNoNote = errors.New("this is no note of a request")
+var errBadCrashNotice = errors.New("this is no note of a request")
 
-func blameFromWire(now time.Time, in *wire.BlameCall) (*core.CrashNotice, error) {
+func crashNoticeFromWire(now time.Time, in *wire.BlameCall) (*core.CrashNotice, error) {
 	no := &core.CrashNotice{Kind: core.CrashNoticeKind(in.Kind)}
 	if len(in.Request) != len(no.Request) || in.Kind < uint32(core.NoticeSuspected) || in.Kind > uint32(core.NoticeCleared) {
-		return nil, errNoNote
+		return nil, errBadCrashNotice
 	}
 	no.Request = core.Fingerprint(in.Request)
 	for ix := range min(len(in.Endpoints), len(in.AgeMillis)) {
-		age := time.Duration(min(mostAgeMillis, max(0, in.AgeMillis[ix]))) * time.Millisecond
+		age := time.Duration(min(maxCrashAgeMillis, max(0, in.AgeMillis[ix]))) * time.Millisecond
 		no.Crashes = append(no.Crashes, core.Crash{Endpoint: in.Endpoints[ix], At: now.Add(-age)})
 	}
 	return no, nil
 }
 
-// mostAgeMillis bounds the age of a crash that is told, an hour; beyond minutes it makes no
+// maxCrashAgeMillis bounds the age of a crash that is told, an hour; beyond minutes it makes no
 // difference.
-const mostAgeMillis = 3_600_000
+const maxCrashAgeMillis = 3_600_000
 
 // digestFromWire drops columns of unequal length: no peer of this version sends
 // them.
@@ -185,13 +185,13 @@
 	return out
 }
 
-func verdictToWire(ve *core.ClaimReply) *wire.ClaimReply {
+func claimReplyToWire(ve *core.ClaimReply) *wire.ClaimReply {
 	return &wire.ClaimReply{
 		Granted: ve.Granted, VM: string(ve.Holder.VM), Incarnation: uint64(ve.Holder.Incarnation),
 	}
 }
 
-func verdictFromWire(ve *wire.ClaimReply) *core.ClaimReply {
+func claimReplyFromWire(ve *wire.ClaimReply) *core.ClaimReply {
 	return &core.ClaimReply{Granted: ve.Granted, Holder: core.Claimant{
 		VM: core.VMID(ve.VM), Incarnation: core.Incarnation(ve.Incarnation),
 	}}
@@ -205,7 +205,7 @@
 	return &core.Changes{SnapshotAt: core.Revision(ch.SnapshotAt), Snapshot: ch.Snapshot, Deltas: ch.Deltas}
 }
 
-func placesToWire(pls []core.Placement) *wire.PlaceCall {
+func placementsToWire(pls []core.Placement) *wire.PlaceCall {
 	out := &wire.PlaceCall{}
 	for _, pl := range pls {
 		out.Placements = append(out.Placements, &wire.Placement{
@@ -215,7 +215,7 @@
 	return out
 }
 
-func placesFromWire(pc *wire.PlaceCall) []core.Placement {
+func placementsFromWire(pc *wire.PlaceCall) []core.Placement {
 	pls := make([]core.Placement, 0, len(pc.Placements))
 	for _, pl := range pc.Placements {
 		pls = append(pls, core.Placement{
--- a/io/rpc/hand.go
+++ b/io/rpc/hand.go
@@ -13,31 +13,31 @@
 	"almondrill/io/wire"
 )
 
-// handChunk is the size of a message of a context.
-const handChunk = 64 << 10
+// handoverChunkSize is the size of a message of a context.
+const handoverChunkSize = 64 << 10
 
 // HandOver moves a chat's context to another agent. If it cannot be read to its end
 // the stream is broken off rather than closed, so that the other side does not
 // take a part for the whole.
 func (cl *Client) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
-	co, err := cl.take(to)
+	co, err := cl.acquire(to)
 	if err != nil {
 		return unreachable(to, err)
 	}
-	defer cl.put(co)
+	defer cl.release(co)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	st, err := wire.NewNodeClient(co.grpc).Hand(ctx)
 	if err != nil {
-		return notOpened(ctx, to)
+		return streamNotOpened(ctx, to)
 	}
-	first := &wire.HandPart{Placement: placesToWire([]core.Placement{ha.Placement}).Placements[0], Tokens: int64(ha.Tokens)}
+	first := &wire.HandPart{Placement: placementsToWire([]core.Placement{ha.Placement}).Placements[0], Tokens: int64(ha.Tokens)}
 	if err = sendContext(st, first, rd); err != nil {
-		return lost(ctx, to, err)
+		return peerLost(ctx, to, err)
 	}
 	re, err := st.CloseAndRecv()
 	if err != nil {
-		return lost(ctx, to, err)
+		return peerLost(ctx, to, err)
 	}
 	return refusalFromWire(re.Refused)
 }
@@ -45,7 +45,7 @@
 // sendContext sends until the context's end or the other side's refusal, which
 // shows as io.EOF and is then read from its reply.
 func sendContext(st grpc.ClientStreamingClient[wire.HandPart, wire.HandReply], part *wire.HandPart, rd io.Reader) error {
-	buf := make([]byte, handChunk)
+	buf := make([]byte, handoverChunkSize)
 	for {
 		if err := st.Send(part); err != nil {
 			if errors.Is(err, io.EOF) {
@@ -57,13 +57,13 @@
 		// which is also what an engine's broken connection reads as.
 		size, err := rd.Read(buf)
 		if err != nil && (size == 0 || !errors.Is(err, io.EOF)) {
-			return ended(err)
+			return ignoreEOF(err)
 		}
 		part = &wire.HandPart{Data: buf[:size]}
 	}
 }
 
-func ended(err error) error {
+func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
@@ -72,7 +72,7 @@
 
 // Hand takes a context in.
 func (ha *handler) Hand(st grpc.ClientStreamingServer[wire.HandPart, wire.HandReply]) error {
-	if ha.se.Hand == nil {
+	if ha.se.HandOver == nil {
 		return status.Error(codes.Unimplemented, "this process keeps no contexts")
 	}
 	first, err := st.Recv()
@@ -82,31 +82,31 @@
 	if first.Placement == nil {
 		return status.Error(codes.InvalidArgument, "the first part names no chat")
 	}
-	pl := placesFromWire(&wire.PlaceCall{Placements: []*wire.Placement{first.Placement}})[0]
+	pl := placementsFromWire(&wire.PlaceCall{Placements: []*wire.Placement{first.Placement}})[0]
 	re := &wire.HandReply{Revision: ha.revision()}
-	if err = ha.se.Hand(st.Context(), &core.Handover{Placement: pl, Tokens: core.Tokens(first.Tokens)}, &parts{st: st}); err != nil {
+	if err = ha.se.HandOver(st.Context(), &core.Handover{Placement: pl, Tokens: core.Tokens(first.Tokens)}, &contextReader{st: st}); err != nil {
 		re.Refused = refusalToWire(core.AsRefusal(err, "hand", ""))
 	}
 	return st.SendAndClose(re)
 }
 
-// parts reads a context from its messages. A stream that was broken off ends
+// contextReader reads a context from its messages. A stream that was broken off ends
 // with an error, never with io.EOF.
-type parts struct {
-	st   grpc.ClientStreamingServer[wire.HandPart, wire.HandReply]
-	left []byte
+type contextReader struct {
+	st     grpc.ClientStreamingServer[wire.HandPart, wire.HandReply]
+	unread []byte
 }
 
 // Read reads from the next message.
-func (pa *parts) Read(data []byte) (int, error) {
-	for len(pa.left) == 0 {
+func (pa *contextReader) Read(data []byte) (int, error) {
+	for len(pa.unread) == 0 {
 		part, err := pa.st.Recv()
 		if err != nil {
 			return 0, err
 		}
-		pa.left = part.Data
+		pa.unread = part.Data
 	}
-	n := copy(data, pa.left)
-	pa.left = pa.left[n:]
+	n := copy(data, pa.unread)
+	pa.unread = pa.unread[n:]
 	return n, nil
 }
--- a/io/rpc/server.go
+++ b/io/rpc/server.go
@@ -19,18 +19,18 @@
 // Server answers peers. A handler that is nil answers Unimplemented. Set the
 // exported fields before Start.
 type Server struct {
-	Listener net.Listener
-	Serve    func(ctx context.Context, ca *core.Call, si core.Sink) (*core.Report, error)
-	Exchange func(di *core.Digest) *core.Digest
-	Claim    func(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error)
-	Fetch    func(since core.Revision) (*core.Changes, error)
-	Place    func(pls []core.Placement)
-	Blame    func(no *core.CrashNotice)
-	Hand     func(ctx context.Context, ha *core.Handover, rd io.Reader) error
-	Order    func(ctx context.Context, or *core.Order) error
-	Inspect  func(ctx context.Context) []core.EndpointState
+	Listener         net.Listener
+	Serve            func(ctx context.Context, ca *core.Call, si core.Sink) (*core.Report, error)
+	Exchange         func(di *core.Digest) *core.Digest
+	Claim            func(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error)
+	Fetch            func(since core.Revision) (*core.Changes, error)
+	UpdatePlacements func(pls []core.Placement)
+	NotifyCrash      func(no *core.CrashNotice)
+	HandOver         func(ctx context.Context, ha *core.Handover, rd io.Reader) error
+	Order            func(ctx context.Context, or *core.Order) error
+	Inspect          func(ctx context.Context) []core.EndpointState
 	// Heard, if set, is told the revision that a peer's message carries.
-	Heard func(from core.VMID, rev core.Revision)
+	RevisionSeen func(from core.VMID, rev core.Revision)
 	// Revision is the own one, sent back with each reply.
 	Revision func() core.Revision
 	// Register, if set, adds other services to the same listener.
@@ -48,8 +48,8 @@
 		grpc.MaxRecvMsgSize(maxMessage),
 		grpc.ReadBufferSize(bufferSize),
 		grpc.WriteBufferSize(bufferSize),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveAfter / 2}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveAfter, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveInterval / 2}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 	)
 	wire.RegisterNodeServer(se.grpc, &handler{se: se})
 	if se.Register != nil {
@@ -97,7 +97,7 @@
 		ctx, cancel = context.WithDeadline(ctx, ca.Deadline)
 		defer cancel()
 	}
-	sm := &stream{st: st}
+	sm := &partStream{st: st}
 	rep, err := ha.se.Serve(ctx, ca, sm)
 	last := sm.last
 	if last == nil {
@@ -110,18 +110,18 @@
 	return st.SendMsg(last)
 }
 
-// stream is the Sink of a call. Send writes the message before it returns, so
+// partStream is the Sink of a call. Send writes the message before it returns, so
 // one message is used for all parts. The part with the end mark is held back for
 // the moment that it takes the call to return, and travels with the report: a
 // short answer is one message instead of three.
-type stream struct {
+type partStream struct {
 	st   grpc.ServerStreamingServer[wire.Part]
 	part wire.Part
 	last *wire.Part
 }
 
 // Send passes a part on.
-func (sm *stream) Send(pa *core.Part) error {
+func (sm *partStream) Send(pa *core.Part) error {
 	if pa.End {
 		sm.last = &wire.Part{}
 		partToWire(pa, sm.last)
@@ -137,7 +137,7 @@
 	if ha.se.Exchange == nil {
 		return nil, status.Error(codes.Unimplemented, "this process keeps no loads")
 	}
-	ha.heard(core.VMID(in.From), in.Revision)
+	ha.revisionSeen(core.VMID(in.From), in.Revision)
 	return digestToWire(ha.se.Exchange(digestFromWire(in))), nil
 }
 
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	return verdictToWire(ve), nil
+	return claimReplyToWire(ve), nil
 }
 
 // Fetch returns the configuration after a revision.
@@ -167,23 +167,23 @@
 
 // Place takes in placements.
 func (ha *handler) Place(_ context.Context, in *wire.PlaceCall) (*wire.PlaceReply, error) {
-	if ha.se.Place == nil {
+	if ha.se.UpdatePlacements == nil {
 		return nil, status.Error(codes.Unimplemented, "this process keeps no chats")
 	}
-	ha.se.Place(placesFromWire(in))
+	ha.se.UpdatePlacements(placementsFromWire(in))
 	return &wire.PlaceReply{Revision: ha.revision()}, nil
 }
 
 // Blame takes a note of a request that crashes endpoints.
 func (ha *handler) Blame(_ context.Context, in *wire.BlameCall) (*wire.BlameReply, error) {
-	if ha.se.Blame == nil {
+	if ha.se.NotifyCrash == nil {
 		return nil, status.Error(codes.Unimplemented, "this process sends no requests to agents")
 	}
-	no, err := blameFromWire(time.Now(), in)
+	no, err := crashNoticeFromWire(time.Now(), in)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	ha.se.Blame(no)
+	ha.se.NotifyCrash(no)
 	return &wire.BlameReply{Revision: ha.revision()}, nil
 }
 
@@ -207,9 +207,9 @@
 	return statesToWire(ha.se.Inspect(ctx), ha.revision()), nil
 }
 
-func (ha *handler) heard(from core.VMID, rev uint64) {
-	if ha.se.Heard != nil {
-		ha.se.Heard(from, core.Revision(rev))
+func (ha *handler) revisionSeen(from core.VMID, rev uint64) {
+	if ha.se.RevisionSeen != nil {
+		ha.se.RevisionSeen(from, core.Revision(rev))
 	}
 }
 
