--- a/io/node/leave.go
+++ b/io/node/leave.go
@@ -17,17 +17,17 @@
 	defer cancel()
 	ha, err := pr.agent.Shutdown(ctx, se.HandOverTimeout, se.HandOverBytes)
 	if err != nil {
-		pr.part.Warn("Work was still in progress at the end of the drain timeout.", zap.Int("Calls", pr.agent.InProgress()))
+		pr.logger.Warn("Work was still in progress at the end of the drain timeout.", zap.Int("Calls", pr.agent.InProgress()))
 	}
 	pr.Stats.Add(stats.ContextsHanded, int64(ha.Contexts))
 	pr.Stats.Add(stats.PointersHanded, int64(ha.Pointers))
-	pr.part.Info("Handed chats on.", zap.Int("Contexts", ha.Contexts), zap.Int("Refused", ha.Refused),
+	pr.logger.Info("Handed chats on.", zap.Int("Contexts", ha.Contexts), zap.Int("Refused", ha.Refused),
 		zap.Int("Pointers", ha.Pointers), zap.Int64("Bytes", int64(ha.Bytes)))
 	return nil
 }
 
-// takeContext takes a context in and counts it.
-func (pr *Process) takeContext(ctx context.Context, ha *core.Handover, rd io.Reader) error {
+// importContext takes a context in and counts it.
+func (pr *Process) importContext(ctx context.Context, ha *core.Handover, rd io.Reader) error {
 	err := pr.agent.ImportContext(ctx, ha, rd)
 	if err == nil {
 		pr.Stats.Add(stats.ContextsTaken, 1)
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -68,26 +68,26 @@
 
 	Stats *stats.Set
 
-	incarnation core.Incarnation
-	clock       clock.Wall
-	rand        *clock.Rand
-	kv          *kvrpc.Client
-	board       *board.Board
-	log         *revlog.Log
-	spreader    *spread.Spreader
-	meter       *meter.Meter
-	peers       *rpc.Client
-	server      *rpc.Server
-	router      *router.Router
-	agent       *agent.Agent
-	orders      *order.Gate       // agents only
-	control     *order.Controller // routers only
-	ledger      *guard.Ledger     // routers only
-	followers   []*back.Follower
-	app         *kratos.App
-	part        *zap.Logger
-	listeners   listeners
-	draining    atomic.Bool
+	incarnation     core.Incarnation
+	clock           clock.Wall
+	rand            *clock.Rand
+	kv              *kvrpc.Client
+	board           *board.Board
+	configLog       *revlog.Log
+	syncer          *spread.Spreader
+	controlBucket   *meter.Meter
+	peers           *rpc.Client
+	server          *rpc.Server
+	router          *router.Router
+	agent           *agent.Agent
+	orderGate       *order.Gate       // agents only
+	orderController *order.Controller // routers only
+	ledger          *guard.Ledger     // routers only
+	followers       []*back.Follower
+	app             *kratos.App
+	logger          *zap.Logger
+	listeners       listeners
+	draining        atomic.Bool
 }
 
 type listeners struct{ peers, callers, admin net.Listener }
@@ -108,10 +108,10 @@
 func (pr *Process) Board() *board.Board { return pr.board }
 
 // Revision is the configuration in force here.
-func (pr *Process) Revision() core.Revision { return pr.log.Revision() }
+func (pr *Process) Revision() core.Revision { return pr.configLog.Revision() }
 
 // ControlBytes is what the process has sent in control messages.
-func (pr *Process) ControlBytes() core.Bytes { return pr.meter.Sent() }
+func (pr *Process) ControlBytes() core.Bytes { return pr.controlBucket.Sent() }
 
 // Listen opens the addresses of the settings.
 func (pr *Process) Listen() error {
@@ -150,11 +150,11 @@
 	control, cancel := context.WithCancel(ctx)
 	defer cancel()
 	pr.startControl(control)
-	pr.part.Info("Started.", zap.String("Name", string(pr.Settings.Name)), zap.String("Peers", pr.PeersAddr()))
+	pr.logger.Info("Started.", zap.String("Name", string(pr.Settings.Name)), zap.String("Peers", pr.PeersAddr()))
 	err := pr.app.Run()
 	pr.peers.Close()
 	_ = pr.kv.Close()
-	pr.part.Info("Stopped.", zap.String("Name", string(pr.Settings.Name)))
+	pr.logger.Info("Stopped.", zap.String("Name", string(pr.Settings.Name)))
 	return err
 }
 
@@ -177,20 +177,20 @@
 	}
 	pr.rand = clock.NewRand(pr.Seed)
 	pr.incarnation = core.Incarnation(pr.rand.Uint64() | 1)
-	pr.part = pr.Logs.Part(string(pr.Role))
+	pr.logger = pr.Logs.Part(string(pr.Role))
 	var err error
 	if pr.kv, err = kvrpc.Dial(se.KVAddr); err != nil {
 		return err
 	}
-	pr.meter = &meter.Meter{Clock: pr.clock, PerSecond: se.ControlBytesPerSecond}
-	pr.board = &board.Board{Clock: pr.clock, Rand: pr.rand, Self: pr.self(), Reverted: pr.reverted}
+	pr.controlBucket = &meter.Meter{Clock: pr.clock, PerSecond: se.ControlBytesPerSecond}
+	pr.board = &board.Board{Clock: pr.clock, Rand: pr.rand, Self: pr.self(), Reverted: pr.olderConfigRefused}
 	pr.board.Init()
 	pr.peers = &rpc.Client{MaxConns: se.MaxConnections, Addr: func(vm core.VMID) string {
 		return pr.board.Snapshot().Addrs[vm]
 	}}
 	pr.buildConfig()
 	pr.buildRole()
-	pr.readStats()
+	pr.registerStats()
 	pr.buildApp()
 	return nil
 }
@@ -202,18 +202,18 @@
 
 // buildConfig makes what brings the accepted configuration here.
 func (pr *Process) buildConfig() {
-	pr.log = &revlog.Log{KV: pr.kv, Clock: pr.clock, Rand: pr.rand, Adopt: pr.adopted, Behind: pr.behind}
-	pr.spreader = &spread.Spreader{
-		Log: pr.log, Board: pr.board, Peers: pr.peers, Clock: pr.clock, Rand: pr.rand,
-		Digest: pr.digest, Sending: pr.meter.Allow, Failed: pr.failed("Polling the configuration failed."),
+	pr.configLog = &revlog.Log{KV: pr.kv, Clock: pr.clock, Rand: pr.rand, Adopt: pr.configAdopted, Behind: pr.storeBehind}
+	pr.syncer = &spread.Spreader{
+		Log: pr.configLog, Board: pr.board, Peers: pr.peers, Clock: pr.clock, Rand: pr.rand,
+		Digest: pr.digest, Sending: pr.controlBucket.Allow, Failed: pr.logFailure("Polling the configuration failed."),
 	}
-	pr.spreader.Init()
+	pr.syncer.Init()
 }
 
 func (pr *Process) buildRole() {
 	pr.server = &rpc.Server{
-		Listener: pr.listeners.peers, Exchange: pr.exchanged, Fetch: pr.log.Since,
-		RevisionSeen: pr.spreader.Heard, Revision: pr.log.Revision,
+		Listener: pr.listeners.peers, Exchange: pr.answerDigest, Fetch: pr.configLog.Since,
+		RevisionSeen: pr.syncer.Heard, Revision: pr.configLog.Revision,
 	}
 	if pr.Role == core.RoleRouter {
 		pr.server.Register = pr.registerOperators
@@ -223,36 +223,36 @@
 			Retried:      pr.Stats.Retry,
 			Dropped:      func() { pr.Stats.Add(stats.PartsDropped, 1) },
 			Exhausted:    func() { pr.Stats.Refuse(core.ReasonRetryBudget) },
-			RevisionSeen: pr.spreader.Heard,
+			RevisionSeen: pr.syncer.Heard,
 		}
-		pr.buildControl()
-		pr.buildGuard()
+		pr.buildOrderController()
+		pr.buildQuarantine()
 		return
 	}
 	pr.buildAgent()
 }
 
-// adopted hands a new configuration to the board.
-func (pr *Process) adopted(cfg *decl.Config) {
-	pr.part.Info("Adopted a configuration.", zap.Uint64("Revision", uint64(cfg.Revision)))
+// configAdopted hands a new configuration to the board.
+func (pr *Process) configAdopted(cfg *decl.Config) {
+	pr.logger.Info("Adopted a configuration.", zap.Uint64("Revision", uint64(cfg.Revision)))
 	// The board's goroutine always takes events, so this does not wait long.
 	_ = pr.board.Deliver(context.Background(), board.Adopted{Config: cfg})
-	pr.spreader.Adopted()
+	pr.syncer.Adopted()
 }
 
-func (pr *Process) reverted(offered, inForce core.Revision) {
+func (pr *Process) olderConfigRefused(offered, inForce core.Revision) {
 	pr.Stats.Add(stats.ConfigReverted, 1)
-	pr.part.Warn("Refused an older configuration.",
+	pr.logger.Warn("Refused an older configuration.",
 		zap.Uint64("Offered", uint64(offered)), zap.Uint64("InForce", uint64(inForce)))
 }
 
-func (pr *Process) behind(own core.Revision) {
+func (pr *Process) storeBehind(own core.Revision) {
 	pr.Stats.Add(stats.ConfigReverted, 1)
-	pr.part.Warn("The KV holds older configuration than is in force.", zap.Uint64("InForce", uint64(own)))
+	pr.logger.Warn("The KV holds older configuration than is in force.", zap.Uint64("InForce", uint64(own)))
 }
 
-func (pr *Process) failed(what string) func(err error) {
-	return func(err error) { pr.part.Warn(what, logs.Fields(err)...) }
+func (pr *Process) logFailure(message string) func(err error) {
+	return func(err error) { pr.logger.Warn(message, logs.Fields(err)...) }
 }
 
 // digest tells the own state.
@@ -261,17 +261,17 @@
 		return pr.agent.Digest(agent.MaxEntries)
 	}
 	return &core.Digest{
-		From: pr.Settings.Name, Incarnation: pr.incarnation, Draining: pr.draining.Load(), Revision: pr.log.Revision(),
+		From: pr.Settings.Name, Incarnation: pr.incarnation, Draining: pr.draining.Load(), Revision: pr.configLog.Revision(),
 	}
 }
 
-// exchanged answers a peer's digest.
-func (pr *Process) exchanged(di *core.Digest) *core.Digest {
+// answerDigest answers a peer's digest.
+func (pr *Process) answerDigest(di *core.Digest) *core.Digest {
 	own := pr.digest()
 	if len(di.Loads) == 0 {
 		own.Loads = nil
 	}
-	pr.meter.Spend(agent.DigestSize(own))
+	pr.controlBucket.Spend(agent.DigestSize(own))
 	if pr.agent != nil {
 		pr.agent.ApplyDigest(di)
 	} else {
@@ -283,13 +283,13 @@
 func (pr *Process) startControl(ctx context.Context) {
 	lister := &board.Lister{
 		Board: pr.board, List: &vmnet.Client{Addr: pr.Settings.VMsAddr},
-		Leaving: pr.listedLeaving, Failed: pr.failed("Reading the VM list failed."),
+		Leaving: pr.listedDraining, Failed: pr.logFailure("Reading the VM list failed."),
 	}
-	loops := []func(context.Context) error{pr.board.Run, lister.Run, pr.spreader.Run}
+	loops := []func(context.Context) error{pr.board.Run, lister.Run, pr.syncer.Run}
 	if pr.agent != nil {
 		loops = append(loops, pr.agent.Run)
 	} else {
-		loops = append(loops, pr.control.Run, pr.ledger.Run, pr.followQuarantines)
+		loops = append(loops, pr.orderController.Run, pr.ledger.Run, pr.watchQuarantines)
 	}
 	for _, fo := range pr.followers {
 		loops = append(loops, fo.Run)
@@ -299,10 +299,10 @@
 	}
 }
 
-// listedLeaving stops taking work as soon as the list says that the VM leaves;
+// listedDraining stops taking work as soon as the list says that the VM leaves;
 // the platform will end the process in its own time.
-func (pr *Process) listedLeaving() {
-	pr.part.Info("The list marks this VM as leaving.")
+func (pr *Process) listedDraining() {
+	pr.logger.Info("The list marks this VM as leaving.")
 	pr.draining.Store(true)
 	if pr.agent != nil {
 		pr.agent.StopAccepting()
@@ -339,7 +339,7 @@
 
 // beforeStop makes sure that no new work comes before anything is closed.
 func (pr *Process) beforeStop(context.Context) error {
-	pr.part.Info("Leaving.", zap.String("Name", string(pr.Settings.Name)))
+	pr.logger.Info("Leaving.", zap.String("Name", string(pr.Settings.Name)))
 	pr.draining.Store(true)
 	if pr.agent == nil {
 		// The balancer needs a moment to see /readyz and send callers elsewhere.
@@ -362,13 +362,13 @@
 	srv.HandlePrefix("/", handler)
 	srv.ReadHeaderTimeout = pr.Settings.BodyTimeout
 	srv.MaxHeaderBytes = maxHeaderBytes
-	srv.IdleTimeout = callerIdle
+	srv.IdleTimeout = callerIdleTimeout
 	return srv
 }
 
 const (
-	maxHeaderBytes = 32 << 10
-	callerIdle     = 2 * time.Minute
+	maxHeaderBytes    = 32 << 10
+	callerIdleTimeout = 2 * time.Minute
 )
 
 func (pr *Process) adminServer() transport.Server {
@@ -388,7 +388,7 @@
 	switch {
 	case pr.draining.Load():
 		http.Error(wr, "draining", http.StatusServiceUnavailable)
-	case pr.log.Revision() == 0:
+	case pr.configLog.Revision() == 0:
 		http.Error(wr, "no configuration yet", http.StatusServiceUnavailable)
 	default:
 		fmt.Fprintln(wr, "ready")
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -9,56 +9,56 @@
 	"almondrill/io/stats"
 )
 
-// buildControl makes the part of a router that gives orders to engines.
-func (pr *Process) buildControl() {
-	out := pr.Logs.Part("orders")
-	pr.control = &order.Controller{
+// buildOrderController makes the part of a router that gives orders to engines.
+func (pr *Process) buildOrderController() {
+	logger := pr.Logs.Part("orders")
+	pr.orderController = &order.Controller{
 		Lease: &order.Lease{
 			KV: pr.kv, Clock: pr.clock, TTL: order.DefaultTTL,
 			Self: core.Claimant{VM: pr.Settings.Name, Incarnation: pr.incarnation},
 		},
-		Board: pr.board, Peers: pr.peers, Clock: pr.clock, Rand: pr.rand, Sending: pr.meter.Allow,
+		Board: pr.board, Peers: pr.peers, Clock: pr.clock, Rand: pr.rand, Sending: pr.controlBucket.Allow,
 		Held: func(fence core.Fence) {
-			out.Info("This process gives the orders now.", zap.Uint64("Fence", uint64(fence)))
+			logger.Info("This process gives the orders now.", zap.Uint64("Fence", uint64(fence)))
 		},
 		GivenUp: func(po core.PoolID, or core.Order, failures int) {
 			pr.Stats.Add(stats.OrdersGivenUp, 1)
-			out.Error("An order failed on several engines; no further one gets it for now.", zap.String("Pool", string(po)),
+			logger.Error("An order failed on several engines; no further one gets it for now.", zap.String("Pool", string(po)),
 				zap.String("Kind", string(or.Kind)), zap.String("Name", or.Name), zap.String("Version", or.Version), zap.Int("Failures", failures))
 		},
 		Issued: func(gi order.Given) {
 			pr.Stats.Add(stats.OrdersGiven, 1)
-			out.Info("An order was given.", orderFields(&gi.Order, gi.VM)...)
+			logger.Info("An order was given.", orderFields(&gi.Order, gi.VM)...)
 		},
 		Refused: func(gi order.Given, re *core.Refusal) {
 			pr.Stats.Refuse(re.Reason)
-			out.Warn("An order was not taken.", append(orderFields(&gi.Order, gi.VM), zap.Error(re))...)
+			logger.Warn("An order was not taken.", append(orderFields(&gi.Order, gi.VM), zap.Error(re))...)
 		},
 	}
 }
 
-// buildOrders makes the part of an agent that takes orders.
-func (pr *Process) buildOrders(endpoints []*back.Endpoint) {
-	out := pr.Logs.Part("orders")
-	pr.orders = &order.Gate{KV: pr.kv, Clock: pr.clock, Self: pr.Settings.Name}
-	pr.orders.Ended = func(or *core.Order, re *core.Refusal) {
+// buildOrderGate makes the part of an agent that takes orders.
+func (pr *Process) buildOrderGate(endpoints []*back.Endpoint) {
+	logger := pr.Logs.Part("orders")
+	pr.orderGate = &order.Gate{KV: pr.kv, Clock: pr.clock, Self: pr.Settings.Name}
+	pr.orderGate.Ended = func(or *core.Order, re *core.Refusal) {
 		if re == nil {
 			pr.Stats.Add(stats.OrdersDone, 1)
-			out.Info("An order was carried out.", orderFields(or, pr.Settings.Name)...)
+			logger.Info("An order was carried out.", orderFields(or, pr.Settings.Name)...)
 			return
 		}
 		pr.Stats.Refuse(re.Reason)
-		out.Warn("An order was not carried out.", append(orderFields(or, pr.Settings.Name), zap.Error(re))...)
+		logger.Warn("An order was not carried out.", append(orderFields(or, pr.Settings.Name), zap.Error(re))...)
 	}
 	for ix, sl := range pr.agent.Slots {
 		se := &order.Seat{ID: sl.ID, Pool: sl.Pool, Hold: sl.Pause, Release: sl.Resume}
 		if endpoints[ix].Engine {
 			se.Engine = endpoints[ix]
 		}
-		pr.orders.Seats = append(pr.orders.Seats, se)
+		pr.orderGate.Seats = append(pr.orderGate.Seats, se)
 	}
-	pr.server.Order = pr.orders.Order
-	pr.server.Inspect = pr.orders.States
+	pr.server.Order = pr.orderGate.Order
+	pr.server.Inspect = pr.orderGate.States
 }
 
 func orderFields(or *core.Order, vm core.VMID) []zap.Field {
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -22,7 +22,7 @@
 func (pr *Process) callersServer() transport.Server {
 	se := pr.Settings
 	fr := &front.Front{
-		Board: pr.board, Router: pr.router, Stats: pr.Stats, Log: pr.part,
+		Board: pr.board, Router: pr.router, Stats: pr.Stats, Log: pr.logger,
 		MaxBody: se.MaxBodyBytes, BodyTimeout: se.BodyTimeout, WriteTimeout: se.WriteTimeout,
 		DefaultDeadline: se.DefaultDeadline,
 	}
@@ -32,7 +32,7 @@
 // registerOperators adds the operators' calls to a router's listener for peers.
 func (pr *Process) registerOperators(sr grpc.ServiceRegistrar) {
 	oper.Register(sr, &oper.Server{
-		Log: pr.log, Board: pr.board, Peers: pr.peers, Operators: pr.Settings.Operators,
+		Log: pr.configLog, Board: pr.board, Peers: pr.peers, Operators: pr.Settings.Operators,
 		Digest: pr.digest, Out: pr.Logs.Part("operators"), Clock: pr.clock,
 	})
 }
@@ -43,7 +43,7 @@
 	pr.agent = &agent.Agent{
 		Clock: pr.clock, Rand: pr.rand, Board: pr.board, Self: se.Name, Incarnation: pr.incarnation,
 		Book:  &ctxdir.Directory{Clock: pr.clock, MaxCached: se.MaxChats, MaxPointers: se.MaxChats, TTL: se.KeepChats},
-		Peers: pr.peers, AllowSend: pr.meter.Allow, RevisionSeen: pr.spreader.Heard,
+		Peers: pr.peers, AllowSend: pr.controlBucket.Allow, RevisionSeen: pr.syncer.Heard,
 	}
 	var endpoints []*back.Endpoint
 	for _, ep := range se.Endpoints {
@@ -52,28 +52,28 @@
 	}
 	pr.agent.Keys = pr.buildClaims()
 	pr.agent.Init()
-	pr.buildOrders(endpoints)
+	pr.buildOrderGate(endpoints)
 	for ix, ep := range endpoints {
 		if ep.Engine {
 			pr.followers = append(pr.followers, &back.Follower{
 				Endpoint: ep, Clock: pr.clock, Book: pr.agent.Book, Gate: pr.agent.Slots[ix].Gate(),
-				Failed: pr.failed("Following an engine failed."),
+				Failed: pr.logFailure("Following an engine failed."),
 			})
 		}
 	}
 	pr.board.Published = pr.agent.Adopt
 	pr.server.Serve = pr.serve
 	pr.server.UpdatePlacements = pr.agent.ApplyPlacements
-	pr.server.HandOver = pr.takeContext
+	pr.server.HandOver = pr.importContext
 }
 
 const (
-	// kvWritesPerSecond is the part of the KV's writes that claims may take.
-	kvWritesPerSecond = 300
-	// mostAnswers bounds the answers an agent keeps for replay.
-	mostAnswers core.Bytes = 8 << 20
-	// claimWithin bounds the wait for a claim.
-	claimWithin = 3 * time.Second
+	// claimWritesPerSecond is the part of the KV's writes that claims may take.
+	claimWritesPerSecond = 300
+	// maxReplayBytes bounds the answers an agent keeps for replay.
+	maxReplayBytes core.Bytes = 8 << 20
+	// claimTimeout bounds the wait for a claim.
+	claimTimeout = 3 * time.Second
 )
 
 // buildClaims makes the agent's table of keys and its keeper of claim shards.
@@ -82,12 +82,12 @@
 	self := core.Claimant{VM: se.Name, Incarnation: pr.incarnation}
 	keeper := &claim.Keeper{
 		KV: pr.kv, Clock: pr.clock, Rand: pr.rand, Shards: se.ClaimShards, Window: se.KeyWindow,
-		Pace: time.Second * time.Duration(se.ClaimShards) / kvWritesPerSecond,
+		Pace: time.Second * time.Duration(se.ClaimShards) / claimWritesPerSecond,
 	}
 	asker := &claim.Asker{Board: pr.board, Peers: pr.peers, Clock: pr.clock, Keeper: keeper, Self: self}
 	pr.server.Claim = keeper.Claim
 	return &claim.Keys{
-		Clock: pr.clock, Self: self, Window: se.KeyWindow, MaxBytes: mostAnswers, Within: claimWithin,
+		Clock: pr.clock, Self: self, Window: se.KeyWindow, MaxBytes: maxReplayBytes, Within: claimTimeout,
 		Ask: asker.Ask, Alive: asker.Alive,
 		Replayed: func() { pr.Stats.Add(stats.Replays, 1) },
 	}
@@ -120,17 +120,17 @@
 	return rep, re
 }
 
-// readStats lets counters read what the parts keep themselves.
-func (pr *Process) readStats() {
+// registerStats lets counters read what the parts keep themselves.
+func (pr *Process) registerStats() {
 	st := pr.Stats
-	st.Read(stats.ControlBytes, func() int64 { return int64(pr.meter.Sent()) })
-	st.Read(stats.ControlHeld, pr.meter.Refused)
-	st.Read(stats.ConfigRevision, func() int64 { return int64(pr.log.Revision()) })
+	st.Read(stats.ControlBytes, func() int64 { return int64(pr.controlBucket.Sent()) })
+	st.Read(stats.ControlHeld, pr.controlBucket.Refused)
+	st.Read(stats.ConfigRevision, func() int64 { return int64(pr.configLog.Revision()) })
 	st.Read(stats.EventsDropped, pr.board.Dropped)
 	st.Read(stats.ConnectionsOpen, func() int64 { return int64(pr.peers.OpenCount()) })
 	if pr.agent == nil {
 		st.Read(stats.OrdersFence, func() int64 {
-			fence, _ := pr.control.Lease.Fence()
+			fence, _ := pr.orderController.Lease.Fence()
 			return int64(fence)
 		})
 		return
