--- a/core/trial/config_test.go
+++ b/core/trial/config_test.go
@@ -12,8 +12,8 @@
 	"almondrill/io/stand/kvsrv"
 )
 
-// change has one more customer accepted through a member.
-func (st *stage) change(me *inmem.Member, name string) core.Revision {
+// commitCustomer has one more customer accepted through a member.
+func (st *harness) commitCustomer(me *inmem.Member, name string) core.Revision {
 	st.t.Helper()
 	doc, rev := me.Log.Document()
 	next := decl.Apply(doc, &decl.Delta{Set: decl.Document{Customers: []decl.Customer{{Name: core.CustomerID(name)}}}})
@@ -24,7 +24,7 @@
 	return rev
 }
 
-func (st *stage) allAt(rev core.Revision) bool {
+func (st *harness) allHaveRevision(rev core.Revision) bool {
 	for _, me := range st.fl.All() {
 		if me.Log.Revision() < rev {
 			return false
@@ -33,8 +33,8 @@
 	return true
 }
 
-// neverBack checks the order in which every process adopted revisions.
-func (st *stage) neverBack() {
+// checkRevisionsIncrease checks the order in which every process adopted revisions.
+func (st *harness) checkRevisionsIncrease() {
 	st.t.Helper()
 	for _, me := range st.fl.All() {
 		adopted := me.Adopted()
@@ -48,55 +48,55 @@
 
 // An operator is told "accepted", and the KV goes down in the same moment. Within
 // nine seconds the change is in force on every process all the same.
-func TestAcceptedChangeOutlivesTheKV(t *testing.T) {
-	onStage(t, 11, func(st *stage) {
+func TestAcceptedChangeSpreadsDuringKVOutage(t *testing.T) {
+	runHarness(t, 11, func(st *harness) {
 		for n := range 10 {
 			st.fl.Store.SetFaults(kvsrv.Faults{})
 			me := st.fl.RouterAt(n % 3)
-			rev := st.change(me, fmt.Sprint("customer-", n))
+			rev := st.commitCustomer(me, fmt.Sprint("customer-", n))
 			st.fl.Store.SetFaults(kvsrv.Faults{Down: true})
 			time.Sleep(9 * time.Second)
-			if !st.allAt(rev) {
+			if !st.allHaveRevision(rev) {
 				t.Errorf("revision %d is not in force everywhere", rev)
 			}
 		}
-		st.neverBack()
+		st.checkRevisionsIncrease()
 	})
 }
 
 // The KV is down for long while VMs are replaced. A new agent and a new router
 // take the configuration from their peers and serve; nobody goes back when the KV
 // returns.
-func TestStartDuringOutageTakesFromPeers(t *testing.T) {
-	onStage(t, 12, func(st *stage) {
-		rev := st.change(st.fl.RouterAt(0), "before")
+func TestStartDuringKVOutageFetchesFromPeers(t *testing.T) {
+	runHarness(t, 12, func(st *harness) {
+		rev := st.commitCustomer(st.fl.RouterAt(0), "before")
 		time.Sleep(3 * time.Second)
 		st.fl.Store.SetFaults(kvsrv.Faults{Down: true})
 		time.Sleep(10 * time.Minute)
 		st.fl.AddAgent("replacement", 0)
 		fresh := st.fl.AddRouter("router-new", 0)
 		time.Sleep(15 * time.Second)
-		if !st.allAt(rev) {
+		if !st.allHaveRevision(rev) {
 			t.Errorf("not all have revision %d", rev)
 		}
-		if te, re := st.ask(3, "hello", "", true); re != nil || te.String() != "hello" || fresh.Log.Revision() != rev {
+		if te, re := st.send(3, "hello", "", true); re != nil || te.String() != "hello" || fresh.Log.Revision() != rev {
 			t.Errorf("through the new router: %v", re)
 		}
 		st.fl.Store.SetFaults(kvsrv.Faults{})
 		time.Sleep(time.Minute)
-		st.neverBack()
+		st.checkRevisionsIncrease()
 	})
 }
 
 // The KV answers reads from an old copy for a while. No process goes back, and a
 // change that would build on the old content is not accepted.
-func TestOldReadsRevertNothing(t *testing.T) {
-	onStage(t, 13, func(st *stage) {
+func TestStaleReadsDoNotRevertConfig(t *testing.T) {
+	runHarness(t, 13, func(st *harness) {
 		me := st.fl.RouterAt(0)
 		st.fl.Store.SetFaults(kvsrv.Faults{OldReads: true})
-		rev := st.change(me, "new")
+		rev := st.commitCustomer(me, "new")
 		time.Sleep(20 * time.Second)
-		if !st.allAt(rev) {
+		if !st.allHaveRevision(rev) {
 			t.Error("the change did not spread past the old reads")
 		}
 		doc, _ := me.Log.Document()
@@ -104,16 +104,16 @@
 			t.Error("a change was accepted over old reads")
 		}
 		st.fl.Store.SetFaults(kvsrv.Faults{})
-		st.change(me, "after")
+		st.commitCustomer(me, "after")
 		time.Sleep(10 * time.Second)
-		st.neverBack()
+		st.checkRevisionsIncrease()
 	})
 }
 
 // A router hears nothing for a minute, cut off from everybody and the KV's
 // changes unread. When it is back it takes up all it missed, in order.
-func TestCutOffRouterCatchesUp(t *testing.T) {
-	onStage(t, 14, func(st *stage) {
+func TestPartitionedRouterCatchesUp(t *testing.T) {
+	runHarness(t, 14, func(st *harness) {
 		lost := st.fl.RouterAt(2)
 		lost.KVCut.Store(true)
 		for _, me := range st.fl.All() {
@@ -121,7 +121,7 @@
 		}
 		var rev core.Revision
 		for n := range 5 {
-			rev = st.change(st.fl.RouterAt(0), fmt.Sprint("customer-", n))
+			rev = st.commitCustomer(st.fl.RouterAt(0), fmt.Sprint("customer-", n))
 			time.Sleep(12 * time.Second)
 		}
 		if lost.Log.Revision() == rev {
@@ -131,9 +131,9 @@
 			st.fl.Net.Cut(lost.ID, me.ID, false)
 		}
 		time.Sleep(9 * time.Second)
-		if !st.allAt(rev) {
+		if !st.allHaveRevision(rev) {
 			t.Errorf("it has revision %d of %d", lost.Log.Revision(), rev)
 		}
-		st.neverBack()
+		st.checkRevisionsIncrease()
 	})
 }
--- a/core/trial/control_test.go
+++ b/core/trial/control_test.go
@@ -21,7 +21,7 @@
 	return &inmem.Fleet{
 		Seed: 5, Routers: nodes / 6, Agents: nodes - nodes/6, Pool: poolID,
 		Document: document(decl.Limits{}, 0, customers...),
-		Engine:   func(int) *inmem.Engine { return large.engine() },
+		Engine:   func(int) *inmem.Engine { return largeProfile.engine() },
 	}
 }
 
@@ -38,9 +38,9 @@
 					if err := fl.Start(ctx); err != nil {
 						t.Fatal(err)
 					}
-					before, start := sent(fl), time.Now()
+					before, start := controlBytesSent(fl), time.Now()
 					time.Sleep(20 * time.Second)
-					agents := sent(fl) - before
+					agents := controlBytesSent(fl) - before
 					b.ReportMetric(float64(agents)/time.Since(start).Seconds()/float64(len(fl.All())), "B/s/node")
 				})
 			}
@@ -48,7 +48,7 @@
 	}
 }
 
-func sent(fl *inmem.Fleet) core.Bytes {
+func controlBytesSent(fl *inmem.Fleet) core.Bytes {
 	var sum core.Bytes
 	for _, me := range fl.All() {
 		sum += me.Meter.Sent()
@@ -98,12 +98,12 @@
 			t.Fatal(err)
 		}
 		fl.Store.SetFaults(kvsrv.Faults{Down: lost})
-		times = append(times, awaitEverywhere(t, fl, rev)...)
+		times = append(times, awaitRevision(t, fl, rev)...)
 	}
 	return times
 }
 
-func awaitEverywhere(t *testing.T, fl *inmem.Fleet, rev core.Revision) []float64 {
+func awaitRevision(t *testing.T, fl *inmem.Fleet, rev core.Revision) []float64 {
 	start := time.Now()
 	var times []float64
 	done := map[core.VMID]bool{}
@@ -176,7 +176,7 @@
 func BenchmarkSnapshotStart(b *testing.B) {
 	doc := document(decl.Limits{}, 0, manyCustomers(1600)...)
 	ctx := context.Background()
-	store := &kvsrv.Store{Clock: large.engine().Clock}
+	store := &kvsrv.Store{Clock: largeProfile.engine().Clock}
 	peer := &revlog.Log{KV: store, Clock: store.Clock}
 	if _, err := peer.Commit(ctx, 0, doc, revlog.Meta{ID: "x"}); err != nil {
 		b.Fatal(err)
--- a/core/trial/failure_test.go
+++ b/core/trial/failure_test.go
@@ -13,7 +13,7 @@
 	"almondrill/io/stand/kvsrv"
 )
 
-func (st *stage) ran() int {
+func (st *harness) executions() int {
 	sum := 0
 	for _, me := range st.fl.All() {
 		for _, en := range me.Engines {
@@ -26,32 +26,32 @@
 // A VM is about to be replaced. Its own process sees the mark at once, half of
 // the routers only 5 s later. They go on sending; the agent refuses, and callers
 // are served by others. From 3 s on nothing new runs there, though lists lag.
-func TestLeavingAgentGetsNothingNew(t *testing.T) {
-	onStage(t, 1, func(st *stage) {
-		leaver := st.fl.LiveAgents()[0]
+func TestDrainingAgentGetsNoNewCalls(t *testing.T) {
+	runHarness(t, 1, func(st *harness) {
+		draining := st.fl.LiveAgents()[0]
 		var all sync.WaitGroup
-		all.Go(func() { st.callers(6, 20*time.Second) })
+		all.Go(func() { st.runCallers(6, 20*time.Second) })
 		time.Sleep(5 * time.Second)
-		st.fl.SetState(leaver, core.VMDraining)
+		st.fl.SetState(draining, core.VMDraining)
 		time.Sleep(3 * time.Second)
-		before := leaver.Engines[0].Ran()
+		before := draining.Engines[0].Ran()
 		all.Wait()
-		if after := leaver.Engines[0].Ran(); before == 0 || after != before {
+		if after := draining.Engines[0].Ran(); before == 0 || after != before {
 			t.Errorf("%d calls ran by 3 s after the mark, %d in the end", before, after)
 		}
 		if st.counts[core.NotRun]+st.counts[core.Unknown]+st.counts[core.Failed] > 0 {
 			t.Errorf("callers noticed: %v", st.counts)
 		}
-		st.check("leaving")
+		st.checkAudit("leaving")
 	})
 }
 
 // An agent is shut down in the middle of answers. It takes nothing new, and every
 // answer that it has begun ends whole.
-func TestDrainCutsNothingOff(t *testing.T) {
-	onStage(t, 2, func(st *stage) {
+func TestDrainCompletesResponses(t *testing.T) {
+	runHarness(t, 2, func(st *harness) {
 		var all sync.WaitGroup
-		all.Go(func() { st.callers(12, 10*time.Second) })
+		all.Go(func() { st.runCallers(12, 10*time.Second) })
 		time.Sleep(4 * time.Second)
 		for _, me := range st.fl.LiveAgents()[:2] {
 			if me.Agent.InProgress() == 0 {
@@ -66,28 +66,28 @@
 		if st.counts[core.Unknown]+st.counts[core.Failed]+st.counts[core.NotRun] > 0 {
 			t.Errorf("cut off: %v", st.counts)
 		}
-		st.check("drain")
+		st.checkAudit("drain")
 	})
 }
 
 // The KV is down when a draft comes. The editor is told "not run" with the reason
 // within four seconds, and it has not run; chats go on as if nothing were.
-func TestDraftDuringOutageIsNotRun(t *testing.T) {
-	onStage(t, 3, func(st *stage) {
+func TestKeyedRequestDuringKVOutageIsNotRun(t *testing.T) {
+	runHarness(t, 3, func(st *harness) {
 		st.fl.Store.SetFaults(kvsrv.Faults{Down: true})
 		start := time.Now()
-		_, re := st.ask(0, "draft", "key", false)
+		_, re := st.send(0, "draft", "key", false)
 		if re == nil || re.Outcome != core.NotRun || re.Reason != core.ReasonKVDown {
 			t.Fatalf("%v", re)
 		}
-		if took := time.Since(start); took > 4*time.Second || re.RetryAfter == 0 || st.ran() != 0 {
-			t.Errorf("told after %s, retry after %s, %d ran", took, re.RetryAfter, st.ran())
+		if took := time.Since(start); took > 4*time.Second || re.RetryAfter == 0 || st.executions() != 0 {
+			t.Errorf("told after %s, retry after %s, %d ran", took, re.RetryAfter, st.executions())
 		}
-		if te, re := st.ask(0, "chat", "", true); re != nil || te.String() != "chat" {
+		if te, re := st.send(0, "chat", "", true); re != nil || te.String() != "chat" {
 			t.Errorf("%v", re)
 		}
 		st.fl.Store.SetFaults(kvsrv.Faults{})
-		if te, re := st.ask(1, "draft", "key", false); re != nil || te.String() != "draft" {
+		if te, re := st.send(1, "draft", "key", false); re != nil || te.String() != "draft" {
 			t.Errorf("after the outage: %v", re)
 		}
 	})
@@ -96,11 +96,11 @@
 // The agent that runs a marshal's flag dies in the middle. The marshal's device
 // asks again through another router. Nobody can know whether the flag was set, so
 // the answer is "unknown" and never a second run.
-func TestClaimOutlivesItsClaimant(t *testing.T) {
-	onStage(t, 4, func(st *stage) {
+func TestClaimSurvivesClaimantCrash(t *testing.T) {
+	runHarness(t, 4, func(st *harness) {
 		var asked sync.WaitGroup
 		asked.Go(func() {
-			if _, re := st.ask(0, "flag", "key", false); re == nil || re.Outcome != core.Unknown {
+			if _, re := st.send(0, "flag", "key", false); re == nil || re.Outcome != core.Unknown {
 				t.Errorf("first: %v", re)
 			}
 		})
@@ -112,33 +112,33 @@
 		}
 		asked.Wait()
 		for from := range 3 {
-			if _, re := st.ask(from, "flag", "key", false); re == nil || re.Outcome != core.Unknown {
+			if _, re := st.send(from, "flag", "key", false); re == nil || re.Outcome != core.Unknown {
 				t.Errorf("through router %d: %v", from, re)
 			}
 			time.Sleep(4 * time.Second)
 		}
-		if st.ran() != 1 {
-			t.Errorf("ran %d times", st.ran())
+		if st.executions() != 1 {
+			t.Errorf("ran %d times", st.executions())
 		}
 	})
 }
 
 // An editor's connection breaks while the draft runs. The run goes on, and the
 // editor's retry through another router gets the whole answer of that run.
-func TestRunOutlastsItsCaller(t *testing.T) {
-	onStage(t, 5, func(st *stage) {
+func TestExecutionContinuesAfterDisconnect(t *testing.T) {
+	runHarness(t, 5, func(st *harness) {
 		whole := st.ctx
 		ctx, leave := context.WithCancel(whole)
 		var asked sync.WaitGroup
 		st.ctx = ctx
-		asked.Go(func() { st.ask(0, "draft", "key", false) })
+		asked.Go(func() { st.send(0, "draft", "key", false) })
 		time.Sleep(150 * time.Millisecond)
 		leave()
 		asked.Wait()
 		st.ctx = whole
-		te, re := st.ask(1, "draft", "key", false)
-		if re != nil || te.String() != "draft" || st.ran() != 1 {
-			t.Errorf("%v, %q, ran %d times", re, te.String(), st.ran())
+		te, re := st.send(1, "draft", "key", false)
+		if re != nil || te.String() != "draft" || st.executions() != 1 {
+			t.Errorf("%v, %q, ran %d times", re, te.String(), st.executions())
 		}
 	})
 }
@@ -146,8 +146,8 @@
 // A switch fails: the routers lose the agents of a zone, not those agents the
 // KV or each other. Callers are served by the other zones, nothing runs twice,
 // and when the switch is back its agents get work again.
-func TestZoneCutOffFromRouters(t *testing.T) {
-	onStage(t, 6, func(st *stage) {
+func TestZonePartitionedFromRouters(t *testing.T) {
+	runHarness(t, 6, func(st *harness) {
 		cut := func(broken bool) {
 			for _, me := range st.fl.LiveAgents() {
 				if me.VM.Zone == "zone-1" {
@@ -158,23 +158,23 @@
 			}
 		}
 		cut(true)
-		st.callers(6, 15*time.Second)
+		st.runCallers(6, 15*time.Second)
 		if st.counts[core.Whole] < 100 || st.counts[core.NotRun]+st.counts[core.Failed] > 0 {
 			t.Errorf("while cut: %v", st.counts)
 		}
-		st.check("cut")
+		st.checkAudit("cut")
 		cut(false)
 		time.Sleep(time.Minute)
-		before := st.zoneRan("zone-1")
-		st.callers(6, 15*time.Second)
-		if st.zoneRan("zone-1") == before {
+		before := st.zoneExecutions("zone-1")
+		st.runCallers(6, 15*time.Second)
+		if st.zoneExecutions("zone-1") == before {
 			t.Error("the zone's agents got no work again")
 		}
-		st.check("healed")
+		st.checkAudit("healed")
 	})
 }
 
-func (st *stage) zoneRan(zone core.Zone) int {
+func (st *harness) zoneExecutions(zone core.Zone) int {
 	sum := 0
 	for _, me := range st.fl.All() {
 		if me.VM.Zone == zone && me.Agent != nil {
@@ -186,8 +186,8 @@
 
 // An engine breaks off every answer. Chats, which may repeat, are answered by
 // others; a call that may not repeat fails with the reason and runs once.
-func TestEngineCutsAnswersOff(t *testing.T) {
-	onStage(t, 7, func(st *stage) {
+func TestEngineTruncatesResponses(t *testing.T) {
+	runHarness(t, 7, func(st *harness) {
 		broken := map[core.VMID]bool{}
 		for _, me := range st.fl.LiveAgents()[:2] {
 			me.Engines[0].CutAfter = 10
@@ -196,7 +196,7 @@
 		failed := 0
 		for n := range 40 {
 			nonce := fmt.Sprint(n)
-			te, re := st.ask(n%3, nonce, "", false)
+			te, re := st.send(n%3, nonce, "", false)
 			if re != nil && (re.Outcome != core.Failed || re.Reason != core.ReasonCutShort) {
 				t.Errorf("%v", re)
 			}
@@ -207,8 +207,8 @@
 				failed++
 			}
 		}
-		if failed == 0 || st.ran() != 40 {
-			t.Errorf("%d failed, %d ran of 40", failed, st.ran())
+		if failed == 0 || st.executions() != 40 {
+			t.Errorf("%d failed, %d ran of 40", failed, st.executions())
 		}
 	})
 }
@@ -218,25 +218,25 @@
 // four calls, seen at the gates themselves: one that an engine below the mean may
 // always take, the rest for figures of the others that are up to a second old.
 // Without the cap it is over ten.
-func TestNoGateBeyondTheCap(t *testing.T) {
-	onStage(t, 8, func(st *stage) {
+func TestLoadCapHolds(t *testing.T) {
+	runHarness(t, 8, func(st *harness) {
 		stop, cancel := context.WithCancel(st.ctx)
 		worst := make(chan float64, 1)
-		go func() { worst <- st.watchCap(stop) }()
-		st.callers(60, 20*time.Second)
+		go func() { worst <- st.maxOverCap(stop) }()
+		st.runCallers(60, 20*time.Second)
 		cancel()
 		const oneCall = 30 + 25
 		if over := <-worst; over > 4*oneCall {
 			t.Errorf("an engine stood %.0f beyond the cap", over)
 		}
-		st.check("cap")
+		st.checkAudit("cap")
 	})
 }
 
-// watchCap is the most that a gate's load stood above the larger of FloorWork and
+// maxOverCap is the most that a gate's load stood above the larger of FloorWork and
 // 1.25 times the true mean, whenever that mean was not falling: what was within
 // the cap when it was admitted may stand above it when others finish first.
-func (st *stage) watchCap(ctx context.Context) float64 {
+func (st *harness) maxOverCap(ctx context.Context) float64 {
 	most, last := 0.0, 0.0
 	for st.fl.Clock.Sleep(ctx, 5*time.Millisecond) == nil {
 		var sum, high core.Work
@@ -258,10 +258,10 @@
 // Returning chats find their context again after the pool has changed: the agents
 // that hold it tell the new homes.
 func TestContextFoundAfterJoin(t *testing.T) {
-	onStage(t, 9, func(st *stage) {
+	runHarness(t, 9, func(st *harness) {
 		const chats = 60
 		for n := range chats {
-			st.ask(n%3, fmt.Sprint(n), "", true)
+			st.send(n%3, fmt.Sprint(n), "", true)
 		}
 		for n := range 3 {
 			st.fl.AddAgent(fmt.Sprint("joiner-", n), n)
@@ -270,13 +270,13 @@
 		holders := func() int {
 			sum := 0
 			for _, me := range st.fl.LiveAgents() {
-				sum += holdings(me)
+				sum += cachedContexts(me)
 			}
 			return sum
 		}
 		before := holders()
 		for n := range chats {
-			st.ask(n%3, fmt.Sprint(n), "", true)
+			st.send(n%3, fmt.Sprint(n), "", true)
 		}
 		if more := holders() - before; more > chats/20 {
 			t.Errorf("%d of %d chats were prefilled anew", more, chats)
@@ -284,7 +284,7 @@
 	})
 }
 
-func holdings(me *inmem.Member) int {
+func cachedContexts(me *inmem.Member) int {
 	held, _, _ := me.Agent.Book.Sizes()
 	return held
 }
@@ -292,8 +292,8 @@
 // An agent leaves; routers know, the other agents' lists lag. An agent that is
 // asked for a chat without having its context points to the one that left. The
 // router does not give up with "held elsewhere" but has the chat run where it is.
-func TestPointerToOneThatLeft(t *testing.T) {
-	onStage(t, 10, func(st *stage) {
+func TestPointerToDrainingAgent(t *testing.T) {
+	runHarness(t, 10, func(st *harness) {
 		live := st.fl.LiveAgents()
 		for _, me := range live[2:] {
 			me.Agent.StopAccepting()
@@ -307,7 +307,7 @@
 		}
 		time.Sleep(time.Millisecond)
 		for n := range 30 {
-			if _, re := st.ask(n%3, fmt.Sprint(n), "", true); re != nil {
+			if _, re := st.send(n%3, fmt.Sprint(n), "", true); re != nil {
 				t.Errorf("chat %d: %v", n, re)
 			}
 		}
@@ -317,11 +317,11 @@
 // A chat runs on an agent that dies; it may repeat, so the router tries others,
 // which are all leaving and refuse as not run. The caller must not be told "not
 // run": the first attempt did (history of seed 817761, one in some 2,000).
-func TestLaterRefusalDoesNotHideARun(t *testing.T) {
-	onStage(t, 15, func(st *stage) {
+func TestLaterRefusalDoesNotHideExecution(t *testing.T) {
+	runHarness(t, 15, func(st *harness) {
 		var asked sync.WaitGroup
 		asked.Go(func() {
-			_, re := st.ask(0, "chat", "", true)
+			_, re := st.send(0, "chat", "", true)
 			if re == nil || re.Outcome != core.Unknown {
 				t.Errorf("told %v", re)
 			}
@@ -335,8 +335,8 @@
 			me.Agent.StopAccepting()
 		}
 		asked.Wait()
-		if st.ran() != 1 {
-			t.Errorf("ran %d times: this shows nothing", st.ran())
+		if st.executions() != 1 {
+			t.Errorf("ran %d times: this shows nothing", st.executions())
 		}
 	})
 }
--- a/core/trial/history_test.go
+++ b/core/trial/history_test.go
@@ -22,8 +22,8 @@
 // explore runs histories of new seeds, such as -explore 100.
 var explore = flag.Int("explore", 0, "check this many histories of new seeds")
 
-// stage is a small fleet with an audit, for tests of failures.
-type stage struct {
+// harness is a small fleet with an audit, for tests of failures.
+type harness struct {
 	t     *testing.T
 	fl    *inmem.Fleet
 	audit *audit.Audit
@@ -34,12 +34,12 @@
 	counts map[core.Outcome]int
 }
 
-func onStage(t *testing.T, seed uint64, act func(st *stage)) {
+func runHarness(t *testing.T, seed uint64, test func(st *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		st := &stage{t: t, audit: &audit.Audit{}, ctx: ctx, counts: map[core.Outcome]int{}}
+		st := &harness{t: t, audit: &audit.Audit{}, ctx: ctx, counts: map[core.Outcome]int{}}
 		st.fl = &inmem.Fleet{
 			Seed: seed, Routers: 3, Agents: 6, Pool: poolID, Lag: 5 * time.Second,
 			Document: document(decl.Limits{FloorWork: 500, Slots: 8, QueueCalls: 16}, 0),
@@ -53,31 +53,31 @@
 		if err := st.fl.Start(ctx); err != nil {
 			t.Fatal(err)
 		}
-		act(st)
+		test(st)
 		// Keepers end what they have begun.
 		cancel()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// text collects an answer.
-type text struct {
+// response collects an answer.
+type response struct {
 	strings.Builder
 	whole bool
 }
 
 // Send takes a part.
-func (te *text) Send(pa *core.Part) error {
+func (te *response) Send(pa *core.Part) error {
 	te.Write(pa.Data)
 	te.whole = te.whole || pa.End
 	return nil
 }
 
-// ask sends a request through a router and returns its answer and end. One that
+// send sends a request through a router and returns its answer and end. One that
 // may not repeat need not have a key.
-func (st *stage) ask(from int, nonce string, key core.IdemKey, repeat bool) (*text, *core.Refusal) {
+func (st *harness) send(from int, nonce string, key core.IdemKey, repeat bool) (*response, *core.Refusal) {
 	me := st.fl.RouterAt(from)
-	te := &text{}
+	te := &response{}
 	ctx, cancel := context.WithTimeout(st.ctx, 20*time.Second)
 	defer cancel()
 	_, err := me.Router.Route(ctx, &router.Request{
@@ -94,16 +94,16 @@
 	return te, core.AsRefusal(err, "", "")
 }
 
-// settle takes in the ends of all attempts that a caller made at one request.
-func (st *stage) settle(nonce string, answers []*text, refusals []*core.Refusal) {
+// recordOutcome takes in the ends of all attempts that a caller made at one request.
+func (st *harness) recordOutcome(nonce string, answers []*response, refusals []*core.Refusal) {
 	best, allNotRun := core.Unknown, true
-	for ix, te := range answers {
+	for ix, response := range answers {
 		outcome := core.Whole
 		if refusals[ix] != nil {
 			outcome = refusals[ix].Outcome
 		} else {
-			st.audit.Got(nonce, te.String())
-			if !te.whole {
+			st.audit.Got(nonce, response.String())
+			if !response.whole {
 				st.t.Errorf("%s: no end mark, but told whole", nonce)
 			}
 		}
@@ -118,16 +118,16 @@
 	st.counts[best]++
 }
 
-func (st *stage) check(what string) {
+func (st *harness) checkAudit(what string) {
 	st.t.Helper()
 	if bad := st.audit.Counts(); bad != (audit.Counts{}) {
 		st.t.Errorf("%s: %+v", what, bad)
 	}
 }
 
-// callers has that many callers send chats and drafts for d. A draft goes through
+// runCallers has that many callers send chats and drafts for d. A draft goes through
 // two routers at once, and again if its end is unknown.
-func (st *stage) callers(count int, d time.Duration) {
+func (st *harness) runCallers(count int, d time.Duration) {
 	st.phase++
 	phase, end := st.phase, time.Now().Add(d)
 	var all sync.WaitGroup
@@ -137,10 +137,10 @@
 			for n := 0; time.Now().Before(end); n++ {
 				nonce := fmt.Sprintf("%d-%d-%d", phase, caller, n)
 				if ra.Uint64()%2 == 0 {
-					st.draft(nonce, ra)
+					st.sendDraft(nonce, ra)
 				} else {
-					te, re := st.ask(int(ra.Uint64()%3), nonce, "", ra.Uint64()%2 == 0)
-					st.settle(nonce, []*text{te}, []*core.Refusal{re})
+					te, re := st.send(int(ra.Uint64()%3), nonce, "", ra.Uint64()%2 == 0)
+					st.recordOutcome(nonce, []*response{te}, []*core.Refusal{re})
 				}
 				time.Sleep(time.Duration(ra.Uint64()%200) * time.Millisecond)
 			}
@@ -149,25 +149,25 @@
 	all.Wait()
 }
 
-func (st *stage) draft(nonce string, ra core.Rand) {
-	answers, refusals := make([]*text, 3), make([]*core.Refusal, 3)
+func (st *harness) sendDraft(nonce string, ra core.Rand) {
+	answers, refusals := make([]*response, 3), make([]*core.Refusal, 3)
 	first := int(ra.Uint64() % 3)
 	var both sync.WaitGroup
 	for ix := range 2 {
-		both.Go(func() { answers[ix], refusals[ix] = st.ask((first+ix)%3, nonce, core.IdemKey(nonce), false) })
+		both.Go(func() { answers[ix], refusals[ix] = st.send((first+ix)%3, nonce, core.IdemKey(nonce), false) })
 	}
 	both.Wait()
 	count := 2
 	if refusals[0] != nil && refusals[1] != nil {
 		time.Sleep(time.Second)
-		answers[2], refusals[2] = st.ask((first+2)%3, nonce, core.IdemKey(nonce), false)
+		answers[2], refusals[2] = st.send((first+2)%3, nonce, core.IdemKey(nonce), false)
 		count = 3
 	}
-	st.settle(nonce, answers[:count], refusals[:count])
+	st.recordOutcome(nonce, answers[:count], refusals[:count])
 }
 
-// trouble makes failures at random, two at once at times, until ctx ends.
-func (st *stage) trouble(ctx context.Context, ra core.Rand) {
+// injectFaults makes failures at random, two at once at times, until ctx ends.
+func (st *harness) injectFaults(ctx context.Context, ra core.Rand) {
 	fl := st.fl
 	for round := 0; fl.Clock.Sleep(ctx, time.Duration(300+ra.Uint64()%700)*time.Millisecond) == nil; round++ {
 		live := fl.LiveAgents()
@@ -214,18 +214,18 @@
 // are cut, answers are lost and the KV fails, often two of these at once. No
 // draft runs twice, no caller gets another's answer or a cut one as whole, and
 // what is called not run has not run.
-func TestPromisesHoldUnderFailures(t *testing.T) {
+func TestGuaranteesHoldUnderFailures(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5, 6}
 	for range *explore {
 		seeds = append(seeds, clock.RandomSeed()%1e6)
 	}
 	for _, seed := range seeds {
-		onStage(t, seed, func(st *stage) {
+		runHarness(t, seed, func(st *harness) {
 			troubled, stop := context.WithCancel(st.ctx)
-			go st.trouble(troubled, clock.NewRand(seed+1000))
-			st.callers(8, 30*time.Second)
+			go st.injectFaults(troubled, clock.NewRand(seed+1000))
+			st.runCallers(8, 30*time.Second)
 			stop()
-			st.check(fmt.Sprint("seed ", seed))
+			st.checkAudit(fmt.Sprint("seed ", seed))
 			if st.counts[core.Whole] < 100 || st.counts[core.NotRun]+st.counts[core.Unknown]+st.counts[core.Failed] == 0 {
 				t.Errorf("seed %d: %v: this history shows little", seed, st.counts)
 			}
--- a/core/trial/leave_test.go
+++ b/core/trial/leave_test.go
@@ -12,7 +12,7 @@
 )
 
 // cachedTurn sends a turn of a chat and returns how many tokens were cached.
-func (st *stage) cachedTurn(chat string, prompt core.Tokens) core.Tokens {
+func (st *harness) cachedTurn(chat string, prompt core.Tokens) core.Tokens {
 	st.t.Helper()
 	me := st.fl.RouterAt(0)
 	rep, err := me.Router.Route(st.ctx, &router.Request{
@@ -21,7 +21,7 @@
 			Customer: "c", Pool: poolID, Chat: core.ChatID(chat), MayRepeat: true, Priority: core.PriorityNormal,
 			Prompt: prompt, Output: 20, Body: []byte(chat),
 		},
-	}, &text{})
+	}, &response{})
 	if err != nil {
 		st.t.Error(err)
 		return 0
@@ -29,9 +29,9 @@
 	return rep.Cached
 }
 
-// leaveOne has chats served, lets one agent leave with at most that many bytes of
+// shutDownOne has chats served, lets one agent leave with at most that many bytes of
 // contexts, and returns how many of its chats found their context afterwards.
-func (st *stage) leaveOne(most core.Bytes) (found, of int) {
+func (st *harness) shutDownOne(maxBytes core.Bytes) (found, of int) {
 	const chats = 60
 	for n := range chats {
 		st.cachedTurn(fmt.Sprint("chat-", n), 400)
@@ -44,7 +44,7 @@
 			own = append(own, chat)
 		}
 	}
-	st.fl.Leave(one, most)
+	st.fl.Leave(one, maxBytes)
 	time.Sleep(10 * time.Second)
 	for _, chat := range own {
 		if st.cachedTurn(chat, 500) >= 400 {
@@ -56,9 +56,9 @@
 
 // A VM is replaced on an ordinary day. The pupils whose chats its engine held ask
 // on, and find their context at the next home; nothing is prefilled anew.
-func TestLeavingAgentHandsContextsOn(t *testing.T) {
-	onStage(t, 41, func(st *stage) {
-		if found, of := st.leaveOne(1 << 20); found != of || of < 5 {
+func TestDrainingAgentHandsOverContexts(t *testing.T) {
+	runHarness(t, 41, func(st *harness) {
+		if found, of := st.shutDownOne(1 << 20); found != of || of < 5 {
 			t.Errorf("%d of %d chats found their context", found, of)
 		}
 	})
@@ -66,10 +66,10 @@
 
 // The same, but the operator allows few bytes. The agent leaves all the same, and
 // the chats used last have moved.
-func TestHandingOnIsBounded(t *testing.T) {
-	onStage(t, 41, func(st *stage) {
+func TestHandoverIsBounded(t *testing.T) {
+	runHarness(t, 41, func(st *harness) {
 		// A context is a few bytes here; some are under way when the bound is met.
-		if found, of := st.leaveOne(8); found == 0 || found == of {
+		if found, of := st.shutDownOne(8); found == 0 || found == of {
 			t.Errorf("%d of %d chats found their context", found, of)
 		}
 	})
@@ -77,13 +77,13 @@
 
 // An agent is the home of chats that others serve, and leaves. The next home gets
 // its pointers, so that those chats still find the context where it is.
-func TestLeavingAgentHandsPointersOn(t *testing.T) {
-	onStage(t, 42, func(st *stage) {
+func TestDrainingAgentHandsOverPointers(t *testing.T) {
+	runHarness(t, 42, func(st *harness) {
 		live := st.fl.LiveAgents()
-		leaver, holder := live[0], live[3]
+		draining, holder := live[0], live[3]
 		pl := core.Placement{Customer: "c", Pool: poolID, Chat: "chat", VM: holder.ID}
-		leaver.Agent.ApplyPlacements([]core.Placement{pl})
-		st.fl.Leave(leaver, 1<<20)
+		draining.Agent.ApplyPlacements([]core.Placement{pl})
+		st.fl.Leave(draining, 1<<20)
 		time.Sleep(5 * time.Second)
 		for _, me := range st.fl.LiveAgents() {
 			if vm, known := me.Agent.Book.Pointer(ring.Key("c", poolID, "chat")); known && vm == holder.ID {
@@ -96,8 +96,8 @@
 
 // A translator's answer is being written when the agent begins to leave. It is
 // finished here, and its context follows the others afterwards.
-func TestLastContextIsHandedOn(t *testing.T) {
-	onStage(t, 43, func(st *stage) {
+func TestLastContextIsHandedOver(t *testing.T) {
+	runHarness(t, 43, func(st *harness) {
 		st.cachedTurn("chat", 400)
 		var holder *inmem.Member
 		for _, me := range st.fl.LiveAgents() {
--- a/core/trial/orders_test.go
+++ b/core/trial/orders_test.go
@@ -20,23 +20,23 @@
 
 // rollout is a fleet whose pool declares a version, and its weight store.
 type rollout struct {
-	*stage
+	*harness
 	store   *wstore.Store
 	engines []*inmem.Engine
 	minimum int
 }
 
-// onRollout starts a pool of engines that all have version v1 of the model.
-func onRollout(t *testing.T, seed uint64, agents, minimum int, act func(ro *rollout)) {
+// runRollout starts a pool of engines that all have version v1 of the model.
+func runRollout(t *testing.T, seed uint64, agents, minimum int, test func(ro *rollout)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { inRollout(t, seed, agents, minimum, act) })
+	synctest.Test(t, func(t *testing.T) { startRollout(t, seed, agents, minimum, test) })
 }
 
-func inRollout(t *testing.T, seed uint64, agents, minimum int, act func(ro *rollout)) {
+func startRollout(t *testing.T, seed uint64, agents, minimum int, test func(ro *rollout)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ro := &rollout{
-		stage:   &stage{t: t, ctx: ctx, audit: &audit.Audit{}, counts: map[core.Outcome]int{}},
+		harness: &harness{t: t, ctx: ctx, audit: &audit.Audit{}, counts: map[core.Outcome]int{}},
 		store:   &wstore.Store{Clock: clock.Wall{}, Time: 20 * time.Second, AtOnce: 2},
 		minimum: minimum,
 	}
@@ -52,7 +52,7 @@
 	}
 	// By then somebody holds the lease.
 	time.Sleep(30 * time.Second)
-	act(ro)
+	test(ro)
 	cancel()
 	// An order's own time to run is the longest that anything here waits.
 	time.Sleep(30 * time.Minute)
@@ -93,8 +93,8 @@
 	}
 }
 
-// at counts the engines that have the version loaded.
-func (ro *rollout) at(version string) int {
+// enginesAt counts the engines that have the version loaded.
+func (ro *rollout) enginesAt(version string) int {
 	count := 0
 	for _, en := range ro.engines {
 		if st, err := en.State(ro.ctx); err == nil && st.Version == version {
@@ -115,18 +115,18 @@
 	return count
 }
 
-// until waits for a condition and returns how long it took.
-func (ro *rollout) until(most time.Duration, done func() bool) time.Duration {
+// waitUntil waits for a condition and returns how long it took.
+func (ro *rollout) waitUntil(limit time.Duration, done func() bool) time.Duration {
 	start := time.Now()
-	for !done() && time.Since(start) < most {
+	for !done() && time.Since(start) < limit {
 		time.Sleep(100 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-// fencesRise checks that no engine was given an order of an earlier holder after
+// checkFences checks that no engine was given an order of an earlier holder after
 // one of a later holder, and that none cut a call off.
-func (ro *rollout) fencesRise() {
+func (ro *rollout) checkFences() {
 	ro.t.Helper()
 	for ix, en := range ro.engines {
 		fences, interrupted := en.Fences()
@@ -142,7 +142,7 @@
 // A new version is declared on a busy pool of six. The weight store bears two
 // loads at a time; four engines must go on serving. Callers notice nothing.
 func TestVersionRollsUnderLoad(t *testing.T) {
-	onRollout(t, 21, 6, 4, func(ro *rollout) {
+	runRollout(t, 21, 6, 4, func(ro *rollout) {
 		least := len(ro.engines)
 		ctx, cancel := context.WithCancel(ro.ctx)
 		go func() {
@@ -153,11 +153,11 @@
 		}()
 		time.Sleep(30 * time.Second)
 		ro.declare(0, "v2")
-		ro.callers(12, 3*time.Minute)
+		ro.runCallers(12, 3*time.Minute)
 		cancel()
 		synctest.Wait()
-		if ro.at("v2") != len(ro.engines) {
-			t.Errorf("%d of %d engines have the new version", ro.at("v2"), len(ro.engines))
+		if ro.enginesAt("v2") != len(ro.engines) {
+			t.Errorf("%d of %d engines have the new version", ro.enginesAt("v2"), len(ro.engines))
 		}
 		if least < 4 || least == len(ro.engines) {
 			t.Errorf("at least %d engines were serving", least)
@@ -165,8 +165,8 @@
 		if ro.counts[core.Failed]+ro.counts[core.Unknown] > 0 || ro.counts[core.Whole] == 0 {
 			t.Errorf("ends of calls: %v", ro.counts)
 		}
-		ro.fencesRise()
-		ro.check("roll")
+		ro.checkFences()
+		ro.checkAudit("roll")
 	})
 }
 
@@ -175,8 +175,8 @@
 // and an agent is replaced by one that remembers nothing. Then the old orders
 // arrive, at engines that do not check their numbers: none may run.
 func TestOrdersOfPausedHolderAreRefused(t *testing.T) {
-	onRollout(t, 22, 4, 1, func(ro *rollout) {
-		holder := ro.holder()
+	runRollout(t, 22, 4, 1, func(ro *rollout) {
+		holder := ro.leaseHolder()
 		if holder == nil {
 			t.Fatal("nobody holds the lease")
 		}
@@ -184,20 +184,20 @@
 		ro.declare(1, "v2")
 		time.Sleep(5 * time.Second)
 		holder.KVCut.Store(true)
-		ro.until(time.Minute, func() bool { return ro.at("v2") > 0 })
+		ro.waitUntil(time.Minute, func() bool { return ro.enginesAt("v2") > 0 })
 		ro.declare(1, "v1")
-		ro.until(2*time.Minute, func() bool { return ro.at("v2") == 0 })
-		if late := ro.holder(); late == nil || late == holder {
+		ro.waitUntil(2*time.Minute, func() bool { return ro.enginesAt("v2") == 0 })
+		if late := ro.leaseHolder(); late == nil || late == holder {
 			t.Fatal("nobody took over: this shows nothing")
 		}
 		for ix := range ro.engines {
 			ro.restart(ix)
 		}
 		time.Sleep(3 * time.Minute)
-		if ro.at("v1") != len(ro.engines) {
-			t.Errorf("%d engines have the version declared", ro.at("v1"))
+		if ro.enginesAt("v1") != len(ro.engines) {
+			t.Errorf("%d engines have the version declared", ro.enginesAt("v1"))
 		}
-		ro.fencesRise()
+		ro.checkFences()
 	})
 }
 
@@ -211,9 +211,9 @@
 // The holder's budget for control messages is nearly used up by other messages.
 // Orders go out as the budget allows; none is reported as refused by an agent
 // that it never reached, and the version still rolls.
-func TestOrdersWaitForTheBudget(t *testing.T) {
-	onRollout(t, 23, 8, 1, func(ro *rollout) {
-		holder := ro.holder()
+func TestOrdersWaitForControlBudget(t *testing.T) {
+	runRollout(t, 23, 8, 1, func(ro *rollout) {
+		holder := ro.leaseHolder()
 		if holder == nil {
 			t.Fatal("nobody holds the lease")
 		}
@@ -224,15 +224,15 @@
 			}
 		}()
 		ro.declare(1, "v2")
-		ro.until(10*time.Minute, func() bool { return ro.at("v2") == len(ro.engines) })
+		ro.waitUntil(10*time.Minute, func() bool { return ro.enginesAt("v2") == len(ro.engines) })
 		stop()
-		if ro.at("v2") != len(ro.engines) || holder.OrdersRefused.Load() > 0 {
-			t.Errorf("%d engines rolled, %d orders refused", ro.at("v2"), holder.OrdersRefused.Load())
+		if ro.enginesAt("v2") != len(ro.engines) || holder.OrdersRefused.Load() > 0 {
+			t.Errorf("%d engines rolled, %d orders refused", ro.enginesAt("v2"), holder.OrdersRefused.Load())
 		}
 	})
 }
 
-func (ro *rollout) holder() *inmem.Member {
+func (ro *rollout) leaseHolder() *inmem.Member {
 	for _, me := range ro.fl.All() {
 		if me.Control == nil {
 			continue
@@ -248,14 +248,14 @@
 // minute later with what it had. Given on to the next engine each time, the order takes the
 // pool down to its Minimum for as long as the version stands: what fails is the order, not the
 // engine. The next version, which is sound, rolls at once.
-func TestVersionThatCrashesItsEnginesIsGivenUp(t *testing.T) {
-	t.Run("while it is loaded", func(t *testing.T) { crashByVersion(t, 24, false) })
-	t.Run("once it is loaded", func(t *testing.T) { crashByVersion(t, 25, true) })
+func TestCrashingVersionIsNotRolledOut(t *testing.T) {
+	t.Run("while it is loaded", func(t *testing.T) { testCrashingVersion(t, 24, false) })
+	t.Run("once it is loaded", func(t *testing.T) { testCrashingVersion(t, 25, true) })
 }
 
-func crashByVersion(t *testing.T, seed uint64, loaded bool) {
-	const most = 3
-	onRollout(t, seed, 8, 2, func(ro *rollout) {
+func testCrashingVersion(t *testing.T, seed uint64, loaded bool) {
+	const maxCrashes = 3
+	runRollout(t, seed, 8, 2, func(ro *rollout) {
 		for _, en := range ro.engines {
 			en.Crashes.OnVersion, en.Crashes.Loaded, en.Crashes.Away = "bad", loaded, 30*time.Second
 		}
@@ -265,15 +265,15 @@
 		for _, en := range ro.engines {
 			crashes += en.CrashCount()
 		}
-		if crashes == 0 || crashes > most {
-			t.Errorf("%d crashes of engines in five minutes, want one to %d", crashes, most)
+		if crashes == 0 || crashes > maxCrashes {
+			t.Errorf("%d crashes of engines in five minutes, want one to %d", crashes, maxCrashes)
 		}
 		ro.declare(0, "good")
-		took := ro.until(20*time.Minute, func() bool { return ro.at("good") == len(ro.engines) })
+		took := ro.waitUntil(20*time.Minute, func() bool { return ro.enginesAt("good") == len(ro.engines) })
 		if took > 5*time.Minute {
-			t.Errorf("the next version is on %d of %d engines after %s", ro.at("good"), len(ro.engines), took)
+			t.Errorf("the next version is on %d of %d engines after %s", ro.enginesAt("good"), len(ro.engines), took)
 		}
-		ro.fencesRise()
+		ro.checkFences()
 	})
 }
 
@@ -287,12 +287,12 @@
 		seeds = append(seeds, clock.RandomSeed())
 	}
 	for _, seed := range seeds {
-		onRollout(t, seed, 4, 2, func(ro *rollout) {
+		runRollout(t, seed, 4, 2, func(ro *rollout) {
 			ro.orderHistory(clock.NewRand(seed))
-			if ro.at("last") != len(ro.engines) {
-				t.Errorf("seed %d: %d engines have the version declared last", seed, ro.at("last"))
+			if ro.enginesAt("last") != len(ro.engines) {
+				t.Errorf("seed %d: %d engines have the version declared last", seed, ro.enginesAt("last"))
 			}
-			ro.fencesRise()
+			ro.checkFences()
 		})
 	}
 }
@@ -303,22 +303,22 @@
 	for turn := range 20 {
 		ro.fl.Store.SetFaults(kvsrv.Faults{})
 		time.Sleep(2 * time.Second)
-		if holder := ro.holder(); holder != nil && ra.Uint64()%2 == 0 {
-			ro.pause(holder, upTo(ra, 90*time.Second), turn)
+		if holder := ro.leaseHolder(); holder != nil && ra.Uint64()%2 == 0 {
+			ro.pause(holder, randomDuration(ra, 90*time.Second), turn)
 		} else {
 			ro.declare(turn%3, fmt.Sprint("v", turn))
 		}
-		time.Sleep(upTo(ra, 15*time.Second))
+		time.Sleep(randomDuration(ra, 15*time.Second))
 		ro.fl.Store.SetFaults(kinds[ra.Uint64()%uint64(len(kinds))])
 		if ra.Uint64()%2 == 0 {
 			ro.restart(int(ra.Uint64() % uint64(len(ro.engines))))
 		}
-		time.Sleep(upTo(ra, 20*time.Second))
+		time.Sleep(randomDuration(ra, 20*time.Second))
 	}
 	ro.fl.Store.SetFaults(kvsrv.Faults{})
 	ro.resume()
 	ro.declare(0, "last")
-	ro.until(20*time.Minute, func() bool { return ro.at("last") == len(ro.engines) })
+	ro.waitUntil(20*time.Minute, func() bool { return ro.enginesAt("last") == len(ro.engines) })
 }
 
 // pause has the holder decide on orders that arrive only after d, by when its
@@ -345,7 +345,7 @@
 	time.Sleep(time.Second)
 }
 
-func upTo(ra core.Rand, most time.Duration) time.Duration {
+func randomDuration(ra core.Rand, most time.Duration) time.Duration {
 	return time.Duration(ra.Uint64() % uint64(most))
 }
 
@@ -358,7 +358,7 @@
 		b.Run(fmt.Sprint("own/engines=", agents), func(b *testing.B) {
 			for b.Loop() {
 				inBubble(b, func(t *testing.T) {
-					inRollout(t, 5, agents, agents*9/10, func(ro *rollout) { ro.roll(b) })
+					startRollout(t, 5, agents, agents*9/10, func(ro *rollout) { ro.roll(b) })
 				})
 			}
 		})
@@ -368,8 +368,8 @@
 func (ro *rollout) roll(b *testing.B) {
 	count := len(ro.engines)
 	ro.declare(0, "v2")
-	before, start := ro.fl.Store.Calls(), sent(ro.fl)
-	took := ro.until(4*time.Hour, func() bool { return ro.at("v2") == count })
+	before, start := ro.fl.Store.Calls(), controlBytesSent(ro.fl)
+	took := ro.waitUntil(4*time.Hour, func() bool { return ro.enginesAt("v2") == count })
 	calls, counts := ro.fl.Store.Calls(), ro.store.Counts()
 	needed := time.Duration((count+1)/2) * ro.store.Time
 	b.ReportMetric(took.Seconds(), "s")
@@ -377,5 +377,5 @@
 	b.ReportMetric(float64(counts.Refused)/float64(counts.Fetched), "refused/load")
 	b.ReportMetric(float64(calls.Writes-before.Writes)/took.Seconds(), "KV-writes/s")
 	b.ReportMetric(float64(calls.Reads-before.Reads)/took.Seconds(), "KV-reads/s")
-	b.ReportMetric(float64(sent(ro.fl)-start)/took.Seconds()/float64(len(ro.fl.All())), "B/s/node")
+	b.ReportMetric(float64(controlBytesSent(ro.fl)-start)/took.Seconds()/float64(len(ro.fl.All())), "B/s/node")
 }
--- a/core/trial/policy_test.go
+++ b/core/trial/policy_test.go
@@ -13,25 +13,25 @@
 	"almondrill/io/stand/inmem"
 )
 
-// regime is a size of engines and of the answers they give.
-type regime struct {
+// engineProfile is a size of engines and of the answers they give.
+type engineProfile struct {
 	name string
-	// fullRate is the requests a second at which an engine's slots are all busy.
-	fullRate float64
-	slots    int
-	output   core.Tokens
-	floor    core.Work
-	engine   func() *inmem.Engine
+	// saturationRate is the requests a second at which an engine's slots are all busy.
+	saturationRate float64
+	slots          int
+	output         core.Tokens
+	floor          core.Work
+	engine         func() *inmem.Engine
 }
 
-const engines = 24
+const engineCount = 24
 
-// small is like today's workers, some dozen calls at a time; large is like the
+// smallProfile is like today's workers, some dozen calls at a time; large is like the
 // target's, where 25,000 requests and 7 million tokens a second over 2,100
 // workers come to 12 requests a second and nearly 200 calls at a time for each.
 var (
-	small = regime{
-		name: "small", fullRate: 11.9, slots: 32, output: 100, floor: 1000,
+	smallProfile = engineProfile{
+		name: "small", saturationRate: 11.9, slots: 32, output: 100, floor: 1000,
 		engine: func() *inmem.Engine {
 			return &inmem.Engine{
 				Clock: clock.Wall{}, Step: 10 * time.Millisecond, PerCall: 500 * time.Microsecond,
@@ -39,8 +39,8 @@
 			}
 		},
 	}
-	large = regime{
-		name: "large", fullRate: 16.4, slots: 256, output: 280, floor: 8000,
+	largeProfile = engineProfile{
+		name: "large", saturationRate: 16.4, slots: 256, output: 280, floor: 8000,
 		engine: func() *inmem.Engine {
 			return &inmem.Engine{
 				Clock: clock.Wall{}, Step: 30 * time.Millisecond, PerCall: 100 * time.Microsecond,
@@ -51,10 +51,10 @@
 )
 
 type variant struct {
-	name   string
-	policy policy
-	factor float64
-	bias   float64
+	name       string
+	policy     policy
+	loadFactor float64
+	reuseBias  float64
 	// headroom is the part of slots kept for customers within their share.
 	headroom float64
 }
@@ -63,26 +63,26 @@
 const uncapped = 100
 
 var variants = []variant{
-	{name: "own", factor: 1.25},
-	{name: "own-even", factor: 1.25, bias: 1},
-	{name: "own-headroom", factor: 1.25, headroom: 0.5},
-	{name: "hash", policy: hashing, factor: uncapped},
-	{name: "least", policy: leastLoaded, factor: uncapped},
-	{name: "two", policy: twoChoices, factor: uncapped},
+	{name: "own", loadFactor: 1.25},
+	{name: "own-even", loadFactor: 1.25, reuseBias: 1},
+	{name: "own-headroom", loadFactor: 1.25, headroom: 0.5},
+	{name: "hash", policy: hashPolicy, loadFactor: uncapped},
+	{name: "least", policy: leastLoadedPolicy, loadFactor: uncapped},
+	{name: "two", policy: twoChoicesPolicy, loadFactor: uncapped},
 }
 
-func eachVariant(b *testing.B, run func(b *testing.B, re regime, va variant)) {
-	for _, re := range []regime{large, small} {
+func eachVariant(b *testing.B, run func(b *testing.B, re engineProfile, va variant)) {
+	for _, re := range []engineProfile{largeProfile, smallProfile} {
 		for _, va := range variants {
 			b.Run(re.name+"/"+va.name, func(b *testing.B) { run(b, re, va) })
 		}
 	}
 }
 
-func trialFleet(re regime, va variant, seed uint64, customers ...decl.Customer) *inmem.Fleet {
+func newFleet(re engineProfile, va variant, seed uint64, customers ...decl.Customer) *inmem.Fleet {
 	return &inmem.Fleet{
-		Seed: seed, Routers: 3, Agents: engines, Pool: poolID, Lag: 5 * time.Second,
-		Document: document(decl.Limits{LoadFactor: va.factor, FloorWork: re.floor, Slots: re.slots, QueueCalls: 2 * re.slots, Headroom: va.headroom}, va.bias, customers...),
+		Seed: seed, Routers: 3, Agents: engineCount, Pool: poolID, Lag: 5 * time.Second,
+		Document: document(decl.Limits{LoadFactor: va.loadFactor, FloorWork: re.floor, Slots: re.slots, QueueCalls: 2 * re.slots, Headroom: va.headroom}, va.reuseBias, customers...),
 		Engine:   func(int) *inmem.Engine { return re.engine() },
 	}
 }
@@ -90,38 +90,38 @@
 // BenchmarkReuse: Zipf chats at 85 % load while engines join, leave and flap and
 // half of the processes see the list 5 s late.
 func BenchmarkReuse(b *testing.B) {
-	eachVariant(b, func(b *testing.B, re regime, va variant) {
+	eachVariant(b, func(b *testing.B, re engineProfile, va variant) {
 		for b.Loop() {
 			inBubble(b, func(t *testing.T) {
 				wl := reuseRun(t, re, va)
-				wl.reuse(b)
-				b.ReportMetric(quantile(wl.ratios, 0.99), "p99-over-mean")
+				wl.reportReuse(b)
+				b.ReportMetric(quantile(wl.loadRatios, 0.99), "p99-over-mean")
 			})
 		}
 	})
 }
 
-func reuseRun(t *testing.T, re regime, va variant) *workload {
+func reuseRun(t *testing.T, re engineProfile, va variant) *workload {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	fl := trialFleet(re, va, 1)
+	fl := newFleet(re, va, 1)
 	if err := fl.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
 	wl := newWorkload(fl, 2, va.policy)
-	wl.perSecond = 0.85 * re.fullRate * engines
+	wl.rate = 0.85 * re.saturationRate * engineCount
 	sampling, stop := context.WithCancel(ctx)
-	go wl.sample(sampling, re.floor)
-	go churn(sampling, fl)
+	go wl.sampleLoads(sampling, re.floor)
+	go churnAgents(sampling, fl)
 	var all sync.WaitGroup
-	wl.run(ctx, 90*time.Second, func(wl *workload) { wl.turn(ctx, &all, "c", re.output) })
+	wl.run(ctx, 90*time.Second, func(wl *workload) { wl.startTurn(ctx, &all, "c", re.output) })
 	stop()
 	all.Wait()
 	return wl
 }
 
-// churn lets, by turns, one engine leave, one join and one flap.
-func churn(ctx context.Context, fl *inmem.Fleet) {
+// churnAgents lets, by turns, one engine leave, one join and one flap.
+func churnAgents(ctx context.Context, fl *inmem.Fleet) {
 	for round := 0; fl.Clock.Sleep(ctx, 10*time.Second) == nil; round++ {
 		live := fl.LiveAgents()
 		one := live[round*7%len(live)]
@@ -144,41 +144,41 @@
 // joins, at 60 % load; with and without handing contexts on. Reuse counts all
 // returning chats, whose contexts were lost or not.
 func BenchmarkLeave(b *testing.B) {
-	for _, re := range []regime{large, small} {
-		for _, hand := range []bool{true, false} {
-			b.Run(fmt.Sprintf("%s/hand-on=%v", re.name, hand), func(b *testing.B) {
+	for _, re := range []engineProfile{largeProfile, smallProfile} {
+		for _, handOver := range []bool{true, false} {
+			b.Run(fmt.Sprintf("%s/hand-on=%v", re.name, handOver), func(b *testing.B) {
 				for b.Loop() {
-					inBubble(b, func(t *testing.T) { leaveRun(t, re, hand).reuse(b) })
+					inBubble(b, func(t *testing.T) { leaveRun(t, re, handOver).reportReuse(b) })
 				}
 			})
 		}
 	}
 }
 
-func leaveRun(t *testing.T, re regime, hand bool) *workload {
+func leaveRun(t *testing.T, re engineProfile, handOver bool) *workload {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	fl := trialFleet(re, variants[0], 6)
+	fl := newFleet(re, variants[0], 6)
 	if err := fl.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
 	wl := newWorkload(fl, 2, nil)
-	wl.perSecond = 0.6 * re.fullRate * engines
+	wl.rate = 0.6 * re.saturationRate * engineCount
 	leaving, stop := context.WithCancel(ctx)
-	go replace(leaving, fl, hand)
+	go replaceAgents(leaving, fl, handOver)
 	var all sync.WaitGroup
-	wl.run(ctx, 90*time.Second, func(wl *workload) { wl.turn(ctx, &all, "c", re.output) })
+	wl.run(ctx, 90*time.Second, func(wl *workload) { wl.startTurn(ctx, &all, "c", re.output) })
 	stop()
 	all.Wait()
 	return wl
 }
 
-// replace lets the engines leave one after another, each for a cold one.
-func replace(ctx context.Context, fl *inmem.Fleet, hand bool) {
+// replaceAgents lets the engines leave one after another, each for a cold one.
+func replaceAgents(ctx context.Context, fl *inmem.Fleet, handOver bool) {
 	for round := 0; fl.Clock.Sleep(ctx, 10*time.Second) == nil; round++ {
 		fl.AddAgent(fmt.Sprint("joiner-", round), round)
 		most := core.Bytes(-1)
-		if hand {
+		if handOver {
 			most = 1 << 40
 		}
 		fl.Leave(fl.LiveAgents()[0], most)
@@ -188,13 +188,13 @@
 // BenchmarkSkew: two customers surge to four times their rate; the busiest
 // engine's load over the mean, at its worst moment and at p99.
 func BenchmarkSkew(b *testing.B) {
-	eachVariant(b, func(b *testing.B, re regime, va variant) {
+	eachVariant(b, func(b *testing.B, re engineProfile, va variant) {
 		for b.Loop() {
 			inBubble(b, func(t *testing.T) {
 				wl := surgeRun(t, re, va, true)
-				b.ReportMetric(quantile(wl.ratios, 1), "max-over-mean")
-				b.ReportMetric(quantile(wl.ratios, 0.99), "p99-over-mean")
-				wl.reuse(b)
+				b.ReportMetric(quantile(wl.loadRatios, 1), "max-over-mean")
+				b.ReportMetric(quantile(wl.loadRatios, 0.99), "p99-over-mean")
+				wl.reportReuse(b)
 			})
 		}
 	})
@@ -202,14 +202,14 @@
 
 // BenchmarkSurge: the other customers' p95 with the surge over that without.
 func BenchmarkSurge(b *testing.B) {
-	eachVariant(b, func(b *testing.B, re regime, va variant) {
+	eachVariant(b, func(b *testing.B, re engineProfile, va variant) {
 		for b.Loop() {
 			var calm, surged *workload
 			inBubble(b, func(t *testing.T) { calm = surgeRun(t, re, va, false) })
 			inBubble(b, func(t *testing.T) { surged = surgeRun(t, re, va, true) })
-			b.ReportMetric(float64(othersP95(surged.times))/float64(othersP95(calm.times)), "ratio")
-			b.ReportMetric(othersP95(calm.firsts).Seconds(), "first-s-calm")
-			b.ReportMetric(othersP95(surged.firsts).Seconds(), "first-s-surge")
+			b.ReportMetric(float64(othersP95(surged.latencies))/float64(othersP95(calm.latencies)), "ratio")
+			b.ReportMetric(othersP95(calm.firstPartLatencies).Seconds(), "first-s-calm")
+			b.ReportMetric(othersP95(surged.firstPartLatencies).Seconds(), "first-s-surge")
 			b.ReportMetric(ratio(surged.refused, surged.refused+surged.served), "refused")
 		}
 	})
@@ -229,7 +229,7 @@
 
 // surgeRun has ten customers at 60 % load in all; for 20 s two of them send six
 // times as much.
-func surgeRun(t *testing.T, re regime, va variant, surge bool) *workload {
+func surgeRun(t *testing.T, re engineProfile, va variant, surge bool) *workload {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var customers []decl.Customer
@@ -238,31 +238,31 @@
 			Name: core.CustomerID(fmt.Sprint("c", n)), Shares: map[core.PoolID]float64{poolID: 1},
 		})
 	}
-	fl := trialFleet(re, va, 3, customers...)
+	fl := newFleet(re, va, 3, customers...)
 	if err := fl.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
 	wl := newWorkload(fl, 4, va.policy)
-	base := 0.6 * re.fullRate * engines
+	base := 0.6 * re.saturationRate * engineCount
 	sampling, stop := context.WithCancel(ctx)
-	go wl.sample(sampling, re.floor)
+	go wl.sampleLoads(sampling, re.floor)
 	var all sync.WaitGroup
 	anyone := func(wl *workload) {
-		wl.turn(ctx, &all, core.CustomerID(fmt.Sprint("c", wl.ra.Uint64()%customerCount)), re.output)
+		wl.startTurn(ctx, &all, core.CustomerID(fmt.Sprint("c", wl.ra.Uint64()%customerCount)), re.output)
 	}
-	wl.perSecond = base
+	wl.rate = base
 	wl.run(ctx, 20*time.Second, anyone)
 	if surge {
-		wl.perSecond = 2 * base
+		wl.rate = 2 * base
 	}
 	wl.run(ctx, 20*time.Second, func(wl *workload) {
 		if !surge || wl.ra.Uint64()%2 == 0 {
 			anyone(wl)
 			return
 		}
-		wl.turn(ctx, &all, core.CustomerID(fmt.Sprint("c", wl.ra.Uint64()%2)), re.output)
+		wl.startTurn(ctx, &all, core.CustomerID(fmt.Sprint("c", wl.ra.Uint64()%2)), re.output)
 	})
-	wl.perSecond = base
+	wl.rate = base
 	wl.run(ctx, 10*time.Second, anyone)
 	stop()
 	all.Wait()
--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -187,8 +187,8 @@
 		measure("agents", count, func(count int) any { return bigSnapshot(b, count) })
 	}
 	for _, count := range []int{1000, 5000, 20000} {
-		measure("chats", count, heldChats)
-		measure("keys", count, keptKeys)
+		measure("chats", count, buildDirectory)
+		measure("keys", count, buildClaims)
 	}
 	for _, count := range []int{400, 800, 1600} {
 		measure("customers", count, func(count int) any {
@@ -197,7 +197,7 @@
 	}
 }
 
-func heldChats(count int) any {
+func buildDirectory(count int) any {
 	bo := &ctxdir.Directory{Clock: clock.Wall{}, MaxCached: count, MaxPointers: 1, TTL: time.Hour}
 	for n := range count {
 		pl := core.Placement{Customer: "customer-17", Pool: poolID, Chat: core.ChatID(fmt.Sprint("chat-", n)), VM: "agent-17"}
@@ -206,7 +206,7 @@
 	return bo
 }
 
-func keptKeys(count int) any {
+func buildClaims(count int) any {
 	store := &kvsrv.Store{Clock: clock.Wall{}}
 	ke := &claim.Keeper{KV: discard{store}, Clock: clock.Wall{}, Rand: clock.NewRand(1), Shards: 1, Window: time.Hour}
 	var all sync.WaitGroup
--- a/core/trial/work_test.go
+++ b/core/trial/work_test.go
@@ -42,23 +42,23 @@
 	policy policy
 	ra     *rand.Rand
 	chats  int
-	// perSecond is the rate of requests.
-	perSecond float64
-	turns     map[string]int
+	// rate is the rate of requests.
+	rate  float64
+	turns map[string]int
 
 	mu        sync.Mutex // guards all below
 	returning int
 	possible  int
-	found     int
-	// foundPossible counts those found whose context existed when they came.
-	foundPossible int
-	refused       int
-	reasons       map[core.Reason]int
-	served        int
-	times         map[core.CustomerID][]time.Duration
-	firsts        map[core.CustomerID][]time.Duration
-	ratios        []float64
-	busy          map[string]bool // chats whose last turn is not answered yet
+	hits      int
+	// possibleHits counts those found whose context existed when they came.
+	possibleHits       int
+	refused            int
+	reasons            map[core.Reason]int
+	served             int
+	latencies          map[core.CustomerID][]time.Duration
+	firstPartLatencies map[core.CustomerID][]time.Duration
+	loadRatios         []float64
+	pending            map[string]bool // chats whose last turn is not answered yet
 }
 
 // policy chooses the VM for a baseline, -1 for none.
@@ -67,7 +67,7 @@
 func newWorkload(fl *inmem.Fleet, seed uint64, po policy) *workload {
 	return &workload{
 		fl: fl, policy: po, ra: rand.New(rand.NewPCG(seed, 7)), chats: 20_000,
-		turns: map[string]int{}, busy: map[string]bool{}, reasons: map[core.Reason]int{}, times: map[core.CustomerID][]time.Duration{}, firsts: map[core.CustomerID][]time.Duration{},
+		turns: map[string]int{}, pending: map[string]bool{}, reasons: map[core.Reason]int{}, latencies: map[core.CustomerID][]time.Duration{}, firstPartLatencies: map[core.CustomerID][]time.Duration{},
 	}
 }
 
@@ -75,7 +75,7 @@
 func (wl *workload) run(ctx context.Context, d time.Duration, send func(wl *workload)) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
-		gap := -math.Log(1-wl.ra.Float64()) / wl.perSecond
+		gap := -math.Log(1-wl.ra.Float64()) / wl.rate
 		_ = wl.fl.Clock.Sleep(ctx, time.Duration(gap*float64(time.Second)))
 		send(wl)
 	}
@@ -89,9 +89,9 @@
 	return int(flat*math.Exp(wl.ra.Float64()*top)) - flat
 }
 
-// turn sends the next turn of one of the customer's chats from a random router.
+// startTurn sends the next turn of one of the customer's chats from a random router.
 // Nobody asks again in a chat before the last answer has come.
-func (wl *workload) turn(ctx context.Context, all *sync.WaitGroup, cu core.CustomerID, output core.Tokens) {
+func (wl *workload) startTurn(ctx context.Context, all *sync.WaitGroup, cu core.CustomerID, output core.Tokens) {
 	name := wl.idleChat(cu)
 	wl.turns[name]++
 	prompt := core.Tokens(300 + 150*min(wl.turns[name], 6))
@@ -109,8 +109,8 @@
 	defer wl.mu.Unlock()
 	for {
 		name := fmt.Sprint(cu, "-chat-", wl.zipfian())
-		if !wl.busy[name] {
-			wl.busy[name] = true
+		if !wl.pending[name] {
+			wl.pending[name] = true
 			return name
 		}
 	}
@@ -118,36 +118,36 @@
 
 func (wl *workload) send(ctx context.Context, me *inmem.Member, ca core.Call, first bool) {
 	key := ring.Key(ca.Customer, ca.Pool, ca.Chat)
-	possible := !first && wl.somewhere(key)
+	possible := !first && wl.cachedAnywhere(key)
 	start := time.Now()
 	fi := &firstPart{}
 	rep, err := wl.route(ctx, me, ca, key, fi)
 	took := time.Since(start)
 	wl.mu.Lock()
 	defer wl.mu.Unlock()
-	delete(wl.busy, string(ca.Chat))
+	delete(wl.pending, string(ca.Chat))
 	if err != nil {
 		wl.refused++
 		wl.reasons[core.AsRefusal(err, "", "").Reason]++
 		return
 	}
 	wl.served++
-	wl.times[ca.Customer] = append(wl.times[ca.Customer], took)
-	wl.firsts[ca.Customer] = append(wl.firsts[ca.Customer], fi.at.Sub(start))
+	wl.latencies[ca.Customer] = append(wl.latencies[ca.Customer], took)
+	wl.firstPartLatencies[ca.Customer] = append(wl.firstPartLatencies[ca.Customer], fi.at.Sub(start))
 	if first {
 		return
 	}
 	wl.returning++
 	found := rep.Cached*4 >= ca.Prompt*3
 	if found {
-		wl.found++
+		wl.hits++
 	}
 	if !possible {
 		return
 	}
 	wl.possible++
 	if found {
-		wl.foundPossible++
+		wl.possibleHits++
 	}
 }
 
@@ -166,7 +166,7 @@
 	return rep, err
 }
 
-func (wl *workload) somewhere(key uint64) bool {
+func (wl *workload) cachedAnywhere(key uint64) bool {
 	for _, me := range wl.fl.LiveAgents() {
 		if me.Engines[0].Holds(key) {
 			return true
@@ -175,23 +175,23 @@
 	return false
 }
 
-// sample records how far the busiest engine stands above the mean, while the
+// sampleLoads records how far the busiest engine stands above the mean, while the
 // mean is above the floor under which the cap is not applied.
-func (wl *workload) sample(ctx context.Context, floor core.Work) {
+func (wl *workload) sampleLoads(ctx context.Context, floor core.Work) {
 	for wl.fl.Clock.Sleep(ctx, 20*time.Millisecond) == nil {
-		var sum, most core.Work
+		var sum, highest core.Work
 		live := wl.fl.LiveAgents()
 		for _, me := range live {
 			load := me.Agent.Slots[0].Gate().Load()
 			sum += load
-			most = max(most, load)
+			highest = max(highest, load)
 		}
 		mean := float64(sum) / float64(len(live))
 		if mean < float64(floor) {
 			continue
 		}
 		wl.mu.Lock()
-		wl.ratios = append(wl.ratios, float64(most)/mean)
+		wl.loadRatios = append(wl.loadRatios, float64(highest)/mean)
 		wl.mu.Unlock()
 	}
 }
@@ -204,10 +204,10 @@
 	return sorted[min(len(sorted)-1, int(at*float64(len(sorted))))]
 }
 
-func (wl *workload) reuse(b *testing.B) {
+func (wl *workload) reportReuse(b *testing.B) {
 	b.Log(wl.reasons)
-	b.ReportMetric(ratio(wl.foundPossible, wl.possible), "reuse-of-possible")
-	b.ReportMetric(ratio(wl.found, wl.returning), "reuse")
+	b.ReportMetric(ratio(wl.possibleHits, wl.possible), "reuse-of-possible")
+	b.ReportMetric(ratio(wl.hits, wl.returning), "reuse")
 	b.ReportMetric(ratio(wl.refused, wl.refused+wl.served), "refused")
 }
 
@@ -226,36 +226,36 @@
 
 // The baselines.
 
-func hashing(_ *workload, me *inmem.Member, key uint64) core.VMID {
+func hashPolicy(_ *workload, me *inmem.Member, key uint64) core.VMID {
 	po := me.Board.Snapshot().Pools[poolID]
 	return po.Members[ring.Best(po.Ring, key, po.Even)].VM
 }
 
-// leastLoaded knows what agents' answers have told the router, as routers do.
-func leastLoaded(wl *workload, me *inmem.Member, _ uint64) core.VMID {
+// leastLoadedPolicy knows what agents' answers have told the router, as routers do.
+func leastLoadedPolicy(wl *workload, me *inmem.Member, _ uint64) core.VMID {
 	po := me.Board.Snapshot().Pools[poolID]
 	best := po.Members[0]
 	for _, one := range po.Members {
-		if wl.known(one.VM) < wl.known(best.VM) {
+		if wl.currentLoad(one.VM) < wl.currentLoad(best.VM) {
 			best = one
 		}
 	}
 	return best.VM
 }
 
-func twoChoices(wl *workload, me *inmem.Member, key uint64) core.VMID {
+func twoChoicesPolicy(wl *workload, me *inmem.Member, key uint64) core.VMID {
 	po := me.Board.Snapshot().Pools[poolID]
 	one := po.Members[ring.Mix(key, uint64(time.Now().UnixNano()))%uint64(len(po.Members))].VM
 	two := po.Members[ring.Mix(key+1, uint64(time.Now().UnixNano()))%uint64(len(po.Members))].VM
-	if wl.known(two) < wl.known(one) {
+	if wl.currentLoad(two) < wl.currentLoad(one) {
 		return two
 	}
 	return one
 }
 
-// known gives the baselines better knowledge than they would have: the load as
+// currentLoad gives the baselines better knowledge than they would have: the load as
 // it is now.
-func (wl *workload) known(vm core.VMID) core.Work {
+func (wl *workload) currentLoad(vm core.VMID) core.Work {
 	if me := wl.fl.AgentAt(vm); me != nil {
 		return me.Agent.Slots[0].Gate().Load()
 	}
