--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -218,11 +218,11 @@
 	}
 	ctx, cancel := ag.callContext(ctx, ca)
 	defer cancel()
-	began := ag.Clock.Now()
+	started := ag.Clock.Now()
 	us, err := sl.Endpoint.Do(ctx, ca, &progress{sink: si, gate: sl.gate, ticket: ti})
 	if err != nil {
 		re := core.AsRefusal(err, "endpoint", string(sl.ID))
-		ag.detectCrash(ctx, sl, began, re)
+		ag.detectCrash(ctx, sl, started, re)
 		return us, re
 	}
 	return us, nil
--- a/core/agent/crash.go
+++ b/core/agent/crash.go
@@ -24,18 +24,18 @@
 
 // wasRunning tells whether a call that broke off now at an endpoint that is gone was running when
 // that crashed. One that began later was sent to an endpoint that was gone already.
-func (cr *crashRecord) wasRunning(now, began time.Time) bool {
+func (cr *crashRecord) wasRunning(now, started time.Time) bool {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if now.Sub(cr.firstInterrupted) > crashWindow {
 		cr.firstInterrupted = now
 	}
-	return began.Before(cr.firstInterrupted)
+	return started.Before(cr.firstInterrupted)
 }
 
 // detectCrash tells routers by the reason that the endpoint crashed while it ran the call: they
 // count for each request, and stop sending one that is there each time.
-func (ag *Agent) detectCrash(ctx context.Context, sl *Slot, began time.Time, re *core.Refusal) {
+func (ag *Agent) detectCrash(ctx context.Context, sl *Slot, started time.Time, re *core.Refusal) {
 	prober, ok := sl.Endpoint.(core.LivenessProber)
 	if !ok || re.Outcome == core.NotRun || !crashReasons[re.Reason] {
 		return
@@ -43,7 +43,7 @@
 	now := ag.Clock.Now()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), aliveTimeout)
 	defer cancel()
-	if !prober.Alive(ctx) && sl.crash.wasRunning(now, began) {
+	if !prober.Alive(ctx) && sl.crash.wasRunning(now, started) {
 		re.Reason = core.ReasonCrashed
 	}
 }
--- a/core/trial/config_test.go
+++ b/core/trial/config_test.go
@@ -114,25 +114,25 @@
 // changes unread. When it is back it takes up all it missed, in order.
 func TestPartitionedRouterCatchesUp(t *testing.T) {
 	runHarness(t, 14, func(st *harness) {
-		lost := st.fl.RouterAt(2)
-		lost.KVCut.Store(true)
+		partitioned := st.fl.RouterAt(2)
+		partitioned.KVCut.Store(true)
 		for _, me := range st.fl.All() {
-			st.fl.Net.Cut(lost.ID, me.ID, true)
+			st.fl.Net.Cut(partitioned.ID, me.ID, true)
 		}
 		var rev core.Revision
 		for n := range 5 {
 			rev = st.commitCustomer(st.fl.RouterAt(0), fmt.Sprint("customer-", n))
 			time.Sleep(12 * time.Second)
 		}
-		if lost.Log.Revision() == rev {
+		if partitioned.Log.Revision() == rev {
 			t.Fatal("it was not cut off: this shows nothing")
 		}
 		for _, me := range st.fl.All() {
-			st.fl.Net.Cut(lost.ID, me.ID, false)
+			st.fl.Net.Cut(partitioned.ID, me.ID, false)
 		}
 		time.Sleep(9 * time.Second)
 		if !st.allHaveRevision(rev) {
-			t.Errorf("it has revision %d of %d", lost.Log.Revision(), rev)
+			t.Errorf("it has revision %d of %d", partitioned.Log.Revision(), rev)
 		}
 		st.checkRevisionsIncrease()
 	})
--- a/core/trial/control_test.go
+++ b/core/trial/control_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func inForceRun(t *testing.T, nodes int, lost bool) []float64 {
+func inForceRun(t *testing.T, nodes int, kvLost bool) []float64 {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	fl := controlFleet(nodes)
@@ -97,7 +97,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fl.Store.SetFaults(kvsrv.Faults{Down: lost})
+		fl.Store.SetFaults(kvsrv.Faults{Down: kvLost})
 		times = append(times, awaitRevision(t, fl, rev)...)
 	}
 	return times
--- a/core/trial/crash_test.go
+++ b/core/trial/crash_test.go
@@ -13,10 +13,10 @@
 // crash has engines crash under calls whose bodies begin so.
 const crashBody = "crash"
 
-func (st *harness) crashOnBody(after, away time.Duration) {
+func (st *harness) crashOnBody(after, downtime time.Duration) {
 	for _, me := range st.fl.LiveAgents() {
 		for _, en := range me.Engines {
-			en.Crashes.UnderBody, en.Crashes.After, en.Crashes.Away = crashBody, after, away
+			en.Crashes.UnderBody, en.Crashes.After, en.Crashes.Away = crashBody, after, downtime
 		}
 	}
 }
--- a/core/trial/failure_test.go
+++ b/core/trial/failure_test.go
@@ -127,15 +127,15 @@
 // editor's retry through another router gets the whole answer of that run.
 func TestExecutionContinuesAfterDisconnect(t *testing.T) {
 	runHarness(t, 5, func(st *harness) {
-		whole := st.ctx
-		ctx, leave := context.WithCancel(whole)
+		outer := st.ctx
+		ctx, disconnect := context.WithCancel(outer)
 		var asked sync.WaitGroup
 		st.ctx = ctx
 		asked.Go(func() { st.send(0, "draft", "key", false) })
 		time.Sleep(150 * time.Millisecond)
-		leave()
+		disconnect()
 		asked.Wait()
-		st.ctx = whole
+		st.ctx = outer
 		te, re := st.send(1, "draft", "key", false)
 		if re != nil || te.String() != "draft" || st.executions() != 1 {
 			t.Errorf("%v, %q, ran %d times", re, te.String(), st.executions())
@@ -226,8 +226,8 @@
 		st.runCallers(60, 20*time.Second)
 		cancel()
 		const oneCall = 30 + 25
-		if over := <-worst; over > 4*oneCall {
-			t.Errorf("an engine stood %.0f beyond the cap", over)
+		if excess := <-worst; excess > 4*oneCall {
+			t.Errorf("an engine stood %.0f beyond the cap", excess)
 		}
 		st.checkAudit("cap")
 	})
@@ -237,22 +237,22 @@
 // 1.25 times the true mean, whenever that mean was not falling: what was within
 // the cap when it was admitted may stand above it when others finish first.
 func (st *harness) maxOverCap(ctx context.Context) float64 {
-	most, last := 0.0, 0.0
+	worst, last := 0.0, 0.0
 	for st.fl.Clock.Sleep(ctx, 5*time.Millisecond) == nil {
-		var sum, high core.Work
+		var sum, highest core.Work
 		live := st.fl.LiveAgents()
 		for _, me := range live {
 			load := me.Agent.Slots[0].Gate().Load()
 			sum += load
-			high = max(high, load)
+			highest = max(highest, load)
 		}
 		mean := float64(sum) / float64(len(live))
 		if mean >= last {
-			most = max(most, float64(high)-max(500, 1.25*mean))
+			worst = max(worst, float64(highest)-max(500, 1.25*mean))
 		}
 		last = mean
 	}
-	return most
+	return worst
 }
 
 // Returning chats find their context again after the pool has changed: the agents
@@ -267,19 +267,19 @@
 			st.fl.AddAgent(fmt.Sprint("joiner-", n), n)
 		}
 		time.Sleep(15 * time.Second)
-		holders := func() int {
+		cached := func() int {
 			sum := 0
 			for _, me := range st.fl.LiveAgents() {
 				sum += cachedContexts(me)
 			}
 			return sum
 		}
-		before := holders()
+		before := cached()
 		for n := range chats {
 			st.send(n%3, fmt.Sprint(n), "", true)
 		}
-		if more := holders() - before; more > chats/20 {
-			t.Errorf("%d of %d chats were prefilled anew", more, chats)
+		if extra := cached() - before; extra > chats/20 {
+			t.Errorf("%d of %d chats were prefilled anew", extra, chats)
 		}
 	})
 }
--- a/core/trial/history_test.go
+++ b/core/trial/history_test.go
@@ -221,8 +221,8 @@
 	}
 	for _, seed := range seeds {
 		runHarness(t, seed, func(st *harness) {
-			troubled, stop := context.WithCancel(st.ctx)
-			go st.injectFaults(troubled, clock.NewRand(seed+1000))
+			faulty, stop := context.WithCancel(st.ctx)
+			go st.injectFaults(faulty, clock.NewRand(seed+1000))
 			st.runCallers(8, 30*time.Second)
 			stop()
 			st.checkAudit(fmt.Sprint("seed ", seed))
--- a/core/trial/orders_test.go
+++ b/core/trial/orders_test.go
@@ -143,11 +143,11 @@
 // loads at a time; four engines must go on serving. Callers notice nothing.
 func TestVersionRollsUnderLoad(t *testing.T) {
 	runRollout(t, 21, 6, 4, func(ro *rollout) {
-		least := len(ro.engines)
+		minServing := len(ro.engines)
 		ctx, cancel := context.WithCancel(ro.ctx)
 		go func() {
 			for ctx.Err() == nil {
-				least = min(least, ro.serving())
+				minServing = min(minServing, ro.serving())
 				time.Sleep(50 * time.Millisecond)
 			}
 		}()
@@ -159,8 +159,8 @@
 		if ro.enginesAt("v2") != len(ro.engines) {
 			t.Errorf("%d of %d engines have the new version", ro.enginesAt("v2"), len(ro.engines))
 		}
-		if least < 4 || least == len(ro.engines) {
-			t.Errorf("at least %d engines were serving", least)
+		if minServing < 4 || minServing == len(ro.engines) {
+			t.Errorf("at least %d engines were serving", minServing)
 		}
 		if ro.counts[core.Failed]+ro.counts[core.Unknown] > 0 || ro.counts[core.Whole] == 0 {
 			t.Errorf("ends of calls: %v", ro.counts)
@@ -187,7 +187,7 @@
 		ro.waitUntil(time.Minute, func() bool { return ro.enginesAt("v2") > 0 })
 		ro.declare(1, "v1")
 		ro.waitUntil(2*time.Minute, func() bool { return ro.enginesAt("v2") == 0 })
-		if late := ro.leaseHolder(); late == nil || late == holder {
+		if successor := ro.leaseHolder(); successor == nil || successor == holder {
 			t.Fatal("nobody took over: this shows nothing")
 		}
 		for ix := range ro.engines {
@@ -345,8 +345,8 @@
 	time.Sleep(time.Second)
 }
 
-func randomDuration(ra core.Rand, most time.Duration) time.Duration {
-	return time.Duration(ra.Uint64() % uint64(most))
+func randomDuration(ra core.Rand, limit time.Duration) time.Duration {
+	return time.Duration(ra.Uint64() % uint64(limit))
 }
 
 // BenchmarkRoll rolls a version over a pool, of which nine in ten are to go on
--- a/core/trial/policy_test.go
+++ b/core/trial/policy_test.go
@@ -148,14 +148,14 @@
 		for _, handOver := range []bool{true, false} {
 			b.Run(fmt.Sprintf("%s/hand-on=%v", re.name, handOver), func(b *testing.B) {
 				for b.Loop() {
-					inBubble(b, func(t *testing.T) { leaveRun(t, re, handOver).reportReuse(b) })
+					inBubble(b, func(t *testing.T) { replaceRun(t, re, handOver).reportReuse(b) })
 				}
 			})
 		}
 	}
 }
 
-func leaveRun(t *testing.T, re engineProfile, handOver bool) *workload {
+func replaceRun(t *testing.T, re engineProfile, handOver bool) *workload {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	fl := newFleet(re, variants[0], 6)
@@ -177,11 +177,11 @@
 func replaceAgents(ctx context.Context, fl *inmem.Fleet, handOver bool) {
 	for round := 0; fl.Clock.Sleep(ctx, 10*time.Second) == nil; round++ {
 		fl.AddAgent(fmt.Sprint("joiner-", round), round)
-		most := core.Bytes(-1)
+		maxBytes := core.Bytes(-1)
 		if handOver {
-			most = 1 << 40
+			maxBytes = 1 << 40
 		}
-		fl.Leave(fl.LiveAgents()[0], most)
+		fl.Leave(fl.LiveAgents()[0], maxBytes)
 	}
 }
 
--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -160,8 +160,8 @@
 	b.ReportMetric(float64(failed), "failed")
 }
 
-// heapOf is the heap that build leaves behind.
-func heapOf(build func() any) (any, float64) {
+// measureHeap is the heap that build leaves behind.
+func measureHeap(build func() any) (any, float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -176,7 +176,7 @@
 	measure := func(name string, count int, build func(count int) any) {
 		b.Run(fmt.Sprintf("%s/count=%d", name, count), func(b *testing.B) {
 			for b.Loop() {
-				kept, bytes := heapOf(func() any { return build(count) })
+				kept, bytes := measureHeap(func() any { return build(count) })
 				b.ReportMetric(bytes, "heap-B")
 				b.ReportMetric(bytes/float64(count), "B/each")
 				runtime.KeepAlive(kept)
