--- a/core/order/control.go
+++ b/core/order/control.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// sweepEvery is the pace at which the holder looks at engines: those with an
+	// sweepInterval is the pace at which the holder looks at engines: those with an
 	// order in progress or not seen yet, and idleMost others, at most sweepMost.
-	sweepEvery = time.Second
-	sweepMost  = 16
-	idleMost   = 4
-	// tryEvery is the whole fleet's pace of looking whether the lease is free.
-	tryEvery = 500 * time.Millisecond
-	// giveWithin bounds handing an order over, in which the agent reads the KV.
-	giveWithin = 3 * time.Second
+	sweepInterval    = time.Second
+	maxInspected     = 16
+	maxIdleInspected = 4
+	// acquireInterval is the whole fleet's pace of looking whether the lease is free.
+	acquireInterval = 500 * time.Millisecond
+	// issueTimeout bounds handing an order over, in which the agent reads the KV.
+	issueTimeout = 3 * time.Second
 	// An order that failed is given again after firstAgain, doubled up to lastAgain.
-	firstAgain = 2 * time.Second
-	lastAgain  = time.Minute
+	minEngineRetryDelay = 2 * time.Second
+	maxEngineRetryDelay = time.Minute
 
 	inspectSize core.Bytes = 24
 	orderSize   core.Bytes = 96
@@ -39,44 +39,44 @@
 	Clock core.Clock
 	Rand  core.Rand
 	// Sending, if set, is asked before a control message is sent.
-	Sending func(size core.Bytes) bool
+	AllowSend func(size core.Bytes) bool
 	// Issued, if set, is told of each order that an agent took, Refused of each
 	// that it did not, Held of the number under which this process gives orders.
-	Issued  func(gi Given)
-	Refused func(gi Given, re *core.Refusal)
-	Held    func(fence core.Fence)
+	Issued        func(gi Assignment)
+	Refused       func(gi Assignment, re *core.Refusal)
+	LeaseAcquired func(fence core.Fence)
 	// GivenUp, if set, is told of an order that has failed on several engines and on none
 	// gone well: no further engine of the pool gets it for now.
-	GivenUp func(po core.PoolID, or core.Order, failures int)
+	RolloutPaused func(po core.PoolID, or core.Order, failures int)
 
 	// Owned by the goroutine of sweeps.
-	fence core.Fence
-	pace  Pace
-	seen  map[core.VMID]*seen
-	// proofs are what is known of the orders of this holder; those of a later one begin anew.
-	proofs map[content]*proof
+	fence  core.Fence
+	window LoadWindow
+	agents map[core.VMID]*agentState
+	// rollouts are what is known of the orders of this holder; those of a later one begin anew.
+	rollouts map[orderSpec]*rollout
 }
 
-// seen is what an agent last told.
-type seen struct {
+// agentState is what an agent last told.
+type agentState struct {
 	incarnation core.Incarnation
-	at          time.Time
+	inspectedAt time.Time
 	states      []core.EndpointState
-	again       map[core.EndpointID]*again
-	// given are the orders in progress.
-	given map[core.EndpointID]core.Order
+	backoffs    map[core.EndpointID]*backoff
+	// issued are the orders in progress.
+	issued map[core.EndpointID]core.Order
 }
 
-// again delays an order that failed.
-type again struct {
+// backoff delays an order that failed.
+type backoff struct {
 	failures int
 	until    time.Time
 }
 
 // Run competes for the lease and gives orders until ctx ends.
 func (co *Controller) Run(ctx context.Context) error {
-	go co.keep(ctx)
-	for co.Clock.Sleep(ctx, co.jitter(sweepEvery)) == nil {
+	go co.maintainLease(ctx)
+	for co.Clock.Sleep(ctx, co.jitter(sweepInterval)) == nil {
 		co.sweep(ctx)
 	}
 	return nil
@@ -86,31 +86,31 @@
 	return time.Duration(float64(d) * (0.75 + co.Rand.Float64()/2))
 }
 
-// keep renews the lease, or looks now and then whether it is free. It has its own
+// maintainLease renews the lease, or looks now and then whether it is free. It has its own
 // goroutine, so that a sweep that takes long does not let the lease lapse.
-func (co *Controller) keep(ctx context.Context) {
-	pause := time.Duration(float64(co.tryPause()) * co.Rand.Float64())
-	for co.Clock.Sleep(ctx, pause) == nil {
-		pause = co.tryPause()
-		if len(Managed(co.Board.Snapshot().Config)) == 0 {
+func (co *Controller) maintainLease(ctx context.Context) {
+	delay := time.Duration(float64(co.acquireDelay()) * co.Rand.Float64())
+	for co.Clock.Sleep(ctx, delay) == nil {
+		delay = co.acquireDelay()
+		if len(ManagedPools(co.Board.Snapshot().Config)) == 0 {
 			continue
 		}
 		// What went wrong shows in that no orders are given; the next try is near.
-		_ = co.Lease.Keep(ctx)
+		_ = co.Lease.RenewOrAcquire(ctx)
 		if _, held := co.Lease.Fence(); held {
-			pause = co.Lease.TTL / margin
+			delay = co.Lease.TTL / marginDivisor
 		}
 	}
 }
 
-// tryPause keeps the whole fleet's looks at the lease to one per tryEvery.
-func (co *Controller) tryPause() time.Duration {
+// acquireDelay keeps the whole fleet's looks at the lease to one per tryEvery.
+func (co *Controller) acquireDelay() time.Duration {
 	routers := time.Duration(len(co.Board.Snapshot().Routers))
-	return co.jitter(max(co.Lease.TTL/2, routers*tryEvery))
+	return co.jitter(max(co.Lease.TTL/2, routers*acquireInterval))
 }
 
-// Managed lists the pools whose engines are given orders.
-func Managed(cfg *decl.Config) []*decl.Pool {
+// ManagedPools lists the pools whose engines are given orders.
+func ManagedPools(cfg *decl.Config) []*decl.Pool {
 	if cfg == nil {
 		return nil
 	}
@@ -127,65 +127,65 @@
 func (co *Controller) sweep(ctx context.Context) {
 	fence, held := co.Lease.Fence()
 	if !held {
-		co.fence, co.seen, co.proofs = 0, nil, nil
+		co.fence, co.agents, co.rollouts = 0, nil, nil
 		return
 	}
 	if fence != co.fence {
-		co.fence, co.seen, co.proofs = fence, map[core.VMID]*seen{}, map[content]*proof{}
-		if co.Held != nil {
-			co.Held(fence)
+		co.fence, co.agents, co.rollouts = fence, map[core.VMID]*agentState{}, map[orderSpec]*rollout{}
+		if co.LeaseAcquired != nil {
+			co.LeaseAcquired(fence)
 		}
 	}
 	sn := co.Board.Snapshot()
-	pools := Managed(sn.Config)
-	co.look(ctx, sn, pools)
-	loads := co.pace.Window() - co.loading()
+	pools := ManagedPools(sn.Config)
+	co.inspectAgents(ctx, sn, pools)
+	loads := co.window.Size() - co.loadsInProgress()
 	for _, po := range pools {
-		given := Next(po, co.views(sn, po), loads, func(or *core.Order, open int) bool {
-			return co.proofs[contentOf(po.Name, or)].allows(co.Clock.Now(), open)
+		assignments := Next(po, co.views(sn, po), loads, func(or *core.Order, open int) bool {
+			return co.rollouts[specOf(po.Name, or)].allows(co.Clock.Now(), open)
 		})
-		loads -= co.give(ctx, given)
+		loads -= co.issue(ctx, assignments)
 	}
 }
 
-// look asks the agents that matter most: those with an order in progress, then
+// inspectAgents asks the agents that matter most: those with an order in progress, then
 // those not seen yet, then those not seen for longest.
-func (co *Controller) look(ctx context.Context, sn *board.Snapshot, pools []*decl.Pool) {
-	at := map[core.VMID]time.Time{}
+func (co *Controller) inspectAgents(ctx context.Context, sn *board.Snapshot, pools []*decl.Pool) {
+	inspected := map[core.VMID]time.Time{}
 	for _, po := range pools {
 		for _, me := range members(sn, po) {
-			at[me.VM] = co.due(&me)
+			inspected[me.VM] = co.inspectedAt(&me)
 		}
 	}
-	maps.DeleteFunc(co.seen, func(vm core.VMID, _ *seen) bool {
-		_, member := at[vm]
+	maps.DeleteFunc(co.agents, func(vm core.VMID, _ *agentState) bool {
+		_, member := inspected[vm]
 		return !member
 	})
-	order := co.shuffled(at)
-	slices.SortStableFunc(order, func(one, two core.VMID) int { return at[one].Compare(at[two]) })
+	queue := co.shuffled(inspected)
+	slices.SortStableFunc(queue, func(one, two core.VMID) int { return inspected[one].Compare(inspected[two]) })
 	urgent := 0
-	for urgent < len(order) && at[order[urgent]].IsZero() {
+	for urgent < len(queue) && inspected[queue[urgent]].IsZero() {
 		urgent++
 	}
-	most := min(sweepMost, urgent+idleMost)
-	var asking sync.WaitGroup
-	found := make([][]core.EndpointState, min(most, len(order)))
-	for ix := range found {
-		if co.Sending != nil && !co.Sending(inspectSize) {
+	limit := min(maxInspected, urgent+maxIdleInspected)
+	var inspecting sync.WaitGroup
+	results := make([][]core.EndpointState, min(limit, len(queue)))
+	for ix := range results {
+		if co.AllowSend != nil && !co.AllowSend(inspectSize) {
 			break
 		}
-		asking.Go(func() { found[ix] = co.ask(ctx, order[ix]) })
+		inspecting.Go(func() { results[ix] = co.inspectAgent(ctx, queue[ix]) })
 	}
-	asking.Wait()
-	for ix, states := range found {
-		co.note(sn, order[ix], states)
+	inspecting.Wait()
+	for ix, states := range results {
+		co.recordStates(sn, queue[ix], states)
 	}
 }
 
 // shuffled lists the agents in random order, so that some that never answer do
 // not keep the others from their turn.
-func (co *Controller) shuffled(at map[core.VMID]time.Time) []core.VMID {
-	vms := slices.Sorted(maps.Keys(at))
+func (co *Controller) shuffled(inspected map[core.VMID]time.Time) []core.VMID {
+	vms := slices.Sorted(maps.Keys(inspected))
 	for ix := len(vms) - 1; ix > 0; ix-- {
 		other := co.Rand.Uint64() % uint64(ix+1)
 		vms[ix], vms[other] = vms[other], vms[ix]
@@ -200,22 +200,22 @@
 	return nil
 }
 
-// due orders the agents for look; the zero time is first. One whose process has
+// inspectedAt orders the agents for look; the zero time is first. One whose process has
 // started anew is as good as not seen.
-func (co *Controller) due(me *board.Member) time.Time {
-	se := co.seen[me.VM]
-	if se == nil || (me.Incarnation != 0 && se.incarnation != me.Incarnation) {
+func (co *Controller) inspectedAt(me *board.Member) time.Time {
+	st := co.agents[me.VM]
+	if st == nil || (me.Incarnation != 0 && st.incarnation != me.Incarnation) {
 		return time.Time{}
 	}
-	for ix := range se.states {
-		if se.states[ix].Phase == core.PhaseOrdered {
+	for ix := range st.states {
+		if st.states[ix].Phase == core.PhaseOrdered {
 			return time.Time{}
 		}
 	}
-	return se.at
+	return st.inspectedAt
 }
 
-func (co *Controller) ask(ctx context.Context, vm core.VMID) []core.EndpointState {
+func (co *Controller) inspectAgent(ctx context.Context, vm core.VMID) []core.EndpointState {
 	states, err := co.Peers.Inspect(ctx, vm)
 	if err != nil {
 		return nil
@@ -223,49 +223,49 @@
 	return states
 }
 
-// note takes in what an agent told; nil if it did not answer.
-func (co *Controller) note(sn *board.Snapshot, vm core.VMID, states []core.EndpointState) {
+// recordStates takes in what an agent told; nil if it did not answer.
+func (co *Controller) recordStates(sn *board.Snapshot, vm core.VMID, states []core.EndpointState) {
 	if states == nil {
 		return
 	}
-	se := co.seen[vm]
-	if se == nil {
-		se = &seen{again: map[core.EndpointID]*again{}, given: map[core.EndpointID]core.Order{}}
-		co.seen[vm] = se
+	st := co.agents[vm]
+	if st == nil {
+		st = &agentState{backoffs: map[core.EndpointID]*backoff{}, issued: map[core.EndpointID]core.Order{}}
+		co.agents[vm] = st
 	}
 	for ix := range states {
-		co.ended(se, &states[ix])
+		co.recordOrderEnd(st, &states[ix])
 	}
-	se.at, se.states, se.incarnation = co.Clock.Now(), states, 0
+	st.inspectedAt, st.states, st.incarnation = co.Clock.Now(), states, 0
 	for _, es := range states {
 		if po := sn.Pools[es.Pool]; po != nil && po.Index(vm) >= 0 {
-			se.incarnation = po.Members[po.Index(vm)].Incarnation
+			st.incarnation = po.Members[po.Index(vm)].Incarnation
 		}
 	}
 }
 
-// ended learns from an order that was in progress and no longer is.
-func (co *Controller) ended(se *seen, now *core.EndpointState) {
-	ix := slices.IndexFunc(se.states, func(es core.EndpointState) bool { return es.Endpoint == now.Endpoint })
-	if ix < 0 || se.states[ix].Phase != core.PhaseOrdered || now.Phase == core.PhaseOrdered {
+// recordOrderEnd learns from an order that was in progress and no longer is.
+func (co *Controller) recordOrderEnd(st *agentState, now *core.EndpointState) {
+	ix := slices.IndexFunc(st.states, func(es core.EndpointState) bool { return es.Endpoint == now.Endpoint })
+	if ix < 0 || st.states[ix].Phase != core.PhaseOrdered || now.Phase == core.PhaseOrdered {
 		return
 	}
-	or, known := se.given[now.Endpoint]
-	delete(se.given, now.Endpoint)
+	or, known := st.issued[now.Endpoint]
+	delete(st.issued, now.Endpoint)
 	if now.Problem == nil && now.Phase != core.PhaseUnreachable {
-		co.pace.Well()
-		delete(se.again, now.Endpoint)
+		co.window.Succeeded()
+		delete(st.backoffs, now.Endpoint)
 		if known && now.Engine.Satisfies(&or) {
-			co.proofOf(now.Pool, &or).proved = true
+			co.rolloutOf(now.Pool, &or).proven = true
 		}
 		return
 	}
 	if now.Problem != nil && now.Problem.Reason == core.ReasonWeightsBusy {
-		co.pace.Refused()
+		co.window.Rejected()
 	}
-	co.postpone(se, now.Endpoint)
+	co.backOff(st, now.Endpoint)
 	if known && engineFailed(now) {
-		co.failed(now.Pool, or)
+		co.recordRolloutFailure(now.Pool, or)
 	}
 }
 
@@ -278,40 +278,40 @@
 	return es.Problem.Outcome != core.NotRun && es.Problem.Reason != core.ReasonWeightsBusy
 }
 
-func (co *Controller) proofOf(po core.PoolID, or *core.Order) *proof {
-	key := contentOf(po, or)
-	pr := co.proofs[key]
-	if pr == nil {
-		pr = &proof{}
-		co.proofs[key] = pr
-	}
-	return pr
+func (co *Controller) rolloutOf(po core.PoolID, or *core.Order) *rollout {
+	key := specOf(po, or)
+	ro := co.rollouts[key]
+	if ro == nil {
+		ro = &rollout{}
+		co.rollouts[key] = ro
+	}
+	return ro
 }
 
-func (co *Controller) failed(po core.PoolID, or core.Order) {
-	pr := co.proofOf(po, &or)
-	if pr.fail(co.Clock.Now()) && co.GivenUp != nil {
-		co.GivenUp(po, or, pr.failures)
+func (co *Controller) recordRolloutFailure(po core.PoolID, or core.Order) {
+	ro := co.rolloutOf(po, &or)
+	if ro.recordFailure(co.Clock.Now()) && co.RolloutPaused != nil {
+		co.RolloutPaused(po, or, ro.failures)
 	}
 }
 
-func (co *Controller) postpone(se *seen, id core.EndpointID) {
-	ag := se.again[id]
-	if ag == nil {
-		ag = &again{}
-		se.again[id] = ag
-	}
-	wait := min(lastAgain, firstAgain<<min(ag.failures, 10))
-	ag.failures++
-	ag.until = co.Clock.Now().Add(co.jitter(wait))
+func (co *Controller) backOff(st *agentState, id core.EndpointID) {
+	bo := st.backoffs[id]
+	if bo == nil {
+		bo = &backoff{}
+		st.backoffs[id] = bo
+	}
+	delay := min(maxEngineRetryDelay, minEngineRetryDelay<<min(bo.failures, 10))
+	bo.failures++
+	bo.until = co.Clock.Now().Add(co.jitter(delay))
 }
 
-// loading counts the orders in progress anywhere.
-func (co *Controller) loading() int {
+// loadsInProgress counts the orders in progress anywhere.
+func (co *Controller) loadsInProgress() int {
 	count := 0
-	for _, se := range co.seen {
-		for ix := range se.states {
-			if se.states[ix].Phase == core.PhaseOrdered {
+	for _, st := range co.agents {
+		for ix := range st.states {
+			if st.states[ix].Phase == core.PhaseOrdered {
 				count++
 			}
 		}
@@ -324,17 +324,17 @@
 func (co *Controller) views(sn *board.Snapshot, po *decl.Pool) []View {
 	var views []View
 	for _, me := range members(sn, po) {
-		se := co.seen[me.VM]
-		if se == nil || (me.Incarnation != 0 && se.incarnation != me.Incarnation) {
+		st := co.agents[me.VM]
+		if st == nil || (me.Incarnation != 0 && st.incarnation != me.Incarnation) {
 			views = append(views, View{VM: me.VM})
 			continue
 		}
-		for _, es := range se.states {
+		for _, es := range st.states {
 			if es.Pool == po.Name {
-				ag := se.again[es.Endpoint]
+				bo := st.backoffs[es.Endpoint]
 				views = append(views, View{
 					VM: me.VM, EndpointState: es, Known: true, Usable: !me.Suspect,
-					Later: ag != nil && co.Clock.Now().Before(ag.until),
+					BackingOff: bo != nil && co.Clock.Now().Before(bo.until),
 				})
 			}
 		}
@@ -342,66 +342,66 @@
 	return views
 }
 
-// give hands orders over, and returns how many loads it has begun.
-func (co *Controller) give(ctx context.Context, given []Given) int {
+// issue hands orders over, and returns how many loads it has begun.
+func (co *Controller) issue(ctx context.Context, assignments []Assignment) int {
 	// What the budget holds back is planned again in the next sweep.
-	for ix := range given {
-		if co.Sending != nil && !co.Sending(orderSize) {
-			given = given[:ix]
+	for ix := range assignments {
+		if co.AllowSend != nil && !co.AllowSend(orderSize) {
+			assignments = assignments[:ix]
 			break
 		}
 	}
-	var giving sync.WaitGroup
-	refusals := make([]*core.Refusal, len(given))
-	for ix := range given {
-		giving.Go(func() { refusals[ix] = co.giveOne(ctx, &given[ix]) })
+	var issuing sync.WaitGroup
+	refusals := make([]*core.Refusal, len(assignments))
+	for ix := range assignments {
+		issuing.Go(func() { refusals[ix] = co.issueOne(ctx, &assignments[ix]) })
 	}
-	giving.Wait()
+	issuing.Wait()
 	loads := 0
-	for ix := range given {
-		if co.settle(given[ix], refusals[ix]) && fetches(given[ix].Kind) {
+	for ix := range assignments {
+		if co.recordIssue(assignments[ix], refusals[ix]) && loadsWeights(assignments[ix].Kind) {
 			loads++
 		}
 	}
 	return loads
 }
 
-// giveOne stamps an order and hands it over, if the lease still allows it.
-func (co *Controller) giveOne(ctx context.Context, gi *Given) *core.Refusal {
+// issueOne stamps an order and hands it over, if the lease still allows it.
+func (co *Controller) issueOne(ctx context.Context, as *Assignment) *core.Refusal {
 	fence, held := co.Lease.Fence()
 	if !held || fence != co.fence {
-		return &core.Refusal{Outcome: core.NotRun, Reason: core.ReasonOldFence, Step: "give", Peer: string(gi.VM), Detail: "the lease has lapsed"}
+		return &core.Refusal{Outcome: core.NotRun, Reason: core.ReasonOldFence, Step: "give", Peer: string(as.VM), Detail: "the lease has lapsed"}
 	}
-	gi.Fence = fence
-	ctx, cancel := context.WithTimeout(ctx, giveWithin)
+	as.Fence = fence
+	ctx, cancel := context.WithTimeout(ctx, issueTimeout)
 	defer cancel()
-	if err := co.Peers.Order(ctx, gi.VM, &gi.Order); err != nil {
-		return core.AsRefusal(err, "give", string(gi.VM))
+	if err := co.Peers.Order(ctx, as.VM, &as.Order); err != nil {
+		return core.AsRefusal(err, "give", string(as.VM))
 	}
 	return nil
 }
 
-// settle notes how handing over ended. An order whose fate is unknown counts as
+// recordIssue notes how handing over ended. An order whose fate is unknown counts as
 // in progress until the agent tells otherwise.
-func (co *Controller) settle(gi Given, re *core.Refusal) bool {
-	se := co.seen[gi.VM]
-	if se == nil {
+func (co *Controller) recordIssue(as Assignment, re *core.Refusal) bool {
+	st := co.agents[as.VM]
+	if st == nil {
 		return false
 	}
 	if re != nil && co.Refused != nil {
-		co.Refused(gi, re)
+		co.Refused(as, re)
 	}
 	if re != nil && re.Outcome == core.NotRun {
-		co.postpone(se, gi.Endpoint)
+		co.backOff(st, as.Endpoint)
 		return false
 	}
 	if re == nil && co.Issued != nil {
-		co.Issued(gi)
+		co.Issued(as)
 	}
-	se.given[gi.Endpoint] = gi.Order
-	for ix := range se.states {
-		if se.states[ix].Endpoint == gi.Endpoint {
-			se.states[ix].Phase = core.PhaseOrdered
+	st.issued[as.Endpoint] = as.Order
+	for ix := range st.states {
+		if st.states[ix].Endpoint == as.Endpoint {
+			st.states[ix].Phase = core.PhaseOrdered
 		}
 	}
 	return true
--- a/core/order/lease.go
+++ b/core/order/lease.go
@@ -53,13 +53,13 @@
 	fenceKey  = "orders/fence"
 	// DefaultTTL is the lease's time to live.
 	DefaultTTL = 12 * time.Second
-	// margin is the part of the time to live that the holder does not use: its
+	// marginDivisor is the part of the time to live that the holder does not use: its
 	// clock may run slower than the KV's.
-	margin = 4
+	marginDivisor = 4
 )
 
 // ErrHeld: another process holds the lease.
-var ErrHeld = errors.New("another process holds the lease")
+var ErrLeaseHeld = errors.New("another process holds the lease")
 
 // Lease is a process's claim to give orders. Set the exported fields before use.
 type Lease struct {
@@ -68,11 +68,11 @@
 	Self  core.Claimant
 	TTL   time.Duration
 
-	mu    sync.Mutex // guards all below
-	id    core.LeaseID
-	fence core.Fence
-	until time.Time
-	tries int
+	mu         sync.Mutex // guards all below
+	id         core.LeaseID
+	fence      core.Fence
+	validUntil time.Time
+	attempts   int
 }
 
 // Fence is the number to stamp orders with; false if the process may give none.
@@ -81,11 +81,11 @@
 func (le *Lease) Fence() (core.Fence, bool) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	return le.fence, le.fence != 0 && le.Clock.Now().Before(le.until)
+	return le.fence, le.fence != 0 && le.Clock.Now().Before(le.validUntil)
 }
 
-// Keep renews the lease if it is held, else tries to get it.
-func (le *Lease) Keep(ctx context.Context) error {
+// RenewOrAcquire renews the lease if it is held, else tries to get it.
+func (le *Lease) RenewOrAcquire(ctx context.Context) error {
 	if _, held := le.Fence(); held {
 		return le.renew(ctx)
 	}
@@ -111,7 +111,7 @@
 	sent := le.Clock.Now()
 	if _, err := le.KV.Get(ctx, holderKey); !errors.Is(err, core.ErrNotFound) {
 		if err == nil {
-			err = ErrHeld
+			err = ErrLeaseHeld
 		}
 		return wrap("look", err)
 	}
@@ -123,7 +123,7 @@
 	if err != nil {
 		return wrap("create", err)
 	}
-	if err = raise(ctx, le.KV, core.Fence(version)); err != nil {
+	if err = raiseFence(ctx, le.KV, core.Fence(version)); err != nil {
 		return wrap("raise", err)
 	}
 	le.mu.Lock()
@@ -136,14 +136,14 @@
 // create makes the holder's entry. If the answer is lost, the entry itself tells
 // by its value, which no other try writes, whether it was made.
 func (le *Lease) create(ctx context.Context, id core.LeaseID) (core.Version, error) {
-	le.tries++
-	name := fmt.Appendf(nil, "%s/%d/%d", le.Self.VM, le.Self.Incarnation, le.tries)
+	le.attempts++
+	name := fmt.Appendf(nil, "%s/%d/%d", le.Self.VM, le.Self.Incarnation, le.attempts)
 	version, err := le.KV.Put(ctx, holderKey, name, 0, id)
 	if err == nil {
 		return version, nil
 	}
 	if errors.Is(err, core.ErrConflict) {
-		return 0, ErrHeld
+		return 0, ErrLeaseHeld
 	}
 	en, seen := le.KV.Get(ctx, holderKey)
 	if seen == nil && bytes.Equal(en.Value, name) {
@@ -152,23 +152,23 @@
 	return 0, err
 }
 
-// raise puts the number into the entry that stays. Orders may only be given once
+// raiseFence puts the number into the entry that stays. Orders may only be given once
 // it is there: an agent that starts reads it from nowhere else. A higher number
 // there means that the lease has lapsed meanwhile and another has it.
-func raise(ctx context.Context, kv core.KV, to core.Fence) error {
+func raiseFence(ctx context.Context, kv core.KV, to core.Fence) error {
 	const tries = 3
 	var err error
 	for range tries {
 		var now core.Fence
 		var version core.Version
-		if now, version, err = current(ctx, kv); err != nil {
+		if now, version, err = currentFence(ctx, kv); err != nil {
 			return err
 		}
 		if now == to {
 			return nil
 		}
 		if now > to {
-			return ErrHeld
+			return ErrLeaseHeld
 		}
 		value := strconv.AppendUint(nil, uint64(to), 10)
 		if _, err = kv.Put(ctx, fenceKey, value, version, 0); err == nil {
@@ -178,9 +178,9 @@
 	return err
 }
 
-// current is the highest number under which orders may have been given, with its
+// currentFence is the highest number under which orders may have been given, with its
 // entry's version; 0 if there were none.
-func current(ctx context.Context, kv core.KV) (core.Fence, core.Version, error) {
+func currentFence(ctx context.Context, kv core.KV) (core.Fence, core.Version, error) {
 	en, err := kv.Get(ctx, fenceKey)
 	if errors.Is(err, core.ErrNotFound) {
 		return 0, 0, nil
@@ -198,13 +198,13 @@
 func (le *Lease) extend(sent time.Time) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.until = sent.Add(le.TTL - le.TTL/margin)
+	le.validUntil = sent.Add(le.TTL - le.TTL/marginDivisor)
 }
 
 func (le *Lease) drop() {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	le.id, le.fence, le.until = 0, 0, time.Time{}
+	le.id, le.fence, le.validUntil = 0, 0, time.Time{}
 }
 
 func wrap(step string, err error) error {
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -50,7 +50,7 @@
 		own := clock.NewRand(seed*10 + uint64(ix))
 		go func() {
 			for (clock.Wall{}).Sleep(ctx, time.Duration(own.Uint64()%uint64(8*time.Second))) == nil {
-				_ = le.Keep(ctx)
+				_ = le.RenewOrAcquire(ctx)
 			}
 		}()
 	}
@@ -85,9 +85,9 @@
 // its own entry there and holds the lease rather than waiting for it to lapse.
 func TestLostAnswerToAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		kv := &losing{Store: newStore(), key: "orders/holder"}
+		kv := &lossyStore{Store: newStore(), key: "orders/holder"}
 		le := newLease(kv, "router")
-		if err := le.Keep(t.Context()); err != nil {
+		if err := le.RenewOrAcquire(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if _, held := le.Fence(); !held || !kv.lost {
@@ -96,15 +96,15 @@
 	})
 }
 
-// losing loses the answer to the first write of a key.
-type losing struct {
+// lossyStore loses the answer to the first write of a key.
+type lossyStore struct {
 	*kvsrv.Store
 	key  string
 	lost bool
 }
 
 // Put writes an entry.
-func (lo *losing) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
+func (lo *lossyStore) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
 	version, err := lo.Store.Put(ctx, key, value, expect, le)
 	if key == lo.key && !lo.lost {
 		lo.lost = true
@@ -115,37 +115,37 @@
 
 // An order waits until the engine's calls have ended, which takes minutes. In
 // that time the lease passes to another holder. The order must not run then.
-func TestOrderThatWaitedIsCheckedAgain(t *testing.T) {
+func TestFenceIsCheckedAgainAfterDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		raise(t, store, 0, 5)
+		writeFence(t, store, 0, 5)
 		en := &inmem.Engine{Clock: clock.Wall{}}
 		free := make(chan struct{})
-		ga := &order.Gate{KV: store, Clock: clock.Wall{}, Self: "agent", Seats: []*order.Seat{{
-			ID: "engine", Engine: en, Release: func() {},
-			Hold: func(context.Context) error {
+		ex := &order.Executor{KV: store, Clock: clock.Wall{}, Self: "agent", Endpoints: []*order.Endpoint{{
+			ID: "engine", Engine: en, Resume: func() {},
+			Drain: func(context.Context) error {
 				<-free
 				return nil
 			},
 		}}}
 		or := core.Order{Fence: 5, Endpoint: "engine", Kind: core.OrderLoadModel, Name: "m", Version: "v2"}
-		if err := ga.Order(t.Context(), &or); err != nil {
+		if err := ex.Order(t.Context(), &or); err != nil {
 			t.Fatal(err)
 		}
-		raise(t, store, 1, 9)
+		writeFence(t, store, 1, 9)
 		close(free)
 		time.Sleep(time.Second)
 		if fences, _ := en.Fences(); len(fences) > 0 {
 			t.Errorf("ran orders numbered %v", fences)
 		}
-		if problem := ga.States(t.Context())[0].Problem; problem == nil || problem.Reason != core.ReasonOldFence {
+		if problem := ex.States(t.Context())[0].Problem; problem == nil || problem.Reason != core.ReasonOldFence {
 			t.Errorf("the agent tells %v", problem)
 		}
 	})
 }
 
-// raise writes the current number as a holder does.
-func raise(t *testing.T, store *kvsrv.Store, expect core.Version, to core.Fence) {
+// writeFence writes the current number as a holder does.
+func writeFence(t *testing.T, store *kvsrv.Store, expect core.Version, to core.Fence) {
 	t.Helper()
 	if _, err := store.Put(t.Context(), "orders/fence", strconv.AppendUint(nil, uint64(to), 10), expect, 0); err != nil {
 		t.Fatal(err)
@@ -155,19 +155,19 @@
 // An agent that has just started is given an order while the KV cannot be read,
 // or answers with content older than the holder's own write. It takes none, and
 // says why.
-func TestNoOrderWithoutTheCurrentNumber(t *testing.T) {
+func TestNoOrderWithoutTheCurrentFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		raise(t, store, 0, 5)
+		writeFence(t, store, 0, 5)
 		en := &inmem.Engine{Clock: clock.Wall{}}
-		ga := &order.Gate{KV: store, Clock: clock.Wall{}, Self: "agent", Seats: []*order.Seat{{ID: "engine", Engine: en}}}
+		ex := &order.Executor{KV: store, Clock: clock.Wall{}, Self: "agent", Endpoints: []*order.Endpoint{{ID: "engine", Engine: en}}}
 		for _, one := range []struct {
 			fence  core.Fence
 			down   bool
 			reason core.Reason
 		}{{5, true, core.ReasonKVDown}, {9, false, core.ReasonKVDown}, {3, false, core.ReasonOldFence}} {
 			store.SetFaults(kvsrv.Faults{Down: one.down})
-			err := ga.Order(t.Context(), &core.Order{Fence: one.fence, Endpoint: "engine", Kind: core.OrderChangeRole, Name: "Decode"})
+			err := ex.Order(t.Context(), &core.Order{Fence: one.fence, Endpoint: "engine", Kind: core.OrderChangeRole, Name: "Decode"})
 			var re *core.Refusal
 			if !errors.As(err, &re) || re.Reason != one.reason || re.Outcome != core.NotRun {
 				t.Errorf("%+v: %v", one, err)
@@ -188,18 +188,18 @@
 		var views []order.View
 		serving := map[core.VMID]bool{}
 		for ix := range rapid.IntRange(0, 10).Draw(rt, "engines") {
-			vi := view(rt, core.VMID(fmt.Sprint("vm-", ix)))
+			vi := drawView(rt, core.VMID(fmt.Sprint("vm-", ix)))
 			serving[vi.VM] = vi.Known && vi.Usable && (vi.Phase == core.PhaseUnmanaged ||
 				(vi.Phase == core.PhaseReady && vi.Engine.Model == "m"))
 			views = append(views, vi)
 		}
 		before := count(serving)
 		begun := 0
-		for _, gi := range order.Next(po, views, loads, nil) {
-			if gi.Kind == core.OrderLoadModel {
-				delete(serving, gi.VM)
+		for _, as := range order.Next(po, views, loads, nil) {
+			if as.Kind == core.OrderLoadModel {
+				delete(serving, as.VM)
 			}
-			if gi.Kind != core.OrderChangeRole && gi.Kind != core.OrderUnloadAdapter {
+			if as.Kind != core.OrderChangeRole && as.Kind != core.OrderUnloadAdapter {
 				begun++
 			}
 		}
@@ -212,7 +212,7 @@
 	})
 }
 
-func view(rt *rapid.T, vm core.VMID) order.View {
+func drawView(rt *rapid.T, vm core.VMID) order.View {
 	phases := []core.Phase{core.PhaseReady, core.PhaseReady, core.PhaseOrdered, core.PhaseUnmanaged, core.PhaseUnreachable}
 	return order.View{
 		VM: vm, Known: rapid.Bool().Draw(rt, "known"), Usable: rapid.Bool().Draw(rt, "usable"),
@@ -238,20 +238,20 @@
 
 // The weight store bears few loads at a time and says so. Fewer are begun from
 // then on, and more again as loads go well.
-func TestPaceFollowsTheStore(t *testing.T) {
-	var pa order.Pace
+func TestLoadWindowAdaptsToTheStore(t *testing.T) {
+	var lw order.LoadWindow
 	for range 40 {
-		pa.Well()
+		lw.Succeeded()
 	}
-	grown := pa.Window()
-	pa.Refused()
-	if shrunk := pa.Window(); grown < 6 || shrunk != grown/2 {
+	grown := lw.Size()
+	lw.Rejected()
+	if shrunk := lw.Size(); grown < 6 || shrunk != grown/2 {
 		t.Errorf("%d after 40 loads, %d after a refusal", grown, shrunk)
 	}
 	for range 20 {
-		pa.Refused()
+		lw.Rejected()
 	}
-	if pa.Window() != 1 {
-		t.Errorf("%d: at least one load must go on", pa.Window())
+	if lw.Size() != 1 {
+		t.Errorf("%d: at least one load must go on", lw.Size())
 	}
 }
--- a/core/order/plan.go
+++ b/core/order/plan.go
@@ -15,8 +15,8 @@
 	// it calls.
 	Known  bool
 	Usable bool
-	// Later is set while an order that failed is not to be given again yet.
-	Later bool
+	// BackingOff is set while an order that failed is not to be given again yet.
+	BackingOff bool
 }
 
 // serving tells whether it serves the pool's model, in any version.
@@ -27,8 +27,8 @@
 	return vi.Phase == core.PhaseUnmanaged || (vi.Phase == core.PhaseReady && vi.Engine.Model == po.Model)
 }
 
-// Given is an order and the VM whose agent it goes to.
-type Given struct {
+// Assignment is an order and the VM whose agent it goes to.
+type Assignment struct {
 	VM core.VMID
 	core.Order
 }
@@ -38,7 +38,7 @@
 // go on serving. An endpoint not seen yet counts as not serving: it may be in the
 // middle of an earlier holder's order. allow tells whether one more engine may get an
 // order, beside those with one in progress; nil allows all.
-func Next(po *decl.Pool, views []View, loads int, allow func(or *core.Order, open int) bool) []Given {
+func Next(po *decl.Pool, views []View, loads int, allow func(or *core.Order, open int) bool) []Assignment {
 	if po.Version == "" {
 		return nil
 	}
@@ -51,14 +51,14 @@
 			open++
 		}
 	}
-	var given []Given
+	var assignments []Assignment
 	for ix := range views {
 		vi := &views[ix]
 		or := Wanted(po, &vi.EndpointState)
-		if !vi.Known || vi.Later || vi.Phase != core.PhaseReady || or == nil {
+		if !vi.Known || vi.BackingOff || vi.Phase != core.PhaseReady || or == nil {
 			continue
 		}
-		if fetches(or.Kind) && loads <= 0 {
+		if loadsWeights(or.Kind) && loads <= 0 {
 			continue
 		}
 		if allow != nil && !allow(or, open) {
@@ -70,16 +70,16 @@
 			}
 			spare--
 		}
-		if fetches(or.Kind) {
+		if loadsWeights(or.Kind) {
 			loads--
 		}
 		open++
-		given = append(given, Given{VM: vi.VM, Order: *or})
+		assignments = append(assignments, Assignment{VM: vi.VM, Order: *or})
 	}
-	return given
+	return assignments
 }
 
-func fetches(ki core.OrderKind) bool {
+func loadsWeights(ki core.OrderKind) bool {
 	return ki == core.OrderLoadModel || ki == core.OrderLoadAdapter
 }
 
@@ -89,7 +89,7 @@
 	if po.Version == "" || es.Phase == core.PhaseUnmanaged || es.Phase == core.PhaseUnreachable {
 		return nil
 	}
-	for _, or := range orders(po, es) {
+	for _, or := range desiredOrders(po, es) {
 		if !es.Engine.Satisfies(&or) {
 			return &or
 		}
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// orders lists everything that the pool wants of the endpoint. The model comes
+// desiredOrders lists everything that the pool wants of the endpoint. The model comes
 // first, as loading one drops its adapters.
-func orders(po *decl.Pool, es *core.EndpointState) []core.Order {
+func desiredOrders(po *decl.Pool, es *core.EndpointState) []core.Order {
 	role := po.Role
 	if role == "" {
 		role = "Both"
--- a/core/order/proof.go
+++ b/core/order/proof.go
@@ -13,54 +13,54 @@
 // keep what they have.
 
 const (
-	// mostUnproved is how many engines may have an order of which none has gone well, those
+	// maxUnprovenEngines is how many engines may have an order of which none has gone well, those
 	// at which it failed included: a single engine may fail for a reason of its own.
-	mostUnproved = 3
-	// firstRetry is when an order that failed on so many is given to one more, mostRetry the
+	maxUnprovenEngines = 3
+	// minRolloutRetryDelay is when an order that failed on so many is given to one more, mostRetry the
 	// longest pause, doubled from try to try.
-	firstRetry = 10 * time.Minute
-	mostRetry  = 2 * time.Hour
+	minRolloutRetryDelay = 10 * time.Minute
+	maxRolloutRetryDelay = 2 * time.Hour
 )
 
-// content is what an order asks, whichever engine gets it.
-type content struct {
+// orderSpec is what an order asks, whichever engine gets it.
+type orderSpec struct {
 	pool          core.PoolID
 	kind          core.OrderKind
 	name, version string
 }
 
-func contentOf(po core.PoolID, or *core.Order) content {
-	return content{po, or.Kind, or.Name, or.Version}
+func specOf(po core.PoolID, or *core.Order) orderSpec {
+	return orderSpec{po, or.Kind, or.Name, or.Version}
 }
 
-// proof is what is known of an order's content.
-type proof struct {
-	proved   bool
+// rollout is what is known of an order's content.
+type rollout struct {
+	proven   bool
 	failures int
 	until    time.Time
 }
 
 // allows tells whether one more engine may get the order, while open have one in progress.
-func (pr *proof) allows(now time.Time, open int) bool {
+func (ro *rollout) allows(now time.Time, open int) bool {
 	switch {
-	case pr == nil:
-		return open < mostUnproved
-	case pr.proved:
+	case ro == nil:
+		return open < maxUnprovenEngines
+	case ro.proven:
 		return true
-	case pr.failures < mostUnproved:
-		return pr.failures+open < mostUnproved
+	case ro.failures < maxUnprovenEngines:
+		return ro.failures+open < maxUnprovenEngines
 	}
-	return open == 0 && !now.Before(pr.until)
+	return open == 0 && !now.Before(ro.until)
 }
 
-// fail notes that the order failed on an engine. It returns true if no further engine gets it
+// recordFailure notes that the order failed on an engine. It returns true if no further engine gets it
 // for now.
-func (pr *proof) fail(now time.Time) bool {
-	pr.failures++
-	beyond := pr.failures - mostUnproved
-	if pr.proved || beyond < 0 {
+func (ro *rollout) recordFailure(now time.Time) bool {
+	ro.failures++
+	beyond := ro.failures - maxUnprovenEngines
+	if ro.proven || beyond < 0 {
 		return false
 	}
-	pr.until = now.Add(min(mostRetry, firstRetry<<min(beyond, 10)))
+	ro.until = now.Add(min(maxRolloutRetryDelay, minRolloutRetryDelay<<min(beyond, 10)))
 	return true
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -80,7 +80,7 @@
 	server          *rpc.Server
 	router          *router.Router
 	agent           *agent.Agent
-	orderGate       *order.Gate       // agents only
+	orderGate       *order.Executor   // agents only
 	orderController *order.Controller // routers only
 	ledger          *guard.Ledger     // routers only
 	followers       []*back.Follower
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -17,20 +17,20 @@
 			KV: pr.kv, Clock: pr.clock, TTL: order.DefaultTTL,
 			Self: core.Claimant{VM: pr.Settings.Name, Incarnation: pr.incarnation},
 		},
-		Board: pr.board, Peers: pr.peers, Clock: pr.clock, Rand: pr.rand, Sending: pr.controlBucket.Allow,
-		Held: func(fence core.Fence) {
+		Board: pr.board, Peers: pr.peers, Clock: pr.clock, Rand: pr.rand, AllowSend: pr.controlBucket.Allow,
+		LeaseAcquired: func(fence core.Fence) {
 			logger.Info("This process gives the orders now.", zap.Uint64("Fence", uint64(fence)))
 		},
-		GivenUp: func(po core.PoolID, or core.Order, failures int) {
+		RolloutPaused: func(po core.PoolID, or core.Order, failures int) {
 			pr.Stats.Add(stats.OrdersGivenUp, 1)
 			logger.Error("An order failed on several engines; no further one gets it for now.", zap.String("Pool", string(po)),
 				zap.String("Kind", string(or.Kind)), zap.String("Name", or.Name), zap.String("Version", or.Version), zap.Int("Failures", failures))
 		},
-		Issued: func(gi order.Given) {
+		Issued: func(gi order.Assignment) {
 			pr.Stats.Add(stats.OrdersGiven, 1)
 			logger.Info("An order was given.", orderFields(&gi.Order, gi.VM)...)
 		},
-		Refused: func(gi order.Given, re *core.Refusal) {
+		Refused: func(gi order.Assignment, re *core.Refusal) {
 			pr.Stats.Refuse(re.Reason)
 			logger.Warn("An order was not taken.", append(orderFields(&gi.Order, gi.VM), zap.Error(re))...)
 		},
@@ -40,7 +40,7 @@
 // buildOrderGate makes the part of an agent that takes orders.
 func (pr *Process) buildOrderGate(endpoints []*back.Endpoint) {
 	logger := pr.Logs.Part("orders")
-	pr.orderGate = &order.Gate{KV: pr.kv, Clock: pr.clock, Self: pr.Settings.Name}
+	pr.orderGate = &order.Executor{KV: pr.kv, Clock: pr.clock, Self: pr.Settings.Name}
 	pr.orderGate.Ended = func(or *core.Order, re *core.Refusal) {
 		if re == nil {
 			pr.Stats.Add(stats.OrdersDone, 1)
@@ -51,11 +51,11 @@
 		logger.Warn("An order was not carried out.", append(orderFields(or, pr.Settings.Name), zap.Error(re))...)
 	}
 	for ix, sl := range pr.agent.Slots {
-		se := &order.Seat{ID: sl.ID, Pool: sl.Pool, Hold: sl.Pause, Release: sl.Resume}
+		se := &order.Endpoint{ID: sl.ID, Pool: sl.Pool, Drain: sl.Pause, Resume: sl.Resume}
 		if endpoints[ix].Engine {
 			se.Engine = endpoints[ix]
 		}
-		pr.orderGate.Seats = append(pr.orderGate.Seats, se)
+		pr.orderGate.Endpoints = append(pr.orderGate.Endpoints, se)
 	}
 	pr.server.Order = pr.orderGate.Order
 	pr.server.Inspect = pr.orderGate.States
--- a/io/oper/status.go
+++ b/io/oper/status.go
@@ -73,7 +73,7 @@
 
 // inspect lists an agent's endpoints in pools whose engines are given orders.
 func (se *Server) inspect(ctx context.Context, cfg *decl.Config, ps *opsrpc.ProcessStatus) []*opsrpc.EndpointStatus {
-	if cfg == nil || len(order.Managed(cfg)) == 0 {
+	if cfg == nil || len(order.ManagedPools(cfg)) == 0 {
 		return nil
 	}
 	states, err := se.Peers.Inspect(ctx, core.VMID(ps.VM))
@@ -82,7 +82,7 @@
 		return nil
 	}
 	var out []*opsrpc.EndpointStatus
-	for _, po := range order.Managed(cfg) {
+	for _, po := range order.ManagedPools(cfg) {
 		for ix := range states {
 			if states[ix].Pool == po.Name {
 				out = append(out, endpointStatus(ps.VM, po, &states[ix]))
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -42,7 +42,7 @@
 	Agent    *agent.Agent   // nil on routers
 	Keeper   *claim.Keeper  // nil on routers
 	Keys     *claim.Keys
-	Orders   *order.Gate // nil on routers
+	Orders   *order.Executor // nil on routers
 	// Control gives orders; nil on agents.
 	Control *order.Controller
 	Engines []*Engine
@@ -200,10 +200,10 @@
 		Keys:  me.Keys, Peers: port{fl.Net, me.ID}, AllowSend: me.Meter.Allow, RevisionSeen: me.Spreader.Heard,
 	}
 	me.Agent.Init()
-	me.Orders = &order.Gate{KV: ownKV{fl.Store, me}, Clock: fl.Clock, Self: me.ID}
+	me.Orders = &order.Executor{KV: ownKV{fl.Store, me}, Clock: fl.Clock, Self: me.ID}
 	for _, sl := range me.Agent.Slots {
-		me.Orders.Seats = append(me.Orders.Seats, &order.Seat{
-			ID: sl.ID, Pool: sl.Pool, Engine: en, Hold: sl.Pause, Release: sl.Resume,
+		me.Orders.Endpoints = append(me.Orders.Endpoints, &order.Endpoint{
+			ID: sl.ID, Pool: sl.Pool, Engine: en, Drain: sl.Pause, Resume: sl.Resume,
 		})
 	}
 	en.evicted = func(key uint64) { me.Agent.Book.ApplyEviction(core.EndpointID(name), en.nextEvent(), key) }
@@ -231,8 +231,8 @@
 			KV: ownKV{fl.Store, me}, Clock: fl.Clock, TTL: order.DefaultTTL,
 			Self: core.Claimant{VM: me.ID, Incarnation: me.incarnation},
 		},
-		Board: me.Board, Peers: port{fl.Net, me.ID}, Clock: fl.Clock, Rand: fl.Rand, Sending: me.Meter.Allow,
-		Refused: func(order.Given, *core.Refusal) { me.OrdersRefused.Add(1) },
+		Board: me.Board, Peers: port{fl.Net, me.ID}, Clock: fl.Clock, Rand: fl.Rand, AllowSend: me.Meter.Allow,
+		Refused: func(order.Assignment, *core.Refusal) { me.OrdersRefused.Add(1) },
 	}
 	fl.run(me)
 	go func() { _ = me.Control.Run(me.alive) }()
