--- a/core/claim/chain.go
+++ b/core/claim/chain.go
@@ -25,7 +25,7 @@
 	// At is the writer's time, in Unix milliseconds.
 	At        int64
 	Claimants []claimant
-	Claims    []claimed
+	Claims    []claimEntry
 }
 
 type claimant struct {
@@ -34,7 +34,7 @@
 	Incarnation uint64
 }
 
-type claimed struct {
+type claimEntry struct {
 	_        struct{} `cbor:",toarray"`
 	Hash     []byte
 	Claimant int
@@ -54,7 +54,7 @@
 		return nil
 	}
 	var he head
-	en, err := sh.keeper.KV.Get(ctx, headKey(sh.shardNo))
+	en, err := sh.writer.KV.Get(ctx, headKey(sh.shardNo))
 	if err != nil && !errors.Is(err, core.ErrNotFound) {
 		return fmt.Errorf("read head: %w", err)
 	}
@@ -67,7 +67,7 @@
 		return err
 	}
 	for _, ba := range he.Batches {
-		sh.learn(ba)
+		sh.addBatch(ba)
 	}
 	sh.head, sh.version, sh.synced = he, en.Version, true
 	return nil
@@ -77,12 +77,12 @@
 // lapsed are older than Window and are not missed.
 func (sh *shard) readSegments(ctx context.Context, from, to uint64) error {
 	for from < to {
-		page, err := sh.keeper.KV.List(ctx, segmentKey(sh.shardNo, from), segmentKey(sh.shardNo, to), segmentPage)
+		page, err := sh.writer.KV.List(ctx, segmentKey(sh.shardNo, from), segmentKey(sh.shardNo, to), segmentPage)
 		if err != nil {
 			return fmt.Errorf("read segments: %w", err)
 		}
 		for _, en := range page {
-			if err = sh.learnSegment(en); err != nil {
+			if err = sh.addSegment(en); err != nil {
 				return err
 			}
 		}
@@ -97,24 +97,24 @@
 	return nil
 }
 
-func (sh *shard) learnSegment(en core.Entry) error {
+func (sh *shard) addSegment(en core.Entry) error {
 	var batches []batch
 	if err := cbor.Unmarshal(en.Value, &batches); err != nil {
 		return fmt.Errorf("decode segment %s: %w", en.Key, err)
 	}
 	for _, ba := range batches {
-		sh.learn(ba)
+		sh.addBatch(ba)
 	}
 	return nil
 }
 
-// learn takes a batch's claims into memory. The first claim of a key stands: a
+// addBatch takes a batch's claims into memory. The first claim of a key stands: a
 // keeper only adds a key that it has not found.
-func (sh *shard) learn(ba batch) {
+func (sh *shard) addBatch(ba batch) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	at := secondsOf(time.UnixMilli(ba.At))
-	if at < secondsOf(sh.keeper.Clock.Now().Add(-sh.keeper.Window)) {
+	at := unixSeconds(time.UnixMilli(ba.At))
+	if at < unixSeconds(sh.writer.Clock.Now().Add(-sh.writer.Window)) {
 		return
 	}
 	for _, cl := range ba.Claims {
@@ -125,58 +125,58 @@
 		}
 		by := ba.Claimants[cl.Claimant]
 		claimant := core.Claimant{VM: core.VMID(by.VM), Incarnation: core.Incarnation(by.Incarnation)}
-		sh.young[hash] = held{by: sh.number(claimant), at: at}
+		sh.recent[hash] = heldClaim{by: sh.indexOf(claimant), at: at}
 	}
 }
 
 // write swaps the batch into the head. Whatever error comes back, the shard is
 // read again before anything else is written: the swap may have taken effect, and
 // then shows in the head; or another keeper was first, and then its claims do.
-func (sh *shard) write(ctx context.Context, asks []*ask) error {
-	next, err := sh.makeRoom(ctx)
+func (sh *shard) write(ctx context.Context, pending []*pendingClaim) error {
+	next, err := sh.rollHead(ctx)
 	if err != nil {
 		return err
 	}
-	added := newBatch(asks, sh.keeper.Clock.Now())
+	added := newBatch(pending, sh.writer.Clock.Now())
 	next.Batches = append(next.Batches, added)
 	value, err := cbor.Marshal(next)
 	if err != nil {
 		return fmt.Errorf("encode head: %w", err)
 	}
-	sh.spend()
-	version, err := sh.keeper.KV.Put(ctx, headKey(sh.shardNo), value, sh.version, 0)
+	sh.chargeWrite()
+	version, err := sh.writer.KV.Put(ctx, headKey(sh.shardNo), value, sh.version, 0)
 	if err != nil {
 		sh.synced = false
 		return fmt.Errorf("swap head: %w", err)
 	}
 	sh.head, sh.version = next, version
-	sh.learn(added)
+	sh.addBatch(added)
 	return nil
 }
 
-// makeRoom returns the head to add to. A full one is written to a segment first.
+// rollHead returns the head to add to. A full one is written to a segment first.
 // The segment's entry is created only if absent: if another keeper has written
 // that number, it did so from the same version of the head or a later one, and
 // this keeper's swap will fail in the latter case and be right in the former.
-func (sh *shard) makeRoom(ctx context.Context) (head, error) {
+func (sh *shard) rollHead(ctx context.Context) (head, error) {
 	kept := head{Segments: sh.head.Segments, Batches: append([]batch(nil), sh.head.Batches...)}
 	size := 0
 	for _, ba := range kept.Batches {
 		size += len(ba.Claims)*claimBytes + len(ba.Claimants)*claimantBytes
 	}
-	if size < headBytes {
+	if size < maxHeadBytes {
 		return kept, nil
 	}
 	value, err := cbor.Marshal(kept.Batches)
 	if err != nil {
 		return head{}, fmt.Errorf("encode segment: %w", err)
 	}
-	lease, err := sh.keeper.segmentLease(ctx)
+	lease, err := sh.writer.segmentLease(ctx)
 	if err != nil {
 		return head{}, err
 	}
-	sh.spend()
-	_, err = sh.keeper.KV.Put(ctx, segmentKey(sh.shardNo, kept.Segments), value, 0, lease)
+	sh.chargeWrite()
+	_, err = sh.writer.KV.Put(ctx, segmentKey(sh.shardNo, kept.Segments), value, 0, lease)
 	if err != nil && !errors.Is(err, core.ErrConflict) {
 		return head{}, fmt.Errorf("write segment: %w", err)
 	}
@@ -189,25 +189,25 @@
 	claimantBytes = 28
 )
 
-func newBatch(asks []*ask, now time.Time) batch {
+func newBatch(pending []*pendingClaim, now time.Time) batch {
 	ba := batch{At: now.UnixMilli()}
 	index := map[core.Claimant]int{}
 	seen := map[core.KeyHash]bool{}
-	for _, as := range asks {
-		if seen[as.claim.Hash] {
+	for _, pc := range pending {
+		if seen[pc.claim.Hash] {
 			// Two claimants want the key at once: the first in the batch has it.
 			continue
 		}
-		seen[as.claim.Hash] = true
-		at, known := index[as.claim.By]
+		seen[pc.claim.Hash] = true
+		at, known := index[pc.claim.By]
 		if !known {
 			at = len(ba.Claimants)
-			index[as.claim.By] = at
+			index[pc.claim.By] = at
 			ba.Claimants = append(ba.Claimants, claimant{
-				VM: string(as.claim.By.VM), Incarnation: uint64(as.claim.By.Incarnation),
+				VM: string(pc.claim.By.VM), Incarnation: uint64(pc.claim.By.Incarnation),
 			})
 		}
-		ba.Claims = append(ba.Claims, claimed{Hash: as.claim.Hash[:], Claimant: at})
+		ba.Claims = append(ba.Claims, claimEntry{Hash: pc.claim.Hash[:], Claimant: at})
 	}
 	return ba
 }
--- a/core/claim/history_test.go
+++ b/core/claim/history_test.go
@@ -66,12 +66,12 @@
 	// draw from it would decide what a history meets.
 	source := func(part int) *clock.Rand { return clock.NewRand(seed*100 + uint64(part)) }
 	store := &kvsrv.Store{Clock: wall, Rand: source(0), Latency: 2 * time.Millisecond}
-	var keepers []*claim.Keeper
+	var writers []*claim.Writer
 	for ix := range 3 {
-		keepers = append(keepers, newKeeper(store, source(10+ix), 2))
+		writers = append(writers, newWriter(store, source(10+ix), 2))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go trouble(ctx, store, source(1))
+	go injectFaults(ctx, store, source(1))
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var claimants sync.WaitGroup
@@ -81,7 +81,7 @@
 			by := core.Claimant{VM: core.VMID(fmt.Sprint("agent-", client)), Incarnation: 1}
 			for range 25 {
 				_ = wall.Sleep(ctx, time.Duration(ra.Uint64()%uint64(80*time.Millisecond)))
-				op := claimOnce(ctx, keepers[ra.Uint64()%3], ra, by, client)
+				op := claimOnce(ctx, writers[ra.Uint64()%3], ra, by, client)
 				mu.Lock()
 				ops = append(ops, op)
 				mu.Unlock()
@@ -93,21 +93,21 @@
 	return ops
 }
 
-func newKeeper(kv core.KV, ra core.Rand, shards int) *claim.Keeper {
-	return &claim.Keeper{KV: kv, Clock: clock.Wall{}, Rand: ra, Shards: shards, Window: window, Pace: 20 * time.Millisecond}
+func newWriter(kv core.KV, ra core.Rand, shards int) *claim.Writer {
+	return &claim.Writer{KV: kv, Clock: clock.Wall{}, Rand: ra, Shards: shards, Window: window, WriteInterval: 20 * time.Millisecond}
 }
 
-func trouble(ctx context.Context, store *kvsrv.Store, ra core.Rand) {
+func injectFaults(ctx context.Context, store *kvsrv.Store, ra core.Rand) {
 	kinds := []kvsrv.Faults{{}, {Down: true}, {LoseAnswers: 0.4}, {Delay: 50 * time.Millisecond}, {LoseAnswers: 0.9}}
 	for (clock.Wall{}).Sleep(ctx, time.Duration(ra.Uint64()%uint64(300*time.Millisecond))) == nil {
 		store.SetFaults(kinds[ra.Uint64()%uint64(len(kinds))])
 	}
 }
 
-func claimOnce(ctx context.Context, ke *claim.Keeper, ra core.Rand, by core.Claimant, client int) porcupine.Operation {
+func claimOnce(ctx context.Context, wr *claim.Writer, ra core.Rand, by core.Claimant, client int) porcupine.Operation {
 	key := fmt.Sprint("key-", ra.Uint64()%20)
 	op := porcupine.Operation{ClientId: client, Input: claimInput{key, by}, Call: time.Now().UnixNano()}
-	ve, err := ke.Claim(ctx, &core.Claim{Hash: claim.Hash("customer", core.IdemKey(key)), By: by})
+	rp, err := wr.Claim(ctx, &core.Claim{Hash: claim.Hash("customer", core.IdemKey(key)), By: by})
 	op.Return = time.Now().UnixNano()
 	if err != nil {
 		// It may take effect at any later time.
@@ -115,7 +115,7 @@
 		op.Output = claimOutput{}
 		return op
 	}
-	op.Output = claimOutput{settled: true, holder: ve.Holder}
+	op.Output = claimOutput{settled: true, holder: rp.Holder}
 	return op
 }
 
--- a/core/claim/keeper.go
+++ b/core/claim/keeper.go
@@ -43,15 +43,15 @@
 )
 
 const (
-	// headBytes is the size from which a head is moved to a segment. A larger one
+	// maxHeadBytes is the size from which a head is moved to a segment. A larger one
 	// costs bytes with every write, a smaller one more writes.
-	headBytes = 2 << 10
-	// mostBatch bounds the claims of one write.
-	mostBatch = 1000
-	// leaseEvery is how long one lease serves new segments.
-	leaseEvery = time.Minute
-	// settleWithin bounds the attempts at one batch while the KV fails.
-	settleWithin = 2 * time.Second
+	maxHeadBytes = 2 << 10
+	// maxBatchClaims bounds the claims of one write.
+	maxBatchClaims = 1000
+	// segmentLeaseInterval is how long one lease serves new segments.
+	segmentLeaseInterval = time.Minute
+	// batchTimeout bounds the attempts at one batch while the KV fails.
+	batchTimeout = 2 * time.Second
 	segmentPage  = 400
 )
 
@@ -75,53 +75,53 @@
 	return int(binary.BigEndian.Uint64(hash[:8]) % uint64(shards))
 }
 
-// Keeper writes claims. Set the exported fields before use.
-type Keeper struct {
+// Writer writes claims. Set the exported fields before use.
+type Writer struct {
 	KV     core.KV
 	Clock  core.Clock
 	Rand   core.Rand
 	Shards int
 	// Window is how long claims are kept.
 	Window time.Duration
-	// Pace is the time that each write to a shard's entries takes up, head or
+	// WriteInterval is the time that each write to a shard's entries takes up, head or
 	// segment; it bounds the KV's writes by Shards/Pace however many claims there
 	// are.
-	Pace time.Duration
+	WriteInterval time.Duration
 
-	mu     sync.Mutex // guards all below
-	shards map[int]*shard
-	lease  core.LeaseID
-	leased time.Time
+	mu       sync.Mutex // guards all below
+	shards   map[int]*shard
+	lease    core.LeaseID
+	leasedAt time.Time
 }
 
 // Claim asks for a key and waits for the verdict, ErrUnsettled or ctx's end.
-func (ke *Keeper) Claim(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error) {
-	return ke.shard(ShardOf(cl.Hash, ke.Shards)).claim(ctx, cl)
+func (wr *Writer) Claim(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error) {
+	return wr.shard(ShardOf(cl.Hash, wr.Shards)).claim(ctx, cl)
 }
 
-func (ke *Keeper) shard(number int) *shard {
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	if ke.shards == nil {
-		ke.shards = map[int]*shard{}
+func (wr *Writer) shard(number int) *shard {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	if wr.shards == nil {
+		wr.shards = map[int]*shard{}
 	}
-	sh := ke.shards[number]
+	sh := wr.shards[number]
 	if sh == nil {
 		sh = &shard{
-			keeper: ke, shardNo: number, turned: ke.Clock.Now(),
-			young: map[core.KeyHash]held{}, numbers: map[core.Claimant]uint32{},
+			writer: wr, shardNo: number, rotatedAt: wr.Clock.Now(),
+			recent: map[core.KeyHash]heldClaim{}, claimantIndex: map[core.Claimant]uint32{},
 		}
-		ke.shards[number] = sh
+		wr.shards[number] = sh
 	}
 	return sh
 }
 
 // Size is the number of claims in memory.
-func (ke *Keeper) Size() int {
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
+func (wr *Writer) Size() int {
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
 	sum := 0
-	for _, sh := range ke.shards {
+	for _, sh := range wr.shards {
 		sum += sh.size()
 	}
 	return sum
@@ -129,98 +129,98 @@
 
 // segmentLease is a lease that outlives Window, shared by a minute's segments.
 // It is not renewed: segments lapse by themselves, without a call each.
-func (ke *Keeper) segmentLease(ctx context.Context) (core.LeaseID, error) {
-	ke.mu.Lock()
-	lease, leased := ke.lease, ke.leased
-	ke.mu.Unlock()
-	now := ke.Clock.Now()
-	if lease != 0 && now.Sub(leased) < leaseEvery {
+func (wr *Writer) segmentLease(ctx context.Context) (core.LeaseID, error) {
+	wr.mu.Lock()
+	lease, leasedAt := wr.lease, wr.leasedAt
+	wr.mu.Unlock()
+	now := wr.Clock.Now()
+	if lease != 0 && now.Sub(leasedAt) < segmentLeaseInterval {
 		return lease, nil
 	}
-	lease, err := ke.KV.Grant(ctx, ke.Window+2*leaseEvery)
+	lease, err := wr.KV.Grant(ctx, wr.Window+2*segmentLeaseInterval)
 	if err != nil {
 		return 0, fmt.Errorf("grant segment lease: %w", err)
 	}
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	ke.lease, ke.leased = lease, now
+	wr.mu.Lock()
+	defer wr.mu.Unlock()
+	wr.lease, wr.leasedAt = lease, now
 	return lease, nil
 }
 
-// held is who claimed a key and when, in few bytes: there is one for every claim
+// heldClaim is who claimed a key and when, in few bytes: there is one for every claim
 // of the window.
-type held struct {
+type heldClaim struct {
 	by uint32 // index into claimants
 	at uint32 // Unix seconds
 }
 
-// secondsOf is good until 2106.
-func secondsOf(at time.Time) uint32 { return uint32(at.Unix()) }
+// unixSeconds is good until 2106.
+func unixSeconds(at time.Time) uint32 { return uint32(at.Unix()) }
 
-// ask is one waiting claim.
-type ask struct {
+// pendingClaim is one waiting claim.
+type pendingClaim struct {
 	claim *core.Claim
-	done  chan answer
+	done  chan result
 }
 
-type answer struct {
-	verdict *core.ClaimReply
-	err     error
+type result struct {
+	reply *core.ClaimReply
+	err   error
 }
 
 // shard is a keeper's view of one shard.
 type shard struct {
-	keeper  *Keeper
+	writer  *Writer
 	shardNo int
 
 	mu sync.Mutex // guards all up to busy
-	// young holds the claims learnt since turned, old those of the window before:
+	// recent holds the claims learnt since turned, old those of the window before:
 	// dropping a map whole costs nothing for the claims in it.
-	young     map[core.KeyHash]held
-	old       map[core.KeyHash]held
-	turned    time.Time
-	claimants []core.Claimant
-	numbers   map[core.Claimant]uint32
-	waiting   []*ask
-	busy      bool
+	recent        map[core.KeyHash]heldClaim
+	previous      map[core.KeyHash]heldClaim
+	rotatedAt     time.Time
+	claimants     []core.Claimant
+	claimantIndex map[core.Claimant]uint32
+	queue         []*pendingClaim
+	busy          bool
 
 	// The rest belongs to the one worker that runs while busy.
 	head    head
 	version core.Version
 	synced  bool
-	// free is when the writes so far have used up their time.
-	free time.Time
+	// nextWriteAt is when the writes so far have used up their time.
+	nextWriteAt time.Time
 }
 
 func (sh *shard) size() int {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return len(sh.young) + len(sh.old)
+	return len(sh.recent) + len(sh.previous)
 }
 
 func (sh *shard) claim(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error) {
 	sh.mu.Lock()
-	if ve := sh.verdict(cl); ve != nil {
+	if rp := sh.knownReply(cl); rp != nil {
 		sh.mu.Unlock()
-		return ve, nil
+		return rp, nil
 	}
-	as := &ask{claim: cl, done: make(chan answer, 1)}
-	sh.waiting = append(sh.waiting, as)
+	pc := &pendingClaim{claim: cl, done: make(chan result, 1)}
+	sh.queue = append(sh.queue, pc)
 	if !sh.busy {
 		sh.busy = true
-		go sh.work()
+		go sh.run()
 	}
 	sh.mu.Unlock()
 	select {
-	case an := <-as.done:
-		return an.verdict, an.err
+	case rs := <-pc.done:
+		return rs.reply, rs.err
 	case <-ctx.Done():
 		return nil, fmt.Errorf("wait for claim: %w", ctx.Err())
 	}
 }
 
-// verdict answers from what is known, nil if the key is not. Called locked.
-func (sh *shard) verdict(cl *core.Claim) *core.ClaimReply {
+// knownReply answers from what is known, nil if the key is not. Called locked.
+func (sh *shard) knownReply(cl *core.Claim) *core.ClaimReply {
 	he, known := sh.find(cl.Hash)
 	if !known {
 		return nil
@@ -230,127 +230,127 @@
 }
 
 // find looks a claim up that is not older than the window. Called locked.
-func (sh *shard) find(hash core.KeyHash) (held, bool) {
-	he, known := sh.young[hash]
+func (sh *shard) find(hash core.KeyHash) (heldClaim, bool) {
+	he, known := sh.recent[hash]
 	if !known {
-		he, known = sh.old[hash]
+		he, known = sh.previous[hash]
 	}
-	limit := secondsOf(sh.keeper.Clock.Now().Add(-sh.keeper.Window))
+	limit := unixSeconds(sh.writer.Clock.Now().Add(-sh.writer.Window))
 	return he, known && he.at >= limit
 }
 
-// number is the claimant's index. Called locked.
-func (sh *shard) number(by core.Claimant) uint32 {
-	ix, known := sh.numbers[by]
+// indexOf is the claimant's index. Called locked.
+func (sh *shard) indexOf(by core.Claimant) uint32 {
+	ix, known := sh.claimantIndex[by]
 	if !known {
 		ix = uint32(len(sh.claimants))
 		sh.claimants = append(sh.claimants, by)
-		sh.numbers[by] = ix
+		sh.claimantIndex[by] = ix
 	}
 	return ix
 }
 
-// work writes batches until nothing waits.
-func (sh *shard) work() {
-	for !sh.idle() {
-		sh.pace()
-		sh.settle(sh.take())
+// run writes batches until nothing waits.
+func (sh *shard) run() {
+	for !sh.stopIfIdle() {
+		sh.waitForWrite()
+		sh.processBatch(sh.nextBatch())
 	}
 }
 
-// idle ends the worker if nothing waits.
-func (sh *shard) idle() bool {
+// stopIfIdle ends the worker if nothing waits.
+func (sh *shard) stopIfIdle() bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	sh.busy = len(sh.waiting) > 0
+	sh.busy = len(sh.queue) > 0
 	return !sh.busy
 }
 
-// pace waits until the writes so far have used up their time. What arrives
+// waitForWrite waits until the writes so far have used up their time. What arrives
 // meanwhile joins the next batch; the first claim after a quiet time does not
 // wait.
-func (sh *shard) pace() {
-	if wait := sh.free.Sub(sh.keeper.Clock.Now()); wait > 0 {
-		_ = sh.keeper.Clock.Sleep(context.Background(), wait)
+func (sh *shard) waitForWrite() {
+	if wait := sh.nextWriteAt.Sub(sh.writer.Clock.Now()); wait > 0 {
+		_ = sh.writer.Clock.Sleep(context.Background(), wait)
 	}
 }
 
-// spend takes a write's time.
-func (sh *shard) spend() {
-	now := sh.keeper.Clock.Now()
-	if sh.free.Before(now) {
-		sh.free = now
+// chargeWrite takes a write's time.
+func (sh *shard) chargeWrite() {
+	now := sh.writer.Clock.Now()
+	if sh.nextWriteAt.Before(now) {
+		sh.nextWriteAt = now
 	}
-	sh.free = sh.free.Add(sh.keeper.Pace)
+	sh.nextWriteAt = sh.nextWriteAt.Add(sh.writer.WriteInterval)
 }
 
-func (sh *shard) take() []*ask {
+func (sh *shard) nextBatch() []*pendingClaim {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	sh.turn()
-	count := min(mostBatch, len(sh.waiting))
-	batch := sh.waiting[:count:count]
+	sh.rotate()
+	count := min(maxBatchClaims, len(sh.queue))
+	batch := sh.queue[:count:count]
 	// A copy, so that answered asks do not stay in memory behind the others.
-	sh.waiting = slices.Clone(sh.waiting[count:])
+	sh.queue = slices.Clone(sh.queue[count:])
 	return batch
 }
 
-// turn drops the claims of the window before last. Called locked.
-func (sh *shard) turn() {
-	now := sh.keeper.Clock.Now()
-	if now.Sub(sh.turned) <= sh.keeper.Window {
+// rotate drops the claims of the window before last. Called locked.
+func (sh *shard) rotate() {
+	now := sh.writer.Clock.Now()
+	if now.Sub(sh.rotatedAt) <= sh.writer.Window {
 		return
 	}
-	sh.turned = now
-	sh.old = sh.young
-	sh.young = map[core.KeyHash]held{}
+	sh.rotatedAt = now
+	sh.previous = sh.recent
+	sh.recent = map[core.KeyHash]heldClaim{}
 }
 
-// settle brings each ask of a batch to its answer: read if needed, answer what is
+// processBatch brings each ask of a batch to its answer: read if needed, answer what is
 // known, swap the rest in; on any doubt, start over from reading. Time bounds it.
-func (sh *shard) settle(batch []*ask) {
+func (sh *shard) processBatch(batch []*pendingClaim) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	until := sh.keeper.Clock.Now().Add(settleWithin)
+	until := sh.writer.Clock.Now().Add(batchTimeout)
 	for try := 1; ; try++ {
 		err := sh.sync(ctx)
 		if err == nil {
-			batch = sh.answerKnown(batch)
+			batch = sh.replyKnown(batch)
 			if len(batch) == 0 {
 				return
 			}
 			if err = sh.write(ctx, batch); err == nil {
-				sh.answerKnown(batch)
+				sh.replyKnown(batch)
 				return
 			}
 		}
-		if !sh.keeper.Clock.Now().Before(until) {
-			sh.giveUp(batch, err)
+		if !sh.writer.Clock.Now().Before(until) {
+			sh.failBatch(batch, err)
 			return
 		}
 		if !errors.Is(err, core.ErrConflict) {
-			_ = sh.keeper.Clock.Sleep(ctx, retry.Backoff(try, sh.keeper.Rand))
+			_ = sh.writer.Clock.Sleep(ctx, retry.Backoff(try, sh.writer.Rand))
 		}
 	}
 }
 
-func (sh *shard) giveUp(batch []*ask, err error) {
-	for _, as := range batch {
-		as.done <- answer{err: fmt.Errorf("%w: %w", ErrUnsettled, err)}
+func (sh *shard) failBatch(batch []*pendingClaim, err error) {
+	for _, pc := range batch {
+		pc.done <- result{err: fmt.Errorf("%w: %w", ErrUnsettled, err)}
 	}
 }
 
-// answerKnown answers the asks whose keys are known and returns the others.
-func (sh *shard) answerKnown(batch []*ask) []*ask {
+// replyKnown answers the asks whose keys are known and returns the others.
+func (sh *shard) replyKnown(batch []*pendingClaim) []*pendingClaim {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	var rest []*ask
-	for _, as := range batch {
-		if ve := sh.verdict(as.claim); ve != nil {
-			as.done <- answer{verdict: ve}
+	var rest []*pendingClaim
+	for _, pc := range batch {
+		if rp := sh.knownReply(pc.claim); rp != nil {
+			pc.done <- result{reply: rp}
 			continue
 		}
-		rest = append(rest, as)
+		rest = append(rest, pc)
 	}
 	return rest
 }
--- a/core/claim/keys.go
+++ b/core/claim/keys.go
@@ -11,8 +11,8 @@
 	"almondrill/core/agent"
 )
 
-// mostAnswer bounds an answer that is kept for replay.
-const mostAnswer = 256 << 10
+// maxStoredResponse bounds an answer that is kept for replay.
+const maxStoredResponse = 256 << 10
 
 // Keys is an agent's table of the idempotency keys it took. Set the exported
 // fields before use.
@@ -22,8 +22,8 @@
 	// Window is how long a key is kept; MaxBytes bounds the answers kept.
 	Window   time.Duration
 	MaxBytes core.Bytes
-	// Within bounds the time that a claim may take.
-	Within time.Duration
+	// ClaimTimeout bounds the time that a claim may take.
+	ClaimTimeout time.Duration
 	// Ask asks the key's keeper.
 	Ask func(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error)
 	// Alive tells whether a claimant is, as far as known, still there.
@@ -31,10 +31,10 @@
 	// Replayed, if set, counts a replay.
 	Replayed func()
 
-	mu      sync.Mutex // guards all below and the records
-	records map[core.KeyHash]*record
-	order   []*record // by time
-	kept    core.Bytes
+	mu          sync.Mutex // guards all below and the records
+	records     map[core.KeyHash]*record
+	byAge       []*record // by time
+	storedBytes core.Bytes
 }
 
 var _ agent.Keys = (*Keys)(nil)
@@ -50,16 +50,16 @@
 
 // record is one key's standing here.
 type record struct {
-	hash    core.KeyHash
-	print   uint64 // of the request, to tell a key that was used for another
-	at      time.Time
-	state   state
-	claimed bool
-	changed chan struct{} // closed when state leaves running
-	refusal *core.Refusal // how it ended, nil for whole
-	parts   []core.Part
-	bytes   core.Bytes
-	gone    bool // the answer was too large or had to make room
+	hash            core.KeyHash
+	fingerprint     uint64 // of the request, to tell a key that was used for another
+	at              time.Time
+	state           state
+	claimed         bool
+	changed         chan struct{} // closed when state leaves running
+	refusal         *core.Refusal // how it ended, nil for whole
+	parts           []core.Part
+	bytes           core.Bytes
+	responseDropped bool // the answer was too large or had to make room
 }
 
 // Seen tells whether the key was taken here, so that a leaving agent still
@@ -75,11 +75,11 @@
 // get the same outcome, or run if it was not run.
 func (ke *Keys) Begin(ctx context.Context, ca *core.Call, si core.Sink) (agent.Execution, error) {
 	hash := Hash(ca.Customer, ca.Key)
-	print := fingerprint(ca)
+	fp := fingerprint(ca)
 	for {
-		re, wait := ke.take(hash, print)
+		re, wait := ke.acquire(hash, fp)
 		switch {
-		case re.print != print:
+		case re.fingerprint != fp:
 			return nil, ke.refuse(core.NotRun, core.ReasonKeyReused, "the key was used for another request")
 		case wait == nil && re.state == done:
 			return nil, ke.replay(re, ca, si)
@@ -95,9 +95,9 @@
 	}
 }
 
-// take finds or makes the key's record. With wait nil and state running it is the
+// acquire finds or makes the key's record. With wait nil and state running it is the
 // caller's to run; with wait nil and state done it is to be replayed.
-func (ke *Keys) take(hash core.KeyHash, print uint64) (*record, chan struct{}) {
+func (ke *Keys) acquire(hash core.KeyHash, fp uint64) (*record, chan struct{}) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	ke.expire()
@@ -106,11 +106,11 @@
 	}
 	re := ke.records[hash]
 	if re == nil {
-		re = &record{hash: hash, print: print, at: ke.Clock.Now()}
+		re = &record{hash: hash, fingerprint: fp, at: ke.Clock.Now()}
 		ke.records[hash] = re
-		ke.order = append(ke.order, re)
+		ke.byAge = append(ke.byAge, re)
 	}
-	if re.print != print || re.state == done {
+	if re.fingerprint != fp || re.state == done {
 		return re, nil
 	}
 	if re.state == running {
@@ -125,13 +125,13 @@
 // that ends it.
 func (ke *Keys) expire() {
 	limit := ke.Clock.Now().Add(-ke.Window)
-	for len(ke.order) > 0 && ke.order[0].at.Before(limit) {
-		re := ke.order[0]
+	for len(ke.byAge) > 0 && ke.byAge[0].at.Before(limit) {
+		re := ke.byAge[0]
 		if re.state == running {
 			return
 		}
-		ke.order = ke.order[1:]
-		ke.kept -= re.bytes
+		ke.byAge = ke.byAge[1:]
+		ke.storedBytes -= re.bytes
 		delete(ke.records, re.hash)
 	}
 }
@@ -152,7 +152,7 @@
 		return re.refusal
 	}
 	ke.mu.Lock()
-	parts, gone := re.parts, re.gone
+	parts, gone := re.parts, re.responseDropped
 	ke.mu.Unlock()
 	if gone {
 		return ke.refuse(core.Unknown, core.ReasonAnswerGone, "it ran to its end, but the answer is no longer kept")
@@ -177,18 +177,18 @@
 func (ke *Keys) Size() (int, core.Bytes) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return len(ke.records), ke.kept
+	return len(ke.records), ke.storedBytes
 }
 
 // run is the permission to run a key's call.
 type run struct {
-	keys   *Keys
-	record *record
-	inner  core.Sink
-	parts  []core.Part
-	bytes  core.Bytes
-	large  bool
-	left   bool
+	keys       *Keys
+	record     *record
+	inner      core.Sink
+	parts      []core.Part
+	bytes      core.Bytes
+	tooLarge   bool
+	callerGone bool
 }
 
 // Claim makes the claim in the KV, through the key's keeper. Once made it stands
@@ -198,24 +198,24 @@
 	if ru.record.claimed {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, ke.Within)
+	ctx, cancel := context.WithTimeout(ctx, ke.ClaimTimeout)
 	defer cancel()
-	ve, err := ke.Ask(ctx, &core.Claim{Hash: ru.record.hash, By: ke.Self})
+	rp, err := ke.Ask(ctx, &core.Claim{Hash: ru.record.hash, By: ke.Self})
 	if err != nil {
 		re := ke.refuse(core.NotRun, core.ReasonKVDown, "the key could not be claimed: "+err.Error())
 		re.RetryAfter = time.Second
 		return re
 	}
-	if ve.Granted {
+	if rp.Granted {
 		ru.record.claimed = true
 		return nil
 	}
-	if ve.Holder.VM == ke.Self.VM || !ke.Alive(ve.Holder) {
+	if rp.Holder.VM == ke.Self.VM || !ke.Alive(rp.Holder) {
 		return ke.refuse(core.Unknown, core.ReasonClaimLost,
-			"the key was claimed by a process that is gone: "+string(ve.Holder.VM))
+			"the key was claimed by a process that is gone: "+string(rp.Holder.VM))
 	}
 	re := ke.refuse(core.NotRun, core.ReasonHeldElsewhere, "the key was claimed by another agent")
-	re.Alternatives = []core.VMID{ve.Holder.VM}
+	re.Alternatives = []core.VMID{rp.Holder.VM}
 	return re
 }
 
@@ -225,15 +225,15 @@
 // Send keeps a copy of the part. A caller that has left does not stop the run:
 // its retry is to find the outcome.
 func (ru *run) Send(pa *core.Part) error {
-	if !ru.large {
+	if !ru.tooLarge {
 		kept := *pa
 		kept.Data = append([]byte(nil), pa.Data...)
 		ru.parts = append(ru.parts, kept)
 		ru.bytes += core.Bytes(len(pa.Data))
-		ru.large = ru.bytes > mostAnswer
+		ru.tooLarge = ru.bytes > maxStoredResponse
 	}
-	if !ru.left {
-		ru.left = ru.inner.Send(pa) != nil
+	if !ru.callerGone {
+		ru.callerGone = ru.inner.Send(pa) != nil
 	}
 	return nil
 }
@@ -250,23 +250,23 @@
 	}
 	rec.state = done
 	rec.refusal = re
-	rec.gone = ru.large
-	if re == nil && !ru.large {
+	rec.responseDropped = ru.tooLarge
+	if re == nil && !ru.tooLarge {
 		rec.parts, rec.bytes = ru.parts, ru.bytes
-		ke.kept += ru.bytes
-		ke.makeRoom()
+		ke.storedBytes += ru.bytes
+		ke.evictResponses()
 	}
 }
 
-// makeRoom drops the oldest answers while they take too much.
-func (ke *Keys) makeRoom() {
-	for _, re := range ke.order {
-		if ke.kept <= ke.MaxBytes {
+// evictResponses drops the oldest answers while they take too much.
+func (ke *Keys) evictResponses() {
+	for _, re := range ke.byAge {
+		if ke.storedBytes <= ke.MaxBytes {
 			return
 		}
 		if re.bytes > 0 {
-			ke.kept -= re.bytes
-			re.parts, re.bytes, re.gone = nil, 0, true
+			ke.storedBytes -= re.bytes
+			re.parts, re.bytes, re.responseDropped = nil, 0, true
 		}
 	}
 }
--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -121,11 +121,11 @@
 	store := &kvsrv.Store{
 		Clock: clock.Wall{}, Rand: ra, Latency: 3 * time.Millisecond, WritesPerSecond: 300, ReadsPerSecond: 2000,
 	}
-	keepers := make([]*claim.Keeper, shards)
+	keepers := make([]*claim.Writer, shards)
 	for n := range keepers {
-		keepers[n] = &claim.Keeper{
+		keepers[n] = &claim.Writer{
 			KV: store, Clock: clock.Wall{}, Rand: ra, Shards: shards, Window: 15 * time.Minute,
-			Pace: time.Second * shards / 270,
+			WriteInterval: time.Second * shards / 270,
 		}
 	}
 	var mu sync.Mutex
@@ -208,7 +208,7 @@
 
 func buildClaims(count int) any {
 	store := &kvsrv.Store{Clock: clock.Wall{}}
-	ke := &claim.Keeper{KV: discard{store}, Clock: clock.Wall{}, Rand: clock.NewRand(1), Shards: 1, Window: time.Hour}
+	ke := &claim.Writer{KV: discard{store}, Clock: clock.Wall{}, Rand: clock.NewRand(1), Shards: 1, Window: time.Hour}
 	var all sync.WaitGroup
 	for n := range count {
 		all.Go(func() {
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -80,15 +80,15 @@
 func (pr *Process) buildClaims() *claim.Keys {
 	se := pr.Settings
 	self := core.Claimant{VM: se.Name, Incarnation: pr.incarnation}
-	keeper := &claim.Keeper{
+	keeper := &claim.Writer{
 		KV: pr.kv, Clock: pr.clock, Rand: pr.rand, Shards: se.ClaimShards, Window: se.KeyWindow,
-		Pace: time.Second * time.Duration(se.ClaimShards) / claimWritesPerSecond,
+		WriteInterval: time.Second * time.Duration(se.ClaimShards) / claimWritesPerSecond,
 	}
-	asker := &claim.Asker{Board: pr.board, Peers: pr.peers, Clock: pr.clock, Keeper: keeper, Self: self}
+	asker := &claim.Dispatcher{Board: pr.board, Peers: pr.peers, Clock: pr.clock, Writer: keeper, Self: self}
 	pr.server.Claim = keeper.Claim
 	return &claim.Keys{
-		Clock: pr.clock, Self: self, Window: se.KeyWindow, MaxBytes: maxReplayBytes, Within: claimTimeout,
-		Ask: asker.Ask, Alive: asker.Alive,
+		Clock: pr.clock, Self: self, Window: se.KeyWindow, MaxBytes: maxReplayBytes, ClaimTimeout: claimTimeout,
+		Ask: asker.Claim, Alive: asker.Alive,
 		Replayed: func() { pr.Stats.Add(stats.Replays, 1) },
 	}
 }
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -40,7 +40,7 @@
 	Router   *router.Router // nil on agents
 	Ledger   *guard.Ledger  // nil on agents
 	Agent    *agent.Agent   // nil on routers
-	Keeper   *claim.Keeper  // nil on routers
+	Keeper   *claim.Writer  // nil on routers
 	Keys     *claim.Keys
 	Orders   *order.Executor // nil on routers
 	// Control gives orders; nil on agents.
@@ -183,15 +183,15 @@
 	en := fl.Engine(ix)
 	me.Engines = append(me.Engines, en)
 	self := core.Claimant{VM: me.ID, Incarnation: me.incarnation}
-	me.Keeper = &claim.Keeper{
-		KV: fl.Store, Clock: fl.Clock, Rand: fl.Rand, Shards: 8, Window: 15 * time.Minute, Pace: 25 * time.Millisecond,
+	me.Keeper = &claim.Writer{
+		KV: fl.Store, Clock: fl.Clock, Rand: fl.Rand, Shards: 8, Window: 15 * time.Minute, WriteInterval: 25 * time.Millisecond,
 	}
-	asker := &claim.Asker{
-		Board: me.Board, Peers: port{fl.Net, me.ID}, Clock: fl.Clock, Keeper: me.Keeper, Self: self,
+	asker := &claim.Dispatcher{
+		Board: me.Board, Peers: port{fl.Net, me.ID}, Clock: fl.Clock, Writer: me.Keeper, Self: self,
 	}
 	me.Keys = &claim.Keys{
-		Clock: fl.Clock, Self: self, Window: 15 * time.Minute, MaxBytes: 1 << 20, Within: 3 * time.Second,
-		Ask: asker.Ask, Alive: asker.Alive,
+		Clock: fl.Clock, Self: self, Window: 15 * time.Minute, MaxBytes: 1 << 20, ClaimTimeout: 3 * time.Second,
+		Ask: asker.Claim, Alive: asker.Alive,
 	}
 	me.Agent = &agent.Agent{
 		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Self: me.ID, Incarnation: me.incarnation,
