--- a/core/revlog/commit.go
+++ b/core/revlog/commit.go
@@ -40,7 +40,7 @@
 
 // ErrBehind: the KV holds less than this process has adopted, so it was reset to
 // older content; nothing is committed until it is repaired.
-var ErrBehind = errors.New("the KV holds older configuration than is in force; restore it before applying")
+var ErrKVBehind = errors.New("the KV holds older configuration than is in force; restore it before applying")
 
 // Meta describes a change to commit.
 type Meta struct {
@@ -57,7 +57,7 @@
 	if err := lo.Refresh(ctx); err != nil {
 		return 0, err
 	}
-	if rev := lo.find(me.ID); rev != 0 {
+	if rev := lo.revisionOf(me.ID); rev != 0 {
 		return rev, nil
 	}
 	current, rev := lo.Document()
@@ -72,26 +72,26 @@
 	if err != nil {
 		return 0, err
 	}
-	if err = lo.settle(ctx, de, data, planned); err != nil {
+	if err = lo.createEntry(ctx, de, data, planned); err != nil {
 		return 0, err
 	}
-	if err = lo.Take(&core.Changes{Deltas: [][]byte{data}}); err != nil {
+	if err = lo.Apply(&core.Changes{Deltas: [][]byte{data}}); err != nil {
 		return 0, err
 	}
 	lo.compact(ctx, de.Revision)
 	return de.Revision, nil
 }
 
-// settle creates the log entry. After an error that leaves its fate open it
+// createEntry creates the log entry. After an error that leaves its fate open it
 // writes the same again until the KV tells, or ctx ends.
-func (lo *Log) settle(ctx context.Context, de *decl.Delta, data []byte, planned core.Revision) error {
+func (lo *Log) createEntry(ctx context.Context, de *decl.Delta, data []byte, planned core.Revision) error {
 	for try := 1; ; try++ {
 		_, err := lo.KV.Put(ctx, logKey(de.Revision), data, 0, 0)
 		if err == nil {
-			return lo.checkHead(ctx, de)
+			return lo.checkNewest(ctx, de)
 		}
 		if errors.Is(err, core.ErrConflict) {
-			return lo.whose(ctx, de, planned)
+			return lo.resolveConflict(ctx, de, planned)
 		}
 		if lo.Clock.Sleep(ctx, retry.Backoff(try, lo.Rand)) != nil {
 			return &Uncertain{ID: de.ID, Cause: err}
@@ -99,11 +99,11 @@
 	}
 }
 
-// checkHead makes sure that a log entry just created is the log's end. A writer
+// checkNewest makes sure that a log entry just created is the log's end. A writer
 // that was paused while more than keepLog changes were accepted could create the
 // entry of a number that has been deleted; it shows by later entries, and is
 // taken back. Only such a writer pays for more than one read.
-func (lo *Log) checkHead(ctx context.Context, de *decl.Delta) error {
+func (lo *Log) checkNewest(ctx context.Context, de *decl.Delta) error {
 	page, err := lo.KV.List(ctx, logKey(de.Revision-1), logPrefix+prefixEnd, 3)
 	if err != nil {
 		return &Uncertain{ID: de.ID, Cause: err}
@@ -119,8 +119,8 @@
 	return &Conflict{Planned: de.Revision - 1, Other: decl.Delta{Author: "others", ID: "more changes than are kept"}}
 }
 
-// whose finds out who holds the number that this change wanted.
-func (lo *Log) whose(ctx context.Context, de *decl.Delta, planned core.Revision) error {
+// resolveConflict finds out who holds the number that this change wanted.
+func (lo *Log) resolveConflict(ctx context.Context, de *decl.Delta, planned core.Revision) error {
 	for try := 1; ; try++ {
 		en, err := lo.KV.Get(ctx, logKey(de.Revision))
 		if err == nil {
@@ -139,8 +139,8 @@
 	}
 }
 
-// find is the revision that a change with that ID got, 0 if none is known.
-func (lo *Log) find(id string) core.Revision {
+// revisionOf is the revision that a change with that ID got, 0 if none is known.
+func (lo *Log) revisionOf(id string) core.Revision {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	for _, de := range lo.recent {
--- a/core/revlog/history.go
+++ b/core/revlog/history.go
@@ -8,9 +8,9 @@
 	"almondrill/core/decl"
 )
 
-// At makes the document of an earlier revision anew, from the KV's newest
+// DocumentAt makes the document of an earlier revision anew, from the KV's newest
 // snapshot at or below it and the deltas that follow.
-func (lo *Log) At(ctx context.Context, rev core.Revision) (*decl.Document, error) {
+func (lo *Log) DocumentAt(ctx context.Context, rev core.Revision) (*decl.Document, error) {
 	if doc, own := lo.Document(); own == rev {
 		return doc, nil
 	}
@@ -34,7 +34,7 @@
 	for _, en := range deltas {
 		ch.Deltas = append(ch.Deltas, en.Value)
 	}
-	if err = past.Take(ch); err != nil {
+	if err = past.Apply(ch); err != nil {
 		return nil, err
 	}
 	doc, got := past.Document()
@@ -46,15 +46,15 @@
 
 // History lists the newest accepted changes, newest first, from the KV, or from
 // memory where that cannot be read.
-func (lo *Log) History(ctx context.Context, most int) []decl.Delta {
+func (lo *Log) History(ctx context.Context, limit int) []decl.Delta {
 	own := lo.Revision()
 	from := core.Revision(1)
-	if own > core.Revision(most) {
-		from = own - core.Revision(most) + 1
+	if own > core.Revision(limit) {
+		from = own - core.Revision(limit) + 1
 	}
-	page, err := lo.KV.List(ctx, logKey(from), logKey(own+1), most)
+	page, err := lo.KV.List(ctx, logKey(from), logKey(own+1), limit)
 	if err != nil {
-		return lo.recentHistory(most)
+		return lo.recentHistory(limit)
 	}
 	var found []decl.Delta
 	for ix := len(page) - 1; ix >= 0; ix-- {
@@ -65,11 +65,11 @@
 	return found
 }
 
-func (lo *Log) recentHistory(most int) []decl.Delta {
+func (lo *Log) recentHistory(limit int) []decl.Delta {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	var found []decl.Delta
-	for ix := len(lo.recent) - 1; ix >= 0 && len(found) < most; ix-- {
+	for ix := len(lo.recent) - 1; ix >= 0 && len(found) < limit; ix-- {
 		found = append(found, *lo.recent[ix])
 	}
 	return found
--- a/core/revlog/revlog.go
+++ b/core/revlog/revlog.go
@@ -46,13 +46,13 @@
 	snapPrefix = "config/snap/"
 	// prefixEnd sorts behind every key that starts with the prefix's digits.
 	prefixEnd = "~"
-	// snapEvery is how many revisions lie between snapshots.
-	snapEvery = 100
-	// keepLog is how many log entries stay behind the newest snapshot.
-	keepLog = 1000
-	// keepRecent is how many deltas a process keeps for its peers.
-	keepRecent = 200
-	pageSize   = 200
+	// snapshotInterval is how many revisions lie between snapshots.
+	snapshotInterval = 100
+	// retainedEntries is how many log entries stay behind the newest snapshot.
+	retainedEntries = 1000
+	// maxRecentDeltas is how many deltas a process keeps for its peers.
+	maxRecentDeltas = 200
+	pageSize        = 200
 )
 
 // Log is a process's copy of the accepted configuration. Set the exported fields
@@ -66,12 +66,12 @@
 	// Behind, if set, is told when the KV is found to hold older content.
 	Behind func(own core.Revision)
 
-	mu     sync.Mutex // guards all below
-	rev    core.Revision
-	doc    *decl.Document
-	recent []*decl.Delta
-	packed []byte // the document at packedAt, for peers
-	packAt core.Revision
+	mu        sync.Mutex // guards all below
+	rev       core.Revision
+	doc       *decl.Document
+	recent    []*decl.Delta
+	packed    []byte // the document at packedAt, for peers
+	packedRev core.Revision
 }
 
 // Revision is the one in force here, 0 for none.
@@ -118,7 +118,7 @@
 		for _, en := range page {
 			ch.Deltas = append(ch.Deltas, en.Value)
 		}
-		if err = lo.Take(ch); err != nil {
+		if err = lo.Apply(ch); err != nil {
 			if err = lo.loadSnapshot(ctx, own); err != nil {
 				return err
 			}
@@ -138,7 +138,7 @@
 	if lo.Behind != nil {
 		lo.Behind(own)
 	}
-	return ErrBehind
+	return ErrKVBehind
 }
 
 // loadSnapshot takes over the newest snapshot above own, if there is one.
@@ -158,12 +158,12 @@
 	if err != nil {
 		return err
 	}
-	return lo.Take(&core.Changes{SnapshotAt: rev, Snapshot: newest.Value})
+	return lo.Apply(&core.Changes{SnapshotAt: rev, Snapshot: newest.Value})
 }
 
-// Take adopts changes from the KV or a peer. Deltas at or below the own revision
+// Apply adopts changes from the KV or a peer. Deltas at or below the own revision
 // are passed over; a gap is an error and changes nothing beyond it.
-func (lo *Log) Take(ch *core.Changes) error {
+func (lo *Log) Apply(ch *core.Changes) error {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	if len(ch.Snapshot) > 0 && ch.SnapshotAt > lo.rev {
@@ -201,8 +201,8 @@
 		lo.recent = nil
 	} else {
 		lo.recent = append(lo.recent, de)
-		if len(lo.recent) > keepRecent {
-			lo.recent = slices.Clone(lo.recent[len(lo.recent)-keepRecent:])
+		if len(lo.recent) > maxRecentDeltas {
+			lo.recent = slices.Clone(lo.recent[len(lo.recent)-maxRecentDeltas:])
 		}
 	}
 	if lo.Adopt != nil {
@@ -210,8 +210,8 @@
 	}
 }
 
-// Since is what a peer at that revision lacks.
-func (lo *Log) Since(since core.Revision) (*core.Changes, error) {
+// ChangesSince is what a peer at that revision lacks.
+func (lo *Log) ChangesSince(since core.Revision) (*core.Changes, error) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	ch := &core.Changes{}
@@ -240,14 +240,14 @@
 }
 
 func (lo *Log) pack() ([]byte, error) {
-	if lo.packAt == lo.rev && lo.packed != nil {
+	if lo.packedRev == lo.rev && lo.packed != nil {
 		return lo.packed, nil
 	}
 	packed, err := pack(lo.doc)
 	if err != nil {
 		return nil, err
 	}
-	lo.packed, lo.packAt = packed, lo.rev
+	lo.packed, lo.packedRev = packed, lo.rev
 	return packed, nil
 }
 
@@ -283,12 +283,12 @@
 // that lie far enough behind it. It may fail at any point: what it leaves undone
 // the next one does.
 func (lo *Log) compact(ctx context.Context, rev core.Revision) {
-	if rev%snapEvery != 0 {
+	if rev%snapshotInterval != 0 {
 		return
 	}
 	lo.mu.Lock()
 	packed, err := lo.pack()
-	at := lo.packAt
+	at := lo.packedRev
 	lo.mu.Unlock()
 	if err != nil || at != rev {
 		return
@@ -296,9 +296,9 @@
 	if _, err = lo.KV.Put(ctx, snapKey(rev), packed, 0, 0); err != nil {
 		return
 	}
-	if rev > keepLog {
-		lo.prune(ctx, snapPrefix, snapKey(rev-keepLog))
-		lo.prune(ctx, logPrefix, logKey(rev-keepLog))
+	if rev > retainedEntries {
+		lo.prune(ctx, snapPrefix, snapKey(rev-retainedEntries))
+		lo.prune(ctx, logPrefix, logKey(rev-retainedEntries))
 	}
 }
 
--- a/core/revlog/revlog_test.go
+++ b/core/revlog/revlog_test.go
@@ -43,7 +43,7 @@
 	return pr
 }
 
-func (pr *process) rises(t *testing.T) {
+func (pr *process) checkRising(t *testing.T) {
 	t.Helper()
 	for ix := 1; ix < len(pr.adopted); ix++ {
 		if pr.adopted[ix] <= pr.adopted[ix-1] {
@@ -103,7 +103,7 @@
 func raceOperators(t *testing.T, seed uint64) {
 	store, _ := newStore(seed)
 	ctx, cancel := context.WithCancel(context.Background())
-	go inTurn(ctx, store, clock.NewRand(seed*10+1))
+	go cycleFaults(ctx, store, clock.NewRand(seed*10+1))
 	reader := newProcess(store, clock.NewRand(seed*10+2))
 	go func() {
 		for (clock.Wall{}).Sleep(ctx, 30*time.Millisecond) == nil {
@@ -124,35 +124,35 @@
 				ops = append(ops, op)
 				mu.Unlock()
 			}
-			pr.rises(t)
+			pr.checkRising(t)
 		})
 	}
 	operators.Wait()
 	cancel()
 	synctest.Wait()
-	reader.rises(t)
-	accepted, troubled := 0, 0
+	reader.checkRising(t)
+	accepted, faulted := 0, 0
 	for _, op := range ops {
 		out := op.Output.(commitOutput)
 		if out.accepted != 0 {
 			accepted++
 		}
 		if out.uncertain || out.refused {
-			troubled++
+			faulted++
 		}
 	}
-	if accepted < 5 || troubled == 0 {
-		t.Errorf("seed %d: of %d changes %d accepted, %d met a fault: this history shows nothing", seed, len(ops), accepted, troubled)
+	if accepted < 5 || faulted == 0 {
+		t.Errorf("seed %d: of %d changes %d accepted, %d met a fault: this history shows nothing", seed, len(ops), accepted, faulted)
 	}
 	if !porcupine.CheckOperations(commitModel, ops) {
 		t.Errorf("seed %d: the history is not linearizable", seed)
 	}
 }
 
-// inTurn puts the KV through its faults, each for up to 60 ms. Each has its turn,
+// cycleFaults puts the KV through its faults, each for up to 60 ms. Each has its turn,
 // and each process its own source of randomness: were one shared, the order in
 // which goroutines draw from it would decide whether a history meets a fault.
-func inTurn(ctx context.Context, store *kvsrv.Store, ra core.Rand) {
+func cycleFaults(ctx context.Context, store *kvsrv.Store, ra core.Rand) {
 	kinds := []kvsrv.Faults{{}, {Down: true}, {LoseAnswers: 0.5}, {Delay: 40 * time.Millisecond}}
 	for turn := 0; ; turn++ {
 		store.SetFaults(kinds[turn%len(kinds)])
@@ -186,7 +186,7 @@
 
 // An operator's job loses the answer to an accepted write and runs again. It is
 // told the revision that it has, not a conflict with itself.
-func TestApplySentAgainIsAnsweredAgain(t *testing.T) {
+func TestRetriedCommitReturnsTheSameRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, ra := newStore(1)
 		ctx := context.Background()
@@ -225,11 +225,11 @@
 		if len(fresh.adopted) > 200 {
 			t.Errorf("%d steps to start", len(fresh.adopted))
 		}
-		old, err := fresh.At(ctx, 450)
+		old, err := fresh.DocumentAt(ctx, 450)
 		if err != nil || old.Pools[0].Model != "m450" {
 			t.Errorf("%+v %v", old, err)
 		}
-		if _, err = fresh.At(ctx, 3); err == nil {
+		if _, err = fresh.DocumentAt(ctx, 3); err == nil {
 			t.Error("revision 3 is deleted, but was answered")
 		}
 	})
@@ -248,10 +248,10 @@
 			}
 		}
 		pr.KV = &kvsrv.Store{Clock: clock.Wall{}, Rand: ra}
-		if err := pr.Refresh(ctx); !errors.Is(err, revlog.ErrBehind) || pr.behind != 1 {
+		if err := pr.Refresh(ctx); !errors.Is(err, revlog.ErrKVBehind) || pr.behind != 1 {
 			t.Errorf("%v, told %d times", err, pr.behind)
 		}
-		if _, err := pr.Commit(ctx, 3, document("new"), revlog.Meta{ID: "x"}); !errors.Is(err, revlog.ErrBehind) {
+		if _, err := pr.Commit(ctx, 3, document("new"), revlog.Meta{ID: "x"}); !errors.Is(err, revlog.ErrKVBehind) {
 			t.Errorf("committed over older content: %v", err)
 		}
 		if pr.Revision() != 3 {
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -144,7 +144,7 @@
 		return
 	}
 	// A peer's answer with a gap is as good as none.
-	_ = sp.Log.Take(ch)
+	_ = sp.Log.Apply(ch)
 }
 
 // tell sends digests to random others; they fetch when they see the revision.
--- a/core/trial/control_test.go
+++ b/core/trial/control_test.go
@@ -189,14 +189,14 @@
 			b.Fatal(err)
 		}
 	}
-	ch, err := peer.Since(0)
+	ch, err := peer.ChangesSince(0)
 	if err != nil || len(ch.Snapshot) == 0 {
 		b.Fatalf("no snapshot: %v", err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		fresh := &revlog.Log{Adopt: func(cfg *decl.Config) {}}
-		if err := fresh.Take(ch); err != nil {
+		if err := fresh.Apply(ch); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -212,7 +212,7 @@
 
 func (pr *Process) buildRole() {
 	pr.server = &rpc.Server{
-		Listener: pr.listeners.peers, Exchange: pr.answerDigest, Fetch: pr.configLog.Since,
+		Listener: pr.listeners.peers, Exchange: pr.answerDigest, Fetch: pr.configLog.ChangesSince,
 		RevisionSeen: pr.syncer.Heard, Revision: pr.configLog.Revision,
 	}
 	if pr.Role == core.RoleRouter {
--- a/io/oper/server.go
+++ b/io/oper/server.go
@@ -164,7 +164,7 @@
 	if in.Rollback == 0 {
 		return se.document("apply", in.Document)
 	}
-	doc, err := se.Log.At(ctx, core.Revision(in.Rollback))
+	doc, err := se.Log.DocumentAt(ctx, core.Revision(in.Rollback))
 	if err != nil {
 		return nil, se.fail(codes.NotFound, "NoRevision", "rollback", err.Error())
 	}
@@ -192,7 +192,7 @@
 	if in.Revision != 0 && core.Revision(in.Revision) != rev {
 		var err error
 		rev = core.Revision(in.Revision)
-		if doc, err = se.Log.At(ctx, rev); err != nil {
+		if doc, err = se.Log.DocumentAt(ctx, rev); err != nil {
 			return nil, se.fail(codes.NotFound, "NoRevision", "get", err.Error())
 		}
 	}
--- a/io/stand/inmem/net.go
+++ b/io/stand/inmem/net.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ch, err := me.Log.Since(since)
+	ch, err := me.Log.ChangesSince(since)
 	if err == nil {
 		po.net.countFetch(ch)
 	}
