--- a/core/decl/check.go
+++ b/core/decl/check.go
@@ -31,24 +31,24 @@
 // HashName is the stable 64-bit hash of a name that placement builds on.
 func HashName(name string) uint64 { return xxhash.Sum64String(name) }
 
-// nameForm keeps names usable in URLs, headers and KV keys.
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// namePattern keeps names usable in URLs, headers and KV keys.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// mostHeadroom leaves customers over their share something.
-const mostHeadroom = 0.9
+// maxHeadroom leaves customers over their share something.
+const maxHeadroom = 0.9
 
 const maxLoadFactor = 100
 
 type checker struct {
-	problems []Problem
-	groups   map[core.PoolID]bool
-	names    map[string]bool
-	sums     map[string]core.CustomerID
+	problems  []Problem
+	groups    map[core.PoolID]bool
+	names     map[string]bool
+	keyOwners map[string]core.CustomerID
 }
 
 // Check lists everything wrong with a document.
 func Check(doc *Document) []Problem {
-	ch := &checker{groups: map[core.PoolID]bool{}, names: map[string]bool{}, sums: map[string]core.CustomerID{}}
+	ch := &checker{groups: map[core.PoolID]bool{}, names: map[string]bool{}, keyOwners: map[string]core.CustomerID{}}
 	for _, po := range doc.Pools {
 		ch.pool(po)
 	}
@@ -72,7 +72,7 @@
 // services share one.
 func (ch *checker) name(kind, space, name string) string {
 	object := kind + " " + name
-	if !nameForm.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		ch.add(object, "Name", "must be 1 to 63 letters, digits, '.', '_' or '-', and start with a letter or digit")
 	}
 	if ch.names[space+"/"+name] {
@@ -116,8 +116,8 @@
 	if li.Slots < 0 {
 		ch.add(object, "Slots", "must not be negative")
 	}
-	if !(li.Headroom >= 0 && li.Headroom < mostHeadroom) {
-		ch.add(object, "Headroom", "must be from 0 to below %g, not %g", mostHeadroom, li.Headroom)
+	if !(li.Headroom >= 0 && li.Headroom < maxHeadroom) {
+		ch.add(object, "Headroom", "must be from 0 to below %g, not %g", maxHeadroom, li.Headroom)
 	}
 	if li.QueueCalls < 0 {
 		ch.add(object, "QueueCalls", "must not be negative")
@@ -148,10 +148,10 @@
 		ch.add(object, "KeyHashes", "%q is not 64 hexadecimal digits", sum)
 		return
 	}
-	if other, taken := ch.sums[sum]; taken {
+	if other, taken := ch.keyOwners[sum]; taken {
 		ch.add(object, "KeyHashes", "holds a key that customer %s has too", other)
 	}
-	ch.sums[sum] = owner
+	ch.keyOwners[sum] = owner
 }
 
 func sortedKeys(shares map[core.PoolID]float64) []core.PoolID {
--- a/core/decl/decl.go
+++ b/core/decl/decl.go
@@ -99,30 +99,30 @@
 // Group is a pool or service compiled for traffic.
 type Group struct {
 	Limits
-	ID        core.PoolID
-	Model     string
-	Service   bool
-	ReuseBias float64
-	Hash      uint64
-	repeats   map[string]bool
+	ID         core.PoolID
+	Model      string
+	Service    bool
+	ReuseBias  float64
+	Hash       uint64
+	idempotent map[string]bool
 }
 
 // MayRepeat tells whether a call with that HTTP method may run twice.
-func (gr *Group) MayRepeat(method string) bool { return gr.repeats[method] }
+func (gr *Group) MayRepeat(method string) bool { return gr.idempotent[method] }
 
 // Config is a Document compiled for reading by traffic.
 type Config struct {
 	Revision core.Revision
 	Document *Document
 
-	byKey   map[uint64][]keyed
+	byKey   map[uint64][]keyEntry
 	byName  map[core.CustomerID]*Customer
 	groups  map[core.PoolID]*Group
 	byModel map[string][]*Group
 	checks  map[core.EndpointID]Endpoint
 }
 
-type keyed struct {
+type keyEntry struct {
 	sum      [sha256.Size]byte
 	customer *Customer
 }
@@ -131,7 +131,7 @@
 func Compile(doc *Document, rev core.Revision) *Config {
 	cfg := &Config{
 		Revision: rev, Document: doc,
-		byKey:   map[uint64][]keyed{},
+		byKey:   map[uint64][]keyEntry{},
 		byName:  map[core.CustomerID]*Customer{},
 		groups:  map[core.PoolID]*Group{},
 		byModel: map[string][]*Group{},
@@ -150,7 +150,7 @@
 	for _, se := range doc.Services {
 		gr := newGroup(se.Name, se.Limits)
 		gr.Service = true
-		gr.repeats = repeatable(se.MayRepeat)
+		gr.idempotent = idempotentMethods(se.MayRepeat)
 		cfg.groups[se.Name] = gr
 	}
 	for _, ep := range doc.Endpoints {
@@ -169,15 +169,15 @@
 		}
 		copy(sum[:], raw)
 		short := binary.BigEndian.Uint64(sum[:])
-		cfg.byKey[short] = append(cfg.byKey[short], keyed{sum, cu})
+		cfg.byKey[short] = append(cfg.byKey[short], keyEntry{sum, cu})
 	}
 }
 
-// ByKey finds the customer with the bearer key of that SHA-256 sum, nil if
+// CustomerByKeyHash finds the customer with the bearer key of that SHA-256 sum, nil if
 // there is none. The full sums are compared in constant time, so that timing
 // tells nothing of a stored sum beyond its first eight bytes, from which no key
 // can be worked out.
-func (cfg *Config) ByKey(sum [sha256.Size]byte) *Customer {
+func (cfg *Config) CustomerByKeyHash(sum [sha256.Size]byte) *Customer {
 	var found *Customer
 	for _, ke := range cfg.byKey[binary.BigEndian.Uint64(sum[:])] {
 		if subtle.ConstantTimeCompare(ke.sum[:], sum[:]) == 1 {
@@ -190,8 +190,8 @@
 // Group finds a pool or service, nil if there is none.
 func (cfg *Config) Group(id core.PoolID) *Group { return cfg.groups[id] }
 
-// ForModel finds the customer's pool with that model, nil if it has none.
-func (cfg *Config) ForModel(cu *Customer, model string) *Group {
+// PoolForModel finds the customer's pool with that model, nil if it has none.
+func (cfg *Config) PoolForModel(cu *Customer, model string) *Group {
 	for _, gr := range cfg.byModel[model] {
 		if cu.Shares[gr.ID] > 0 {
 			return gr
@@ -226,7 +226,7 @@
 	}
 }
 
-func repeatable(methods []string) map[string]bool {
+func idempotentMethods(methods []string) map[string]bool {
 	if len(methods) == 0 {
 		methods = []string{"GET", "HEAD", "OPTIONS"}
 	}
--- a/core/decl/delta.go
+++ b/core/decl/delta.go
@@ -53,17 +53,17 @@
 // Lines tells for people what the delta changes, a line each.
 func (de *Delta) Lines() []string {
 	var lines []string
-	lines = append(lines, named("set Customer ", de.Set.Customers, customerName)...)
-	lines = append(lines, named("set Pool ", de.Set.Pools, poolName)...)
-	lines = append(lines, named("set Service ", de.Set.Services, serviceName)...)
-	lines = append(lines, named("set Endpoint ", de.Set.Endpoints, endpointName)...)
-	lines = append(lines, named("remove Customer ", de.Remove.Customers, same)...)
-	lines = append(lines, named("remove Pool ", de.Remove.Pools, same)...)
-	lines = append(lines, named("remove Service ", de.Remove.Services, same)...)
-	return append(lines, named("remove Endpoint ", de.Remove.Endpoints, same)...)
+	lines = append(lines, formatLines("set Customer ", de.Set.Customers, customerName)...)
+	lines = append(lines, formatLines("set Pool ", de.Set.Pools, poolName)...)
+	lines = append(lines, formatLines("set Service ", de.Set.Services, serviceName)...)
+	lines = append(lines, formatLines("set Endpoint ", de.Set.Endpoints, endpointName)...)
+	lines = append(lines, formatLines("remove Customer ", de.Remove.Customers, identity)...)
+	lines = append(lines, formatLines("remove Pool ", de.Remove.Pools, identity)...)
+	lines = append(lines, formatLines("remove Service ", de.Remove.Services, identity)...)
+	return append(lines, formatLines("remove Endpoint ", de.Remove.Endpoints, identity)...)
 }
 
-func named[T any, K ~string](verb string, items []T, name func(T) K) []string {
+func formatLines[T any, K ~string](verb string, items []T, name func(T) K) []string {
 	lines := make([]string, 0, len(items))
 	for _, it := range items {
 		lines = append(lines, verb+string(name(it)))
@@ -75,31 +75,31 @@
 func poolName(po Pool) core.PoolID             { return po.Name }
 func serviceName(se Service) core.PoolID       { return se.Name }
 func endpointName(ep Endpoint) core.EndpointID { return ep.Name }
-func same[K ~string](name K) K                 { return name }
+func identity[K ~string](name K) K             { return name }
 
 // Apply makes the next document; doc itself is not changed.
 func Apply(doc *Document, de *Delta) *Document {
 	return &Document{
-		Customers: merge(doc.Customers, de.Set.Customers, de.Remove.Customers, customerName),
-		Pools:     merge(doc.Pools, de.Set.Pools, de.Remove.Pools, poolName),
-		Services:  merge(doc.Services, de.Set.Services, de.Remove.Services, serviceName),
-		Endpoints: merge(doc.Endpoints, de.Set.Endpoints, de.Remove.Endpoints, endpointName),
+		Customers: mergeItems(doc.Customers, de.Set.Customers, de.Remove.Customers, customerName),
+		Pools:     mergeItems(doc.Pools, de.Set.Pools, de.Remove.Pools, poolName),
+		Services:  mergeItems(doc.Services, de.Set.Services, de.Remove.Services, serviceName),
+		Endpoints: mergeItems(doc.Endpoints, de.Set.Endpoints, de.Remove.Endpoints, endpointName),
 	}
 }
 
 // Diff is the delta that takes one document to another.
 func Diff(from, to *Document) *Delta {
 	de := &Delta{}
-	de.Set.Customers, de.Remove.Customers = differ(from.Customers, to.Customers, customerName)
-	de.Set.Pools, de.Remove.Pools = differ(from.Pools, to.Pools, poolName)
-	de.Set.Services, de.Remove.Services = differ(from.Services, to.Services, serviceName)
-	de.Set.Endpoints, de.Remove.Endpoints = differ(from.Endpoints, to.Endpoints, endpointName)
+	de.Set.Customers, de.Remove.Customers = diffItems(from.Customers, to.Customers, customerName)
+	de.Set.Pools, de.Remove.Pools = diffItems(from.Pools, to.Pools, poolName)
+	de.Set.Services, de.Remove.Services = diffItems(from.Services, to.Services, serviceName)
+	de.Set.Endpoints, de.Remove.Endpoints = diffItems(from.Endpoints, to.Endpoints, endpointName)
 	return de
 }
 
-// merge keeps the result sorted by name, so that equal documents are equal
+// mergeItems keeps the result sorted by name, so that equal documents are equal
 // however they came about.
-func merge[T any, K cmp.Ordered](old, set []T, remove []K, name func(T) K) []T {
+func mergeItems[T any, K cmp.Ordered](old, set []T, remove []K, name func(T) K) []T {
 	byName := make(map[K]T, len(old)+len(set))
 	for _, it := range old {
 		byName[name(it)] = it
@@ -121,21 +121,21 @@
 	return merged
 }
 
-// equal compares as encoded: what is left out equals what is empty.
-func equal[T any](one, two T) bool {
+// equalEncoded compares as encoded: what is left out equals what is empty.
+func equalEncoded[T any](one, two T) bool {
 	left, errLeft := json.Marshal(one)
 	right, errRight := json.Marshal(two)
 	return errLeft == nil && errRight == nil && bytes.Equal(left, right)
 }
 
-func differ[T any, K cmp.Ordered](from, to []T, name func(T) K) (set []T, remove []K) {
+func diffItems[T any, K cmp.Ordered](from, to []T, name func(T) K) (set []T, remove []K) {
 	before := make(map[K]T, len(from))
 	for _, it := range from {
 		before[name(it)] = it
 	}
 	for _, it := range to {
 		old, known := before[name(it)]
-		if !known || !equal(old, it) {
+		if !known || !equalEncoded(old, it) {
 			set = append(set, it)
 		}
 		delete(before, name(it))
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -138,7 +138,7 @@
 		}
 	}
 	key, ok := strings.CutPrefix(rq.Header.Get("Authorization"), "Bearer ")
-	cu := cfg.ByKey(sha256.Sum256([]byte(key)))
+	cu := cfg.CustomerByKeyHash(sha256.Sum256([]byte(key)))
 	if !ok || cu == nil {
 		return nil, nil, &core.Refusal{
 			Outcome: core.NotRun, Reason: core.ReasonBadKey, Step: "authenticate", Peer: string(fr.Board.Self.ID),
--- a/io/front/read.go
+++ b/io/front/read.go
@@ -44,7 +44,7 @@
 	if len(in.Messages) == 0 {
 		return nil, badRequest(http.StatusBadRequest, "the body has no messages")
 	}
-	gr := cfg.ForModel(cu, in.Model)
+	gr := cfg.PoolForModel(cu, in.Model)
 	if gr == nil {
 		re := badRequest(http.StatusNotFound, "no model "+strconv.Quote(in.Model)+" for customer "+string(cu.Name))
 		re.Reason = core.ReasonUnknownModel
