--- a/core/board/board.go
+++ b/core/board/board.go
@@ -245,7 +245,7 @@
 			bo.addrs[vm.ID] = vm.Addr
 		}
 	}
-	bo.members.Listed(ev.VMs, now)
+	bo.members.ApplyList(ev.VMs, now)
 	return true
 }
 
@@ -261,11 +261,11 @@
 }
 
 func (ev Traffic) apply(bo *Board, now time.Time) bool {
-	return bo.members.Traffic(ev.VM, ev.Reached, now)
+	return bo.members.RecordReachability(ev.VM, ev.Reached, now)
 }
 
 func (ev Announced) apply(bo *Board, now time.Time) bool {
-	return bo.members.Announced(ev.VM, ev.Incarnation, ev.Draining, now)
+	return bo.members.ApplyAnnouncement(ev.VM, ev.Incarnation, ev.Draining, now)
 }
 
 // apply publishes again only while something changes with time alone.
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -33,28 +33,28 @@
 )
 
 const (
-	firstSuspicion = time.Second
-	maxSuspicion   = 30 * time.Second
-	rampPerFlap    = 10 * time.Second
-	maxRamp        = 2 * time.Minute
-	firstAllowance = 0.1
-	doubtFor       = 60 * time.Second
-	// flapMemory is how long a failure counts towards the ramp.
-	flapMemory = 10 * time.Minute
-	// doubtMinimum is the pool size from which doubt makes sense.
-	doubtMinimum = 4
+	minSuspicion = time.Second
+	maxSuspicion = 30 * time.Second
+	rampPerFlap  = 10 * time.Second
+	maxRamp      = 2 * time.Minute
+	minAllowance = 0.1
+	removalGrace = 60 * time.Second
+	// flapWindow is how long a failure counts towards the ramp.
+	flapWindow = 10 * time.Minute
+	// minGracePool is the pool size from which doubt makes sense.
+	minGracePool = 4
 )
 
 type record struct {
-	vm          core.VM
-	incarnation core.Incarnation
-	draining    bool
-	failures    int
-	suspectTill time.Time
-	flaps       int
-	lastFlap    time.Time
-	rampFrom    time.Time
-	doubtTill   time.Time
+	vm           core.VM
+	incarnation  core.Incarnation
+	draining     bool
+	failures     int
+	suspectUntil time.Time
+	flaps        int
+	lastFlap     time.Time
+	rampFrom     time.Time
+	removeAt     time.Time
 }
 
 // Usable is a VM that may get work. Allowance is the part of its keys that it
@@ -72,35 +72,35 @@
 	Rand core.Rand
 
 	records map[core.VMID]*record
-	// unsettled is the time up to which Usable changes by itself.
-	unsettled time.Time
+	// changesUntil is the time up to which Usable changes by itself.
+	changesUntil time.Time
 }
 
-// Listed takes in changes of the platform's list.
-func (ta *Table) Listed(vms []core.VM, now time.Time) {
+// ApplyList takes in changes of the platform's list.
+func (ta *Table) ApplyList(vms []core.VM, now time.Time) {
 	if ta.records == nil {
 		ta.records = map[core.VMID]*record{}
 	}
-	doubted := ta.doubted(vms)
+	massRemoval := ta.isMassRemoval(vms)
 	for _, vm := range vms {
 		re := ta.records[vm.ID]
 		switch {
 		case vm.State == core.VMGone && re == nil:
-		case vm.State == core.VMGone && doubted:
-			re.doubtTill = now.Add(doubtFor)
+		case vm.State == core.VMGone && massRemoval:
+			re.removeAt = now.Add(removalGrace)
 		case vm.State == core.VMGone:
 			delete(ta.records, vm.ID)
 		case re == nil:
 			ta.records[vm.ID] = &record{vm: vm}
 		default:
 			re.vm = vm
-			re.doubtTill = time.Time{}
+			re.removeAt = time.Time{}
 		}
 	}
 }
 
-// doubted tells whether the changes would drop more than half of some pool.
-func (ta *Table) doubted(vms []core.VM) bool {
+// isMassRemoval tells whether the changes would drop more than half of some pool.
+func (ta *Table) isMassRemoval(vms []core.VM) bool {
 	dropped := map[core.PoolID]int{}
 	for _, vm := range vms {
 		if re := ta.records[vm.ID]; vm.State == core.VMGone && re != nil && re.vm.State == core.VMLive {
@@ -121,16 +121,16 @@
 		}
 	}
 	for po, gone := range dropped {
-		if live[po] >= doubtMinimum && 2*gone > live[po] {
+		if live[po] >= minGracePool && 2*gone > live[po] {
 			return true
 		}
 	}
 	return false
 }
 
-// Announced takes in what a process says of itself. It reports whether Usable
+// ApplyAnnouncement takes in what a process says of itself. It reports whether Usable
 // may have changed.
-func (ta *Table) Announced(id core.VMID, in core.Incarnation, draining bool, now time.Time) bool {
+func (ta *Table) ApplyAnnouncement(id core.VMID, in core.Incarnation, draining bool, now time.Time) bool {
 	re := ta.records[id]
 	if re == nil {
 		return false
@@ -142,12 +142,12 @@
 	re.incarnation = in
 	re.draining = draining
 	re.recover(now)
-	return re.draining != before.draining || re.suspectTill != before.suspectTill || re.flaps != before.flaps
+	return re.draining != before.draining || re.suspectUntil != before.suspectUntil || re.flaps != before.flaps
 }
 
-// Traffic takes in whether a VM could be reached. It reports whether Usable may
+// RecordReachability takes in whether a VM could be reached. It reports whether Usable may
 // have changed.
-func (ta *Table) Traffic(id core.VMID, reached bool, now time.Time) bool {
+func (ta *Table) RecordReachability(id core.VMID, reached bool, now time.Time) bool {
 	re := ta.records[id]
 	if re == nil {
 		return false
@@ -155,20 +155,20 @@
 	if reached {
 		return re.recover(now)
 	}
-	if now.Before(re.suspectTill) {
+	if now.Before(re.suspectUntil) {
 		return false
 	}
-	wait := min(maxSuspicion, firstSuspicion<<min(re.failures, 10))
+	suspicion := min(maxSuspicion, minSuspicion<<min(re.failures, 10))
 	// Jitter keeps routers from trying a returning VM all at the same moment.
-	wait += time.Duration(ta.Rand.Float64() * float64(wait) / 2)
+	suspicion += time.Duration(ta.Rand.Float64() * float64(suspicion) / 2)
 	re.failures++
 	re.flap(now)
-	re.suspectTill = now.Add(wait)
+	re.suspectUntil = now.Add(suspicion)
 	return true
 }
 
 func (re *record) flap(now time.Time) {
-	if now.Sub(re.lastFlap) > flapMemory {
+	if now.Sub(re.lastFlap) > flapWindow {
 		re.flaps = 0
 	}
 	re.flaps++
@@ -182,7 +182,7 @@
 		return false
 	}
 	re.failures = 0
-	re.suspectTill = time.Time{}
+	re.suspectUntil = time.Time{}
 	re.rampFrom = now
 	return true
 }
@@ -194,7 +194,7 @@
 	}
 	ramp := min(maxRamp, rampPerFlap*time.Duration(re.flaps-1))
 	part := float64(now.Sub(re.rampFrom)) / float64(ramp)
-	return min(1, max(firstAllowance, part))
+	return min(1, max(minAllowance, part))
 }
 
 // Usable lists the VMs that may get work, in order of their names.
@@ -203,14 +203,14 @@
 	suspects := map[core.PoolID]int{}
 	members := map[core.PoolID]int{}
 	for id, re := range ta.records {
-		if !re.doubtTill.IsZero() && now.After(re.doubtTill) {
+		if !re.removeAt.IsZero() && now.After(re.removeAt) {
 			delete(ta.records, id)
 			continue
 		}
 		if re.vm.State != core.VMLive || re.draining {
 			continue
 		}
-		suspect := now.Before(re.suspectTill)
+		suspect := now.Before(re.suspectUntil)
 		for _, po := range re.vm.Pools {
 			members[po]++
 			if suspect {
@@ -251,11 +251,11 @@
 // Pending tells whether Usable may have changed since it was last read, merely
 // because time has passed: a suspicion, a ramp or a doubt is running.
 func (ta *Table) Pending(now time.Time) bool {
-	pending := now.Before(ta.unsettled)
-	ta.unsettled = time.Time{}
+	pending := now.Before(ta.changesUntil)
+	ta.changesUntil = time.Time{}
 	for _, re := range ta.records {
-		if !re.suspectTill.IsZero() || !re.doubtTill.IsZero() || re.allowance(now) < 1 {
-			ta.unsettled = now.Add(maxRamp)
+		if !re.suspectUntil.IsZero() || !re.removeAt.IsZero() || re.allowance(now) < 1 {
+			ta.changesUntil = now.Add(maxRamp)
 			return true
 		}
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -14,7 +14,7 @@
 
 func table(count int) *member.Table {
 	ta := &member.Table{Rand: clock.NewRand(1)}
-	ta.Listed(listed(count, core.VMLive), start)
+	ta.ApplyList(listed(count, core.VMLive), start)
 	return ta
 }
 
@@ -31,22 +31,22 @@
 // The platform's list, out of order for a moment, drops most of a pool. Taking it
 // at its word would refuse everybody; the VMs stay usable for a minute, in which
 // the list usually recovers, and are gone after it if it does not.
-func TestListThatDropsMostIsDoubted(t *testing.T) {
+func TestMassRemovalIsDelayed(t *testing.T) {
 	ta := table(8)
-	ta.Listed(listed(6, core.VMGone), start)
+	ta.ApplyList(listed(6, core.VMGone), start)
 	if got := len(ta.Usable(start.Add(time.Second))); got != 8 {
 		t.Errorf("%d usable right after, want 8", got)
 	}
-	ta.Listed(listed(3, core.VMLive), start.Add(30*time.Second))
+	ta.ApplyList(listed(3, core.VMLive), start.Add(30*time.Second))
 	if got := len(ta.Usable(start.Add(2 * time.Minute))); got != 5 {
 		t.Errorf("%d usable after two minutes, want the 3 back and the 2 never dropped", got)
 	}
 }
 
 // One VM of many goes: it is dropped at once.
-func TestListThatDropsOneIsBelieved(t *testing.T) {
+func TestSingleRemovalIsImmediate(t *testing.T) {
 	ta := table(8)
-	ta.Listed(listed(1, core.VMGone), start)
+	ta.ApplyList(listed(1, core.VMGone), start)
 	if got := len(ta.Usable(start)); got != 7 {
 		t.Errorf("%d usable, want 7", got)
 	}
@@ -57,13 +57,13 @@
 func TestAllSuspectsStayUsable(t *testing.T) {
 	ta := table(6)
 	for n := range 2 {
-		ta.Traffic(id(n), false, start)
+		ta.RecordReachability(id(n), false, start)
 	}
 	if got := len(ta.Usable(start)); got != 4 {
 		t.Errorf("%d usable with 2 suspects, want 4", got)
 	}
 	for n := range 6 {
-		ta.Traffic(id(n), false, start)
+		ta.RecordReachability(id(n), false, start)
 	}
 	if got := ta.Usable(start); len(got) != 6 || !got[0].Suspect {
 		t.Errorf("%+v", got)
@@ -83,20 +83,20 @@
 		}
 		return 0
 	}
-	ta.Traffic(id(0), false, now)
+	ta.RecordReachability(id(0), false, now)
 	if allowance() != 0 {
 		t.Error("a VM that cannot be reached gets work")
 	}
 	now = now.Add(5 * time.Second)
-	ta.Traffic(id(0), true, now)
+	ta.RecordReachability(id(0), true, now)
 	if allowance() != 1 {
 		t.Errorf("after one failure: %.2f", allowance())
 	}
 	last := 1.0
 	for range 3 {
-		ta.Traffic(id(0), false, now)
+		ta.RecordReachability(id(0), false, now)
 		now = now.Add(time.Minute)
-		ta.Traffic(id(0), true, now)
+		ta.RecordReachability(id(0), true, now)
 		now = now.Add(5 * time.Second)
 		if got := allowance(); got >= last || got <= 0 {
 			t.Errorf("allowance %.2f after %.2f", got, last)
@@ -110,11 +110,11 @@
 // the new process gets work though the list never changed.
 func TestDrainingBelongsToAnIncarnation(t *testing.T) {
 	ta := table(3)
-	ta.Announced(id(0), 1, true, start)
+	ta.ApplyAnnouncement(id(0), 1, true, start)
 	if got := len(ta.Usable(start)); got != 2 {
 		t.Errorf("%d usable while one drains", got)
 	}
-	ta.Announced(id(0), 2, false, start)
+	ta.ApplyAnnouncement(id(0), 2, false, start)
 	if got := len(ta.Usable(start)); got != 3 {
 		t.Errorf("%d usable after its restart", got)
 	}
