--- a/io/node/node.go
+++ b/io/node/node.go
@@ -44,7 +44,7 @@
 	"almondrill/core/retry"
 	"almondrill/core/revlog"
 	"almondrill/core/router"
-	"almondrill/core/spread"
+	"almondrill/core/syncer"
 	"almondrill/io/back"
 	"almondrill/io/clock"
 	"almondrill/io/conf"
@@ -74,7 +74,7 @@
 	kv              *kvrpc.Client
 	board           *board.Board
 	configLog       *revlog.Log
-	syncer          *spread.Spreader
+	syncer          *syncer.Syncer
 	controlBucket   *meter.Meter
 	peers           *rpc.Client
 	server          *rpc.Server
@@ -203,9 +203,9 @@
 // buildConfig makes what brings the accepted configuration here.
 func (pr *Process) buildConfig() {
 	pr.configLog = &revlog.Log{KV: pr.kv, Clock: pr.clock, Rand: pr.rand, Adopt: pr.configAdopted, Behind: pr.storeBehind}
-	pr.syncer = &spread.Spreader{
+	pr.syncer = &syncer.Syncer{
 		Log: pr.configLog, Board: pr.board, Peers: pr.peers, Clock: pr.clock, Rand: pr.rand,
-		Digest: pr.digest, Sending: pr.controlBucket.Allow, Failed: pr.logFailure("Polling the configuration failed."),
+		Digest: pr.digest, AllowSend: pr.controlBucket.Allow, Failed: pr.logFailure("Polling the configuration failed."),
 	}
 	pr.syncer.Init()
 }
@@ -213,7 +213,7 @@
 func (pr *Process) buildRole() {
 	pr.server = &rpc.Server{
 		Listener: pr.listeners.peers, Exchange: pr.answerDigest, Fetch: pr.configLog.ChangesSince,
-		RevisionSeen: pr.syncer.Heard, Revision: pr.configLog.Revision,
+		RevisionSeen: pr.syncer.NotePeerRevision, Revision: pr.configLog.Revision,
 	}
 	if pr.Role == core.RoleRouter {
 		pr.server.Register = pr.registerOperators
@@ -223,7 +223,7 @@
 			Retried:      pr.Stats.Retry,
 			Dropped:      func() { pr.Stats.Add(stats.PartsDropped, 1) },
 			Exhausted:    func() { pr.Stats.Refuse(core.ReasonRetryBudget) },
-			RevisionSeen: pr.syncer.Heard,
+			RevisionSeen: pr.syncer.NotePeerRevision,
 		}
 		pr.buildOrderController()
 		pr.buildQuarantine()
@@ -237,7 +237,7 @@
 	pr.logger.Info("Adopted a configuration.", zap.Uint64("Revision", uint64(cfg.Revision)))
 	// The board's goroutine always takes events, so this does not wait long.
 	_ = pr.board.Deliver(context.Background(), board.Adopted{Config: cfg})
-	pr.syncer.Adopted()
+	pr.syncer.NoteAdopted()
 }
 
 func (pr *Process) olderConfigRefused(offered, inForce core.Revision) {
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -43,7 +43,7 @@
 	pr.agent = &agent.Agent{
 		Clock: pr.clock, Rand: pr.rand, Board: pr.board, Self: se.Name, Incarnation: pr.incarnation,
 		Book:  &ctxdir.Directory{Clock: pr.clock, MaxCached: se.MaxChats, MaxPointers: se.MaxChats, TTL: se.KeepChats},
-		Peers: pr.peers, AllowSend: pr.controlBucket.Allow, RevisionSeen: pr.syncer.Heard,
+		Peers: pr.peers, AllowSend: pr.controlBucket.Allow, RevisionSeen: pr.syncer.NotePeerRevision,
 	}
 	var endpoints []*back.Endpoint
 	for _, ep := range se.Endpoints {
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -21,7 +21,7 @@
 	"almondrill/core/retry"
 	"almondrill/core/revlog"
 	"almondrill/core/router"
-	"almondrill/core/spread"
+	"almondrill/core/syncer"
 	"almondrill/io/clock"
 	"almondrill/io/guard"
 	"almondrill/io/stand/kvsrv"
@@ -35,7 +35,7 @@
 	VM       core.VM
 	Board    *board.Board
 	Log      *revlog.Log
-	Spreader *spread.Spreader
+	Spreader *syncer.Syncer
 	Meter    *meter.Meter
 	Router   *router.Router // nil on agents
 	Ledger   *guard.Ledger  // nil on agents
@@ -81,7 +81,7 @@
 }
 
 func (me *Member) exchanged(di *core.Digest) *core.Digest {
-	me.Spreader.Heard(di.From, di.Revision)
+	me.Spreader.NotePeerRevision(di.From, di.Revision)
 	own := me.digest()
 	if len(di.Loads) == 0 {
 		own.Loads = nil
@@ -197,7 +197,7 @@
 		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Self: me.ID, Incarnation: me.incarnation,
 		Slots: []*agent.Slot{{ID: core.EndpointID(name), Pool: fl.Pool, Endpoint: en}},
 		Book:  &ctxdir.Directory{Clock: fl.Clock, MaxCached: 20000, MaxPointers: 20000, TTL: time.Hour},
-		Keys:  me.Keys, Peers: port{fl.Net, me.ID}, AllowSend: me.Meter.Allow, RevisionSeen: me.Spreader.Heard,
+		Keys:  me.Keys, Peers: port{fl.Net, me.ID}, AllowSend: me.Meter.Allow, RevisionSeen: me.Spreader.NotePeerRevision,
 	}
 	me.Agent.Init()
 	me.Orders = &order.Executor{KV: ownKV{fl.Store, me}, Clock: fl.Clock, Self: me.ID}
@@ -218,7 +218,7 @@
 	me := fl.member(name, ix, core.RoleRouter, nil)
 	me.Router = &router.Router{
 		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Peers: port{fl.Net, me.ID}, Zone: me.VM.Zone,
-		Budget: &retry.Budget{Ratio: 0.1}, RevisionSeen: me.Spreader.Heard,
+		Budget: &retry.Budget{Ratio: 0.1}, RevisionSeen: me.Spreader.NotePeerRevision,
 	}
 	store := &guard.KVStore{KV: ownKV{fl.Store, me}}
 	me.Ledger = &guard.Ledger{
@@ -260,11 +260,11 @@
 		me.adopted = append(me.adopted, cfg.Revision)
 		me.mu.Unlock()
 		_ = me.Board.Deliver(me.alive, board.Adopted{Config: cfg})
-		me.Spreader.Adopted()
+		me.Spreader.NoteAdopted()
 	}}
-	me.Spreader = &spread.Spreader{
+	me.Spreader = &syncer.Syncer{
 		Log: me.Log, Board: me.Board, Peers: port{fl.Net, vm.ID}, Clock: fl.Clock, Rand: fl.Rand,
-		Digest: me.digest, Sending: me.Meter.Allow,
+		Digest: me.digest, AllowSend: me.Meter.Allow,
 	}
 	me.Spreader.Init()
 	return me
