--- a/io/node/node.go
+++ b/io/node/node.go
@@ -38,8 +38,8 @@
 	"almondrill/core"
 	"almondrill/core/agent"
 	"almondrill/core/board"
+	"almondrill/core/bucket"
 	"almondrill/core/decl"
-	"almondrill/core/meter"
 	"almondrill/core/order"
 	"almondrill/core/retry"
 	"almondrill/core/revlog"
@@ -75,7 +75,7 @@
 	board           *board.Board
 	configLog       *revlog.Log
 	syncer          *syncer.Syncer
-	controlBucket   *meter.Meter
+	controlBucket   *bucket.Bucket
 	peers           *rpc.Client
 	server          *rpc.Server
 	router          *router.Router
@@ -182,7 +182,7 @@
 	if pr.kv, err = kvrpc.Dial(se.KVAddr); err != nil {
 		return err
 	}
-	pr.controlBucket = &meter.Meter{Clock: pr.clock, PerSecond: se.ControlBytesPerSecond}
+	pr.controlBucket = &bucket.Bucket{Clock: pr.clock, PerSecond: se.ControlBytesPerSecond}
 	pr.board = &board.Board{Clock: pr.clock, Rand: pr.rand, Self: pr.self(), Reverted: pr.olderConfigRefused}
 	pr.board.Init()
 	pr.peers = &rpc.Client{MaxConns: se.MaxConnections, Addr: func(vm core.VMID) string {
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -13,10 +13,10 @@
 	"almondrill/core"
 	"almondrill/core/agent"
 	"almondrill/core/board"
+	"almondrill/core/bucket"
 	"almondrill/core/claim"
 	"almondrill/core/ctxdir"
 	"almondrill/core/decl"
-	"almondrill/core/meter"
 	"almondrill/core/order"
 	"almondrill/core/retry"
 	"almondrill/core/revlog"
@@ -36,7 +36,7 @@
 	Board    *board.Board
 	Log      *revlog.Log
 	Spreader *syncer.Syncer
-	Meter    *meter.Meter
+	Meter    *bucket.Bucket
 	Router   *router.Router // nil on agents
 	Ledger   *guard.Ledger  // nil on agents
 	Agent    *agent.Agent   // nil on routers
@@ -252,7 +252,7 @@
 	}
 	me := &Member{ID: vm.ID, VM: vm, incarnation: core.Incarnation(fl.Rand.Uint64() | 1)}
 	me.alive, me.kill = context.WithCancel(fl.ctx)
-	me.Meter = &meter.Meter{Clock: fl.Clock, PerSecond: fl.Budget}
+	me.Meter = &bucket.Bucket{Clock: fl.Clock, PerSecond: fl.Budget}
 	me.Board = &board.Board{Clock: fl.Clock, Rand: fl.Rand, Self: vm}
 	me.Board.Init()
 	me.Log = &revlog.Log{KV: ownKV{fl.Store, me}, Clock: fl.Clock, Rand: fl.Rand, Adopt: func(cfg *decl.Config) {
--- a/io/stand/inmem/net.go
+++ b/io/stand/inmem/net.go
@@ -23,7 +23,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/core/meter"
+	"almondrill/core/bucket"
 )
 
 // Net is the fake network. Set the exported fields before use.
@@ -192,7 +192,7 @@
 	}
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	ne.fetched += core.Bytes(size) + 2*meter.Overhead
+	ne.fetched += core.Bytes(size) + 2*bucket.Overhead
 }
 
 // Fetched is the configuration sent between members so far, with its overhead.
