--- a/core/agent/control.go
+++ b/core/agent/control.go
@@ -54,7 +54,7 @@
 		}
 		got, err := ag.Peers.Exchange(ctx, to, di)
 		if err != nil {
-			ag.Board.Post(board.Traffic{VM: to, Reached: false})
+			ag.Board.Post(board.Reachability{VM: to, Reached: false})
 			continue
 		}
 		ag.ApplyDigest(got)
@@ -105,7 +105,7 @@
 
 // ApplyDigest takes in a peer's digest.
 func (ag *Agent) ApplyDigest(di *core.Digest) {
-	ag.Board.Post(board.Announced{VM: di.From, Incarnation: di.Incarnation, Draining: di.Draining})
+	ag.Board.Post(board.ProcessAnnounced{VM: di.From, Incarnation: di.Incarnation, Draining: di.Draining})
 	if ag.RevisionSeen != nil {
 		ag.RevisionSeen(di.From, di.Revision)
 	}
--- a/core/board/board.go
+++ b/core/board/board.go
@@ -43,20 +43,20 @@
 	apply(bo *Board, now time.Time) bool
 }
 
-// Listed brings changes of the platform's list.
-type Listed struct{ VMs []core.VM }
+// VMsChanged brings changes of the platform's list.
+type VMsChanged struct{ VMs []core.VM }
 
-// Adopted brings a newer configuration.
-type Adopted struct{ Config *decl.Config }
+// ConfigAdopted brings a newer configuration.
+type ConfigAdopted struct{ Config *decl.Config }
 
-// Traffic tells whether a VM could be reached.
-type Traffic struct {
+// Reachability tells whether a VM could be reached.
+type Reachability struct {
 	VM      core.VMID
 	Reached bool
 }
 
-// Announced tells what a process said of itself.
-type Announced struct {
+// ProcessAnnounced tells what a process said of itself.
+type ProcessAnnounced struct {
 	VM          core.VMID
 	Incarnation core.Incarnation
 	Draining    bool
@@ -69,10 +69,10 @@
 	Group   *decl.Group
 	Members []Member
 	// Ring is Members for placement; Near those of the process's own region.
-	Ring []ring.Member
-	Near []int32
-	// Even is set where all weights are equal.
-	Even bool
+	Ring       []ring.Member
+	SameRegion []int32
+	// EqualWeights is set where all weights are equal.
+	EqualWeights bool
 	// Ramping is set where some member has an Allowance below 1.
 	Ramping bool
 }
@@ -133,8 +133,8 @@
 
 const (
 	queueLength = 1024
-	// TickEvery is how often suspicions and ramps are looked at again.
-	TickEvery = 500 * time.Millisecond
+	// TickInterval is how often suspicions and ramps are looked at again.
+	TickInterval = 500 * time.Millisecond
 )
 
 // Board is the blackboard. Set the exported fields before Run.
@@ -145,17 +145,17 @@
 	// Published, if set, is called by the control goroutine after each change.
 	Published func(sn *Snapshot)
 	// Reverted, if set, is told of a configuration refused as older.
-	Reverted func(offered, inForce core.Revision)
+	OlderConfig func(offered, inForce core.Revision)
 
 	events  chan Event
 	snap    atomic.Pointer[Snapshot]
 	dropped atomic.Int64
 
 	// Owned by Run.
-	members member.Table
-	config  *decl.Config
-	addrs   map[core.VMID]string
-	gauges  map[gaugeKey]*loads.Gauge
+	membership member.Table
+	config     *decl.Config
+	addrs      map[core.VMID]string
+	gauges     map[gaugeKey]*loads.Gauge
 }
 
 type gaugeKey struct {
@@ -169,7 +169,7 @@
 		return
 	}
 	bo.events = make(chan Event, queueLength)
-	bo.members.Rand = bo.Rand
+	bo.membership.Rand = bo.Rand
 	bo.addrs = map[core.VMID]string{}
 	bo.gauges = map[gaugeKey]*loads.Gauge{}
 	bo.snap.Store(&Snapshot{Pools: map[core.PoolID]*Pool{}, Addrs: map[core.VMID]string{}})
@@ -184,14 +184,14 @@
 		case <-ctx.Done():
 			return nil
 		case ev := <-bo.events:
-			bo.take(ev)
+			bo.applyEvents(ev)
 		}
 	}
 }
 
-// take applies an event and all that wait behind it, then publishes once: a
+// applyEvents applies an event and all that wait behind it, then publishes once: a
 // burst of changes costs one snapshot.
-func (bo *Board) take(ev Event) {
+func (bo *Board) applyEvents(ev Event) {
 	now := bo.Clock.Now()
 	changed := ev.apply(bo, now)
 	for {
@@ -209,7 +209,7 @@
 }
 
 func (bo *Board) ticks(ctx context.Context) {
-	for bo.Clock.Sleep(ctx, TickEvery) == nil {
+	for bo.Clock.Sleep(ctx, TickInterval) == nil {
 		bo.Post(tick{})
 	}
 }
@@ -239,20 +239,20 @@
 // Snapshot is the latest one; it is never nil.
 func (bo *Board) Snapshot() *Snapshot { return bo.snap.Load() }
 
-func (ev Listed) apply(bo *Board, now time.Time) bool {
+func (ev VMsChanged) apply(bo *Board, now time.Time) bool {
 	for _, vm := range ev.VMs {
 		if vm.State != core.VMGone {
 			bo.addrs[vm.ID] = vm.Addr
 		}
 	}
-	bo.members.ApplyList(ev.VMs, now)
+	bo.membership.ApplyList(ev.VMs, now)
 	return true
 }
 
-func (ev Adopted) apply(bo *Board, _ time.Time) bool {
+func (ev ConfigAdopted) apply(bo *Board, _ time.Time) bool {
 	if bo.config != nil && ev.Config.Revision <= bo.config.Revision {
-		if ev.Config.Revision < bo.config.Revision && bo.Reverted != nil {
-			bo.Reverted(ev.Config.Revision, bo.config.Revision)
+		if ev.Config.Revision < bo.config.Revision && bo.OlderConfig != nil {
+			bo.OlderConfig(ev.Config.Revision, bo.config.Revision)
 		}
 		return false
 	}
@@ -260,16 +260,16 @@
 	return true
 }
 
-func (ev Traffic) apply(bo *Board, now time.Time) bool {
-	return bo.members.RecordReachability(ev.VM, ev.Reached, now)
+func (ev Reachability) apply(bo *Board, now time.Time) bool {
+	return bo.membership.RecordReachability(ev.VM, ev.Reached, now)
 }
 
-func (ev Announced) apply(bo *Board, now time.Time) bool {
-	return bo.members.ApplyAnnouncement(ev.VM, ev.Incarnation, ev.Draining, now)
+func (ev ProcessAnnounced) apply(bo *Board, now time.Time) bool {
+	return bo.membership.ApplyAnnouncement(ev.VM, ev.Incarnation, ev.Draining, now)
 }
 
 // apply publishes again only while something changes with time alone.
-func (tick) apply(bo *Board, now time.Time) bool { return bo.members.Pending(now) }
+func (tick) apply(bo *Board, now time.Time) bool { return bo.membership.Pending(now) }
 
 // publish builds a new Snapshot.
 func (bo *Board) publish(now time.Time) {
@@ -277,7 +277,7 @@
 	for id, addr := range bo.addrs {
 		sn.Addrs[id] = addr
 	}
-	for _, us := range bo.members.Usable(now) {
+	for _, us := range bo.membership.Usable(now) {
 		switch us.VM.Role {
 		case core.RoleRouter:
 			sn.Routers = append(sn.Routers, us.VM.ID)
@@ -288,7 +288,7 @@
 		}
 	}
 	for _, po := range sn.Pools {
-		po.Even = ring.UniformWeights(po.Ring)
+		po.EqualWeights = ring.UniformWeights(po.Ring)
 	}
 	bo.snap.Store(sn)
 	if bo.Published != nil {
@@ -309,12 +309,12 @@
 		po.add(us, Member{
 			VM: us.VM.ID, Zone: us.VM.Zone, Region: us.VM.Region,
 			Allowance: us.Allowance, Suspect: us.Suspect,
-			Incarnation: bo.members.Incarnation(us.VM.ID), Load: bo.gauge(us.VM.ID, id),
+			Incarnation: bo.membership.Incarnation(us.VM.ID), Load: bo.gauge(us.VM.ID, id),
 		}, us.VM.Region == bo.Self.Region)
 	}
 }
 
-func (po *Pool) add(us member.Usable, me Member, near bool) {
+func (po *Pool) add(us member.Usable, me Member, sameRegion bool) {
 	ix := len(po.Members)
 	po.Members = append(po.Members, me)
 	weight := us.VM.Weight
@@ -322,8 +322,8 @@
 		weight = 1
 	}
 	po.Ring = append(po.Ring, ring.Member{Hash: decl.HashName(string(me.VM)), Weight: weight})
-	if near {
-		po.Near = append(po.Near, int32(ix))
+	if sameRegion {
+		po.SameRegion = append(po.SameRegion, int32(ix))
 	}
 	po.Ramping = po.Ramping || us.Allowance < 1
 }
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -114,9 +114,9 @@
 // the region has none.
 func (se *Search) home() int {
 	po := se.Pool
-	if len(po.Near) == len(po.Members) || len(po.Near) == 0 {
+	if len(po.SameRegion) == len(po.Members) || len(po.SameRegion) == 0 {
 		if !po.Ramping {
-			return ring.Best(po.Ring, se.Key, po.Even)
+			return ring.Best(po.Ring, se.Key, po.EqualWeights)
 		}
 	}
 	return se.nextInOrder()
@@ -139,8 +139,8 @@
 	bestNear := false
 	near := 0
 	for ix := range po.Members {
-		isNear := len(po.Near) == 0
-		if near < len(po.Near) && int(po.Near[near]) == ix {
+		isNear := len(po.SameRegion) == 0
+		if near < len(po.SameRegion) && int(po.SameRegion[near]) == ix {
 			isNear = true
 			near++
 		}
@@ -247,7 +247,7 @@
 
 func (se *Search) inZone(ix int) bool { return se.Pool.Members[ix].Zone == se.Zone }
 
-func (se *Search) inRegion(ix int) bool { return slices.Contains(se.Pool.Near, int32(ix)) }
+func (se *Search) inRegion(ix int) bool { return slices.Contains(se.Pool.SameRegion, int32(ix)) }
 
 func (se *Search) load(ix int) core.Work { return se.Pool.Members[ix].Load.Get() }
 
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -14,12 +14,12 @@
 )
 
 func pool(count int, allowance float64) *board.Pool {
-	po := &board.Pool{Even: true, Ramping: allowance < 1}
+	po := &board.Pool{EqualWeights: true, Ramping: allowance < 1}
 	for n := range count {
 		vm := core.VMID(fmt.Sprintf("agent-%02d", n))
 		po.Members = append(po.Members, board.Member{VM: vm, Allowance: allowance, Load: &loads.Gauge{}})
 		po.Ring = append(po.Ring, ring.Member{Hash: ring.Key("", "", core.ChatID(vm)), Weight: 1})
-		po.Near = append(po.Near, int32(n))
+		po.SameRegion = append(po.SameRegion, int32(n))
 	}
 	return po
 }
--- a/core/router/router.go
+++ b/core/router/router.go
@@ -198,7 +198,7 @@
 	if rep != nil {
 		me.Load.Set(rep.Load)
 		if rep.Draining || me.Suspect || me.Allowance < 1 || rep.Incarnation != me.Incarnation {
-			at.ro.Board.Post(board.Announced{VM: me.VM, Incarnation: rep.Incarnation, Draining: rep.Draining})
+			at.ro.Board.Post(board.ProcessAnnounced{VM: me.VM, Incarnation: rep.Incarnation, Draining: rep.Draining})
 		}
 		if at.ro.RevisionSeen != nil {
 			at.ro.RevisionSeen(me.VM, rep.Revision)
@@ -210,7 +210,7 @@
 	}
 	reason := core.AsRefusal(err, "serve", string(me.VM)).Reason
 	if reason == core.ReasonUnreachable || reason == core.ReasonPeerLost {
-		at.ro.Board.Post(board.Traffic{VM: me.VM, Reached: false})
+		at.ro.Board.Post(board.Reachability{VM: me.VM, Reached: false})
 	}
 }
 
--- a/core/trial/failure_test.go
+++ b/core/trial/failure_test.go
@@ -301,7 +301,7 @@
 		for _, me := range st.fl.All() {
 			if me.Router != nil {
 				for _, gone := range live[2:] {
-					me.Board.Post(board.Announced{VM: gone.ID, Draining: true})
+					me.Board.Post(board.ProcessAnnounced{VM: gone.ID, Draining: true})
 				}
 			}
 		}
--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -35,7 +35,7 @@
 	for n := range 14 {
 		doc.Pools = append(doc.Pools, decl.Pool{Name: core.PoolID(fmt.Sprint("pool-", n)), Model: "m"})
 	}
-	_ = bo.Deliver(ctx, board.Adopted{Config: decl.Compile(doc, 1)})
+	_ = bo.Deliver(ctx, board.ConfigAdopted{Config: decl.Compile(doc, 1)})
 	<-published
 	var vms []core.VM
 	for n := range agents {
@@ -44,7 +44,7 @@
 			Pools: []core.PoolID{core.PoolID(fmt.Sprint("pool-", n%14))},
 		})
 	}
-	_ = bo.Deliver(ctx, board.Listed{VMs: vms})
+	_ = bo.Deliver(ctx, board.VMsChanged{VMs: vms})
 	return <-published
 }
 
--- a/core/trial/work_test.go
+++ b/core/trial/work_test.go
@@ -228,7 +228,7 @@
 
 func hashPolicy(_ *workload, me *inmem.Member, key uint64) core.VMID {
 	po := me.Board.Snapshot().Pools[poolID]
-	return po.Members[ring.Best(po.Ring, key, po.Even)].VM
+	return po.Members[ring.Best(po.Ring, key, po.EqualWeights)].VM
 }
 
 // leastLoadedPolicy knows what agents' answers have told the router, as routers do.
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -183,7 +183,7 @@
 		return err
 	}
 	pr.controlBucket = &bucket.Bucket{Clock: pr.clock, PerSecond: se.ControlBytesPerSecond}
-	pr.board = &board.Board{Clock: pr.clock, Rand: pr.rand, Self: pr.self(), Reverted: pr.olderConfigRefused}
+	pr.board = &board.Board{Clock: pr.clock, Rand: pr.rand, Self: pr.self(), OlderConfig: pr.olderConfigRefused}
 	pr.board.Init()
 	pr.peers = &rpc.Client{MaxConns: se.MaxConnections, Addr: func(vm core.VMID) string {
 		return pr.board.Snapshot().Addrs[vm]
@@ -236,7 +236,7 @@
 func (pr *Process) configAdopted(cfg *decl.Config) {
 	pr.logger.Info("Adopted a configuration.", zap.Uint64("Revision", uint64(cfg.Revision)))
 	// The board's goroutine always takes events, so this does not wait long.
-	_ = pr.board.Deliver(context.Background(), board.Adopted{Config: cfg})
+	_ = pr.board.Deliver(context.Background(), board.ConfigAdopted{Config: cfg})
 	pr.syncer.NoteAdopted()
 }
 
@@ -275,7 +275,7 @@
 	if pr.agent != nil {
 		pr.agent.ApplyDigest(di)
 	} else {
-		pr.board.Post(board.Announced{VM: di.From, Incarnation: di.Incarnation, Draining: di.Draining})
+		pr.board.Post(board.ProcessAnnounced{VM: di.From, Incarnation: di.Incarnation, Draining: di.Draining})
 	}
 	return own
 }
@@ -283,7 +283,7 @@
 func (pr *Process) startControl(ctx context.Context) {
 	lister := &board.Lister{
 		Board: pr.board, List: &vmnet.Client{Addr: pr.Settings.VMsAddr},
-		Leaving: pr.listedDraining, Failed: pr.logFailure("Reading the VM list failed."),
+		Draining: pr.listedDraining, Failed: pr.logFailure("Reading the VM list failed."),
 	}
 	loops := []func(context.Context) error{pr.board.Run, lister.Run, pr.syncer.Run}
 	if pr.agent != nil {
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -259,7 +259,7 @@
 		me.mu.Lock()
 		me.adopted = append(me.adopted, cfg.Revision)
 		me.mu.Unlock()
-		_ = me.Board.Deliver(me.alive, board.Adopted{Config: cfg})
+		_ = me.Board.Deliver(me.alive, board.ConfigAdopted{Config: cfg})
 		me.Spreader.NoteAdopted()
 	}}
 	me.Spreader = &syncer.Syncer{
@@ -282,7 +282,7 @@
 	if late {
 		list = fl.late
 	}
-	lister := &board.Lister{Board: me.Board, List: list, Leaving: func() {
+	lister := &board.Lister{Board: me.Board, List: list, Draining: func() {
 		if me.Agent != nil {
 			me.Agent.StopAccepting()
 		}
