--- a/io/back/answer.go
+++ b/io/back/answer.go
@@ -12,22 +12,22 @@
 	"almondrill/core"
 )
 
-// answer passes one response's body on.
-type answer struct {
+// forwarder passes one response's body on.
+type forwarder struct {
 	ep    *Endpoint
 	ca    *core.Call
 	rs    *http.Response
 	sink  core.Sink
-	watch *watch
+	stall *stallTimer
 	part  core.Part
 	usage core.Usage
-	// kept is what was read of an event, or of a whole JSON answer, so far.
-	kept []byte
-	done bool
+	// buffered is what was read of an event, or of a whole JSON answer, so far.
+	buffered []byte
+	sawDone  bool
 }
 
-// mostKept bounds an event, and a whole answer that is looked at for its usage.
-const mostKept = 1 << 20
+// maxBuffered bounds an event, and a whole answer that is looked at for its usage.
+const maxBuffered = 1 << 20
 
 var (
 	eventEnd   = []byte("\n\n")
@@ -37,71 +37,71 @@
 	dataField  = []byte("data:")
 )
 
-var errNoLength = errors.New("the answer has neither length nor chunks, so its end cannot be told")
+var errUnframedBody = errors.New("the answer has neither length nor chunks, so its end cannot be told")
 
-func (an *answer) pass(ctx context.Context) error {
-	media, _, _ := mime.ParseMediaType(an.part.ContentType)
+func (fw *forwarder) forward(ctx context.Context) error {
+	media, _, _ := mime.ParseMediaType(fw.part.ContentType)
 	if media == "text/event-stream" {
-		return an.passStream(ctx)
+		return fw.forwardStream(ctx)
 	}
-	return an.passWhole(ctx)
+	return fw.forwardPlain(ctx)
 }
 
-// passWhole passes a plain body on.
-func (an *answer) passWhole(ctx context.Context) error {
-	if an.rs.ContentLength < 0 && len(an.rs.TransferEncoding) == 0 && an.rs.ProtoMajor == 1 {
-		return an.ep.refuse(core.Unknown, core.ReasonCutShort, errNoLength)
+// forwardPlain passes a plain body on.
+func (fw *forwarder) forwardPlain(ctx context.Context) error {
+	if fw.rs.ContentLength < 0 && len(fw.rs.TransferEncoding) == 0 && fw.rs.ProtoMajor == 1 {
+		return fw.ep.refusal(core.Unknown, core.ReasonCutShort, errUnframedBody)
 	}
-	left := an.rs.ContentLength
-	err := an.read(ctx, func(data []byte) error {
-		if an.ep.Engine && len(an.kept)+len(data) <= mostKept {
-			an.kept = append(an.kept, data...)
+	left := fw.rs.ContentLength
+	err := fw.readBody(ctx, func(data []byte) error {
+		if fw.ep.Engine && len(fw.buffered)+len(data) <= maxBuffered {
+			fw.buffered = append(fw.buffered, data...)
 		}
 		// With the length known, the last piece carries the end mark itself.
 		left -= int64(len(data))
-		an.part.End = left == 0
-		return an.send(data, 0)
+		fw.part.End = left == 0
+		return fw.send(data, 0)
 	})
 	if err != nil {
 		return err
 	}
-	an.noteUsage(an.kept)
-	return an.end()
+	fw.parseUsage(fw.buffered)
+	return fw.finish()
 }
 
-// passStream passes events on, as many at a time as have arrived whole. An event
+// forwardStream passes events on, as many at a time as have arrived whole. An event
 // ends with an empty line; nothing else of the format matters here, and it is
 // the place where every token passes, so no event is parsed or copied but the
 // one that carries the usage.
-func (an *answer) passStream(ctx context.Context) error {
-	err := an.read(ctx, func(data []byte) error {
-		if len(an.kept) > 0 {
-			an.kept = append(an.kept, data...)
-			data = an.kept
+func (fw *forwarder) forwardStream(ctx context.Context) error {
+	err := fw.readBody(ctx, func(data []byte) error {
+		if len(fw.buffered) > 0 {
+			fw.buffered = append(fw.buffered, data...)
+			data = fw.buffered
 		}
-		cut := lastEvent(data)
+		cut := completeLen(data)
 		if cut > 0 {
-			if err := an.events(data[:cut]); err != nil {
+			if err := fw.sendEvents(data[:cut]); err != nil {
 				return err
 			}
 		}
-		if len(data)-cut > mostKept {
-			return an.ep.refuse(core.Failed, core.ReasonEndpointError, errors.New("an event is larger than a megabyte"))
+		if len(data)-cut > maxBuffered {
+			return fw.ep.refusal(core.Failed, core.ReasonEndpointError, errors.New("an event is larger than a megabyte"))
 		}
-		an.kept = append(an.kept[:0], data[cut:]...)
+		fw.buffered = append(fw.buffered[:0], data[cut:]...)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	if !an.done {
-		return an.ep.refuse(core.Failed, core.ReasonCutShort, errors.New("the stream ended without its end mark"))
+	if !fw.sawDone {
+		return fw.ep.refusal(core.Failed, core.ReasonCutShort, errors.New("the stream ended without its end mark"))
 	}
-	return an.end()
+	return fw.finish()
 }
 
-// lastEvent is the index behind the last whole event in data.
-func lastEvent(data []byte) int {
+// completeLen is the index behind the last whole event in data.
+func completeLen(data []byte) int {
 	cut := 0
 	if at := bytes.LastIndex(data, eventEnd); at >= 0 {
 		cut = at + len(eventEnd)
@@ -112,20 +112,20 @@
 	return cut
 }
 
-// events passes whole events on.
-func (an *answer) events(data []byte) error {
+// sendEvents passes whole events on.
+func (fw *forwarder) sendEvents(data []byte) error {
 	count := bytes.Count(data, eventEnd) + bytes.Count(data, eventEndCR)
 	tail := bytes.TrimRight(data, "\r\n")
-	an.done = bytes.HasSuffix(tail, streamDone)
-	an.part.End = an.done
+	fw.sawDone = bytes.HasSuffix(tail, streamDone)
+	fw.part.End = fw.sawDone
 	if at := bytes.Index(data, usageField); at >= 0 {
-		an.noteUsage(eventAround(data, at))
+		fw.parseUsage(eventDataAt(data, at))
 	}
-	return an.send(data, int64(count))
+	return fw.send(data, int64(count))
 }
 
-// eventAround is the JSON of the event that holds index at.
-func eventAround(data []byte, at int) []byte {
+// eventDataAt is the JSON of the event that holds index at.
+func eventDataAt(data []byte, at int) []byte {
 	from := bytes.LastIndex(data[:at], dataField)
 	if from < 0 {
 		return nil
@@ -137,8 +137,8 @@
 	return bytes.TrimSpace(event)
 }
 
-func (an *answer) noteUsage(data []byte) {
-	if !an.ep.Engine || len(data) == 0 {
+func (fw *forwarder) parseUsage(data []byte) {
+	if !fw.ep.Engine || len(data) == 0 {
 		return
 	}
 	var in struct {
@@ -153,69 +153,69 @@
 	if json.Unmarshal(data, &in) != nil {
 		return
 	}
-	an.usage = core.Usage{
+	fw.usage = core.Usage{
 		Prompt: core.Tokens(in.Usage.Prompt),
 		Cached: core.Tokens(in.Usage.Details.Cached),
 		Output: core.Tokens(in.Usage.Output),
 	}
 }
 
-// read hands the body's data to take until its end. An error of take ends it.
-func (an *answer) read(ctx context.Context, take func(data []byte) error) error {
+// readBody hands the body's data to take until its end. An error of take ends it.
+func (fw *forwarder) readBody(ctx context.Context, handle func(data []byte) error) error {
 	buffer := buffers.Get().(*[readSize]byte)
 	defer buffers.Put(buffer)
 	for {
-		count, err := an.rs.Body.Read(buffer[:])
+		count, err := fw.rs.Body.Read(buffer[:])
 		if count > 0 {
-			an.watch.heard()
-			if terr := take(buffer[:count]); terr != nil {
-				return an.stopped(terr)
+			fw.stall.reset()
+			if terr := handle(buffer[:count]); terr != nil {
+				return fw.sendError(terr)
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return an.brokeOff(ctx, err)
+			return fw.readError(ctx, err)
 		}
 	}
 }
 
-// stopped keeps a refusal as it is; any other error is the caller's leaving.
-func (an *answer) stopped(err error) error {
+// sendError keeps a refusal as it is; any other error is the caller's leaving.
+func (fw *forwarder) sendError(err error) error {
 	var re *core.Refusal
 	if errors.As(err, &re) {
 		return re
 	}
-	return an.ep.refuse(core.Unknown, core.ReasonCallerGone, err)
+	return fw.ep.refusal(core.Unknown, core.ReasonCallerGone, err)
 }
 
-// brokeOff tells of a body that ended before its end. It ran, and failed.
-func (an *answer) brokeOff(ctx context.Context, err error) error {
+// readError tells of a body that ended before its end. It ran, and failed.
+func (fw *forwarder) readError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return an.ep.broken(ctx, core.ReasonCutShort, err)
+		return fw.ep.interrupted(ctx, core.ReasonCutShort, err)
 	}
-	return an.ep.refuse(core.Failed, core.ReasonCutShort, err)
+	return fw.ep.refusal(core.Failed, core.ReasonCutShort, err)
 }
 
-func (an *answer) send(data []byte, events int64) error {
-	an.part.Position += events
-	an.part.Data = data
-	err := an.sink.Send(&an.part)
-	an.part.Status = 0
-	an.part.ContentType = ""
+func (fw *forwarder) send(data []byte, events int64) error {
+	fw.part.Position += events
+	fw.part.Data = data
+	err := fw.sink.Send(&fw.part)
+	fw.part.Status = 0
+	fw.part.ContentType = ""
 	return err
 }
 
-// end sends the end mark, with the head if the body was empty, unless the last
+// finish sends the end mark, with the head if the body was empty, unless the last
 // piece carried it.
-func (an *answer) end() error {
-	if an.part.End {
+func (fw *forwarder) finish() error {
+	if fw.part.End {
 		return nil
 	}
-	an.part.End = true
-	if err := an.send(nil, 0); err != nil {
-		return an.stopped(err)
+	fw.part.End = true
+	if err := fw.send(nil, 0); err != nil {
+		return fw.sendError(err)
 	}
 	return nil
 }
--- a/io/back/back.go
+++ b/io/back/back.go
@@ -41,11 +41,11 @@
 )
 
 const (
-	// DefaultStall is how long an endpoint may send nothing.
-	DefaultStall = 30 * time.Second
-	dialTimeout  = time.Second
-	readSize     = 16 << 10
-	mostIdle     = 256
+	// DefaultStallTimeout is how long an endpoint may send nothing.
+	DefaultStallTimeout = 30 * time.Second
+	dialTimeout         = time.Second
+	readSize            = 16 << 10
+	maxIdleConns        = 256
 )
 
 // Headers between agent and endpoint.
@@ -53,7 +53,7 @@
 	headerAttempt  = "X-Request-Id"
 	headerCacheKey = "X-Cache-Key"
 	headerPriority = "X-Priority"
-	headerIdem     = "Idempotency-Key"
+	headerIdemKey  = "Idempotency-Key"
 )
 
 // Endpoint is one endpoint. Set the exported fields before use.
@@ -62,8 +62,8 @@
 	URL string
 	// Engine tells an engine from a service.
 	Engine bool
-	// Stall bounds the silence between two pieces of an answer; 0 is DefaultStall.
-	Stall time.Duration
+	// StallTimeout bounds the silence between two pieces of an answer; 0 is DefaultStall.
+	StallTimeout time.Duration
 	// EchoesAttempt tells whether answers must carry the attempt id; nil is no.
 	EchoesAttempt func() bool
 	// Crossed, if set, counts answers that were for another attempt.
@@ -80,15 +80,15 @@
 // that nobody can tell whether it ran; on a new one, either the connection is
 // refused, and it did not, or the endpoint has it.
 var (
-	client     = newClient(false)
-	onceClient = newClient(true)
+	client      = newClient(false)
+	freshClient = newClient(true)
 )
 
 func newClient(fresh bool) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			MaxIdleConnsPerHost: mostIdle,
+			MaxIdleConnsPerHost: maxIdleConns,
 			DisableKeepAlives:   fresh,
 			DisableCompression:  true,
 			ReadBufferSize:      readSize,
@@ -117,53 +117,53 @@
 func (ep *Endpoint) Do(ctx context.Context, ca *core.Call, si core.Sink) (core.Usage, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := newWatch(ep.stall(), cancel)
-	defer watch.stop()
+	stall := newStallTimer(ep.stallTimeout(), cancel)
+	defer stall.stop()
 	rq, err := ep.newRequest(ctx, ca)
 	if err != nil {
-		return core.Usage{}, ep.refuse(core.NotRun, core.ReasonBadRequest, err)
+		return core.Usage{}, ep.refusal(core.NotRun, core.ReasonBadRequest, err)
 	}
 	rs, err := ep.client(ca).Do(rq)
 	if err != nil {
-		return core.Usage{}, ep.noAnswer(ctx, err)
+		return core.Usage{}, ep.sendFailed(ctx, err)
 	}
 	defer rs.Body.Close()
-	if re := ep.checkHead(ca, rs); re != nil {
+	if re := ep.checkHeader(ca, rs); re != nil {
 		return core.Usage{}, re
 	}
-	an := &answer{ep: ep, ca: ca, rs: rs, sink: si, watch: watch}
-	an.part.Attempt = ca.Attempt
-	an.part.Status = rs.StatusCode
-	an.part.ContentType = rs.Header.Get("Content-Type")
-	err = an.pass(ctx)
-	return an.usage, err
+	fw := &forwarder{ep: ep, ca: ca, rs: rs, sink: si, stall: stall}
+	fw.part.Attempt = ca.Attempt
+	fw.part.Status = rs.StatusCode
+	fw.part.ContentType = rs.Header.Get("Content-Type")
+	err = fw.forward(ctx)
+	return fw.usage, err
 }
 
 func (ep *Endpoint) client(ca *core.Call) *http.Client {
 	if ca.MayRepeat {
 		return client
 	}
-	return onceClient
+	return freshClient
 }
 
-func (ep *Endpoint) stall() time.Duration {
-	if ep.Stall > 0 {
-		return ep.Stall
+func (ep *Endpoint) stallTimeout() time.Duration {
+	if ep.StallTimeout > 0 {
+		return ep.StallTimeout
 	}
-	return DefaultStall
+	return DefaultStallTimeout
 }
 
-// once hides everything but Read from the HTTP library. The library sends a
+// oneShotReader hides everything but Read from the HTTP library. The library sends a
 // request again by itself when a kept connection breaks, if it can rewind the
 // body or there is none and the request looks idempotent, for which an
 // Idempotency-Key header is enough. The endpoint would then run a draft twice.
 // A body of unknown length that cannot be rewound rules that out.
-type once struct{ io.Reader }
+type oneShotReader struct{ io.Reader }
 
 func (ep *Endpoint) newRequest(ctx context.Context, ca *core.Call) (*http.Request, error) {
 	var body io.Reader = bytes.NewReader(ca.Body)
 	if !ca.MayRepeat {
-		body = once{body}
+		body = oneShotReader{body}
 	}
 	rq, err := http.NewRequestWithContext(ctx, ca.Method, ep.URL+ca.Path, body)
 	if err != nil {
@@ -178,7 +178,7 @@
 	rq.Header.Set(headerAttempt, strconv.FormatUint(uint64(ca.Attempt), 10))
 	rq.Header.Set(headerPriority, strconv.Itoa(int(ca.Priority)))
 	if ca.Key != "" {
-		rq.Header.Set(headerIdem, string(ca.Customer)+"/"+string(ca.Key))
+		rq.Header.Set(headerIdemKey, string(ca.Customer)+"/"+string(ca.Key))
 	}
 	if ep.Engine && ca.Chat != "" {
 		rq.Header.Set(headerCacheKey, CacheKey(ring.Key(ca.Customer, ca.Pool, ca.Chat)))
@@ -186,39 +186,39 @@
 	return rq, nil
 }
 
-// checkHead looks at the answer's status and whose it is.
-func (ep *Endpoint) checkHead(ca *core.Call, rs *http.Response) error {
+// checkHeader looks at the answer's status and whose it is.
+func (ep *Endpoint) checkHeader(ca *core.Call, rs *http.Response) error {
 	echoed := rs.Header.Get(headerAttempt)
 	mustEcho := ep.EchoesAttempt != nil && ep.EchoesAttempt()
 	if echoed != strconv.FormatUint(uint64(ca.Attempt), 10) && (echoed != "" || mustEcho) {
 		if ep.Crossed != nil {
 			ep.Crossed()
 		}
-		return ep.refuse(core.Unknown, core.ReasonCrossed, fmt.Errorf("the answer is for attempt %q", echoed))
+		return ep.refusal(core.Unknown, core.ReasonCrossed, fmt.Errorf("the answer is for attempt %q", echoed))
 	}
 	if rs.StatusCode >= http.StatusInternalServerError {
 		text, _ := io.ReadAll(io.LimitReader(rs.Body, 512))
-		re := ep.refuse(core.Failed, core.ReasonEndpointError, fmt.Errorf("%s: %s", rs.Status, bytes.TrimSpace(text)))
+		re := ep.refusal(core.Failed, core.ReasonEndpointError, fmt.Errorf("%s: %s", rs.Status, bytes.TrimSpace(text)))
 		re.Status = rs.StatusCode
 		return re
 	}
 	return nil
 }
 
-// noAnswer tells what is known of a request that got no answer.
-func (ep *Endpoint) noAnswer(ctx context.Context, err error) error {
+// sendFailed tells what is known of a request that got no answer.
+func (ep *Endpoint) sendFailed(ctx context.Context, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		// Callers read the detail: it names no address of the inside.
-		re := ep.refuse(core.NotRun, core.ReasonEndpointDown, errNoConnection)
+		re := ep.refusal(core.NotRun, core.ReasonEndpointDown, errNoConnection)
 		re.RetryAfter = time.Second
 		return re
 	}
-	return ep.broken(ctx, core.ReasonEndpointDown, err)
+	return ep.interrupted(ctx, core.ReasonEndpointDown, err)
 }
 
-// broken tells of a request that may have run.
-func (ep *Endpoint) broken(ctx context.Context, reason core.Reason, err error) error {
+// interrupted tells of a request that may have run.
+func (ep *Endpoint) interrupted(ctx context.Context, reason core.Reason, err error) error {
 	switch {
 	case errors.Is(context.Cause(ctx), errStalled):
 		reason = core.ReasonStalled
@@ -227,10 +227,10 @@
 	case ctx.Err() != nil:
 		reason = core.ReasonCallerGone
 	}
-	return ep.refuse(core.Unknown, reason, err)
+	return ep.refusal(core.Unknown, reason, err)
 }
 
-func (ep *Endpoint) refuse(ou core.Outcome, reason core.Reason, err error) *core.Refusal {
+func (ep *Endpoint) refusal(ou core.Outcome, reason core.Reason, err error) *core.Refusal {
 	return &core.Refusal{Outcome: ou, Reason: reason, Step: "endpoint", Peer: string(ep.ID), Detail: err.Error()}
 }
 
@@ -238,18 +238,18 @@
 
 var errStalled = errors.New("the endpoint sent nothing for too long")
 
-// watch ends a call whose endpoint falls silent: the connection may stay up for
+// stallTimer ends a call whose endpoint falls silent: the connection may stay up for
 // ever while the engine behind it hangs.
-type watch struct {
-	timer *time.Timer
-	after time.Duration
+type stallTimer struct {
+	timer   *time.Timer
+	timeout time.Duration
 }
 
-func newWatch(after time.Duration, cancel context.CancelCauseFunc) *watch {
-	return &watch{timer: time.AfterFunc(after, func() { cancel(errStalled) }), after: after}
+func newStallTimer(timeout time.Duration, cancel context.CancelCauseFunc) *stallTimer {
+	return &stallTimer{timer: time.AfterFunc(timeout, func() { cancel(errStalled) }), timeout: timeout}
 }
 
-func (wa *watch) heard() { wa.timer.Reset(wa.after) }
-func (wa *watch) stop()  { wa.timer.Stop() }
+func (st *stallTimer) reset() { st.timer.Reset(st.timeout) }
+func (st *stallTimer) stop()  { st.timer.Stop() }
 
 var buffers = sync.Pool{New: func() any { return new([readSize]byte) }}
--- a/io/back/back_test.go
+++ b/io/back/back_test.go
@@ -13,7 +13,7 @@
 
 // An engine is not there when a chat comes. The caller is told that it was not
 // run and when to come back, in words that name no address of the inside.
-func TestEngineGoneIsToldInWords(t *testing.T) {
+func TestUnreachableEngineHidesItsAddress(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
 	ep := &back.Endpoint{ID: "engine", URL: server.URL, Engine: true}
--- a/io/back/cache.go
+++ b/io/back/cache.go
@@ -43,7 +43,7 @@
 // Import has the engine keep a context. Where reading it fails, the request is
 // broken off, and the engine does not see its end.
 func (ep *Endpoint) Import(ctx context.Context, key uint64, rd io.Reader) error {
-	rq, err := http.NewRequestWithContext(ctx, http.MethodPut, ep.URL+importPath+CacheKey(key), once{rd})
+	rq, err := http.NewRequestWithContext(ctx, http.MethodPut, ep.URL+importPath+CacheKey(key), oneShotReader{rd})
 	if err != nil {
 		return oops.In("import").With("peer", ep.ID).Wrap(err)
 	}
--- a/io/back/follow.go
+++ b/io/back/follow.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	followEvery   = time.Second
-	followTimeout = 2 * time.Second
-	// samplesKept is how many of the gate's own past loads a lagging report is
+	pollInterval = time.Second
+	pollTimeout  = 2 * time.Second
+	// maxLoadSamples is how many of the gate's own past loads a lagging report is
 	// compared with: its figure may be as old as that many rounds.
-	samplesKept = 5
+	maxLoadSamples = 5
 )
 
-// Follower follows an engine's cache events and load reports. Set the exported
+// Poller follows an engine's cache events and load reports. Set the exported
 // fields before Run.
-type Follower struct {
+type Poller struct {
 	Endpoint *Endpoint
 	Clock    core.Clock
 	Book     *ctxdir.Directory
@@ -40,23 +40,23 @@
 }
 
 // Run follows until ctx ends.
-func (fo *Follower) Run(ctx context.Context) error {
-	for fo.Clock.Sleep(ctx, followEvery) == nil {
-		err := fo.Round(ctx)
-		if err != nil && !fo.failing && fo.Failed != nil && ctx.Err() == nil {
-			fo.Failed(err)
+func (po *Poller) Run(ctx context.Context) error {
+	for po.Clock.Sleep(ctx, pollInterval) == nil {
+		err := po.Poll(ctx)
+		if err != nil && !po.failing && po.Failed != nil && ctx.Err() == nil {
+			po.Failed(err)
 		}
-		fo.failing = err != nil
+		po.failing = err != nil
 	}
 	return nil
 }
 
-// Round takes in what is new once.
-func (fo *Follower) Round(ctx context.Context) error {
-	if err := fo.events(ctx); err != nil {
+// Poll takes in what is new once.
+func (po *Poller) Poll(ctx context.Context) error {
+	if err := po.pollEvents(ctx); err != nil {
 		return err
 	}
-	return fo.load(ctx)
+	return po.pollLoad(ctx)
 }
 
 type cacheEvent struct {
@@ -65,35 +65,35 @@
 	Key  string
 }
 
-// events applies new cache events, and a whole listing after a gap: events that
+// pollEvents applies new cache events, and a whole listing after a gap: events that
 // were lost may have been evictions, and the chats would be sent here in vain.
-func (fo *Follower) events(ctx context.Context) error {
-	if !fo.synced {
-		return fo.resync(ctx)
+func (po *Poller) pollEvents(ctx context.Context) error {
+	if !po.synced {
+		return po.resync(ctx)
 	}
 	var page []cacheEvent
-	if err := fo.get(ctx, "/cache/events?after="+strconv.FormatUint(fo.seq, 10), &page); err != nil {
+	if err := po.getJSON(ctx, "/cache/events?after="+strconv.FormatUint(po.seq, 10), &page); err != nil {
 		return err
 	}
 	for _, ev := range page {
-		fo.seq = max(fo.seq, ev.Seq)
+		po.seq = max(po.seq, ev.Seq)
 		key := uint64(0)
 		if ev.Kind == "Evicted" {
 			key, _ = strconv.ParseUint(ev.Key, 16, 64)
 		}
-		if !fo.Book.ApplyEviction(fo.Endpoint.ID, ev.Seq, key) {
-			return fo.resync(ctx)
+		if !po.Book.ApplyEviction(po.Endpoint.ID, ev.Seq, key) {
+			return po.resync(ctx)
 		}
 	}
 	return nil
 }
 
-func (fo *Follower) resync(ctx context.Context) error {
+func (po *Poller) resync(ctx context.Context) error {
 	var listing struct {
 		Seq  uint64
 		Keys []string
 	}
-	if err := fo.get(ctx, "/cache", &listing); err != nil {
+	if err := po.getJSON(ctx, "/cache", &listing); err != nil {
 		return err
 	}
 	keys := make(map[uint64]bool, len(listing.Keys))
@@ -102,32 +102,32 @@
 			keys[key] = true
 		}
 	}
-	fo.Book.Resync(fo.Endpoint.ID, listing.Seq, keys)
-	fo.seq = max(fo.seq, listing.Seq)
-	fo.synced = true
+	po.Book.Resync(po.Endpoint.ID, listing.Seq, keys)
+	po.seq = max(po.seq, listing.Seq)
+	po.synced = true
 	return nil
 }
 
-// load compares the engine's report with the most that the gate has had inside
+// pollLoad compares the engine's report with the most that the gate has had inside
 // lately, since the report lags: only what is beyond that came past the gate.
-func (fo *Follower) load(ctx context.Context) error {
-	fo.samples = append(fo.samples, fo.Gate.TrackedLoad())
-	if len(fo.samples) > samplesKept {
-		fo.samples = fo.samples[1:]
+func (po *Poller) pollLoad(ctx context.Context) error {
+	po.samples = append(po.samples, po.Gate.TrackedLoad())
+	if len(po.samples) > maxLoadSamples {
+		po.samples = po.samples[1:]
 	}
 	var report struct{ Work core.Work }
-	if err := fo.get(ctx, "/load", &report); err != nil {
+	if err := po.getJSON(ctx, "/load", &report); err != nil {
 		return err
 	}
-	fo.Gate.SetUntracked(report.Work - max(fo.Gate.TrackedLoad(), slices.Max(fo.samples)))
+	po.Gate.SetUntracked(report.Work - max(po.Gate.TrackedLoad(), slices.Max(po.samples)))
 	return nil
 }
 
-func (fo *Follower) get(ctx context.Context, path string, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, followTimeout)
+func (po *Poller) getJSON(ctx context.Context, path string, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	oo := oops.In("follow engine").With("peer", fo.Endpoint.ID)
-	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, fo.Endpoint.URL+path, nil)
+	oo := oops.In("follow engine").With("peer", po.Endpoint.ID)
+	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, po.Endpoint.URL+path, nil)
 	if err != nil {
 		return oo.Wrap(err)
 	}
--- a/io/back/order.go
+++ b/io/back/order.go
@@ -19,8 +19,8 @@
 
 const (
 	ordersPath = "/orders"
-	// mostProblem bounds what is kept of an engine's own error text.
-	mostProblem = 512
+	// maxErrorText bounds what is kept of an engine's own error text.
+	maxErrorText = 512
 )
 
 // State asks the engine what it has loaded. One without the path takes no orders.
@@ -57,27 +57,27 @@
 		Name, Version string
 	}{or.Fence, or.Kind, or.Name, or.Version})
 	if err != nil {
-		return ep.refuse(core.NotRun, core.ReasonBadRequest, err)
+		return ep.refusal(core.NotRun, core.ReasonBadRequest, err)
 	}
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, ep.URL+ordersPath, bytes.NewReader(body))
 	if err != nil {
-		return ep.refuse(core.NotRun, core.ReasonBadRequest, err)
+		return ep.refusal(core.NotRun, core.ReasonBadRequest, err)
 	}
 	rq.Header.Set("Content-Type", "application/json")
-	rs, err := onceClient.Do(rq)
+	rs, err := freshClient.Do(rq)
 	if err != nil {
-		return ep.noAnswer(ctx, err)
+		return ep.sendFailed(ctx, err)
 	}
 	defer rs.Body.Close()
 	if rs.StatusCode == http.StatusOK {
 		return nil
 	}
-	return ep.notOrdered(rs)
+	return ep.orderError(rs)
 }
 
-// notOrdered reads why the engine did not carry an order out.
-func (ep *Endpoint) notOrdered(rs *http.Response) *core.Refusal {
-	text, _ := io.ReadAll(io.LimitReader(rs.Body, mostProblem))
+// orderError reads why the engine did not carry an order out.
+func (ep *Endpoint) orderError(rs *http.Response) *core.Refusal {
+	text, _ := io.ReadAll(io.LimitReader(rs.Body, maxErrorText))
 	re := &core.Refusal{
 		Outcome: core.Failed, Reason: core.ReasonEndpointError, Step: "order", Peer: string(ep.ID),
 		Detail: fmt.Sprintf("status %d: %s", rs.StatusCode, bytes.TrimSpace(text)), Status: rs.StatusCode,
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -83,7 +83,7 @@
 	orderGate       *order.Executor   // agents only
 	orderController *order.Controller // routers only
 	ledger          *guard.Ledger     // routers only
-	followers       []*back.Follower
+	followers       []*back.Poller
 	app             *kratos.App
 	logger          *zap.Logger
 	listeners       listeners
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -55,7 +55,7 @@
 	pr.buildOrderGate(endpoints)
 	for ix, ep := range endpoints {
 		if ep.Engine {
-			pr.followers = append(pr.followers, &back.Follower{
+			pr.followers = append(pr.followers, &back.Poller{
 				Endpoint: ep, Clock: pr.clock, Book: pr.agent.Book, Gate: pr.agent.Slots[ix].Gate(),
 				Failed: pr.logFailure("Following an engine failed."),
 			})
@@ -95,7 +95,7 @@
 
 func (pr *Process) endpoint(ep conf.EndpointSetting) *back.Endpoint {
 	return &back.Endpoint{
-		ID: ep.Name, URL: ep.URL, Engine: ep.Kind == conf.KindEngine, Stall: pr.Settings.StallTimeout,
+		ID: ep.Name, URL: ep.URL, Engine: ep.Kind == conf.KindEngine, StallTimeout: pr.Settings.StallTimeout,
 		EchoesAttempt: func() bool {
 			cfg := pr.board.Snapshot().Config
 			return cfg != nil && cfg.Checks(ep.Name).EchoesAttempt
