--- a/cmd/almondrill/quarantine.go
+++ b/cmd/almondrill/quarantine.go
@@ -13,7 +13,7 @@
 	"github.com/google/subcommands"
 	"github.com/samber/oops"
 
-	"almondrill/io/guard"
+	"almondrill/io/deny"
 )
 
 // quarantineTimeout bounds a call to a router.
@@ -49,17 +49,17 @@
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	if qc.lift != "" {
-		if _, err := qc.call(ctx, http.MethodDelete, guard.Path+"/"+qc.lift); err != nil {
+		if _, err := qc.call(ctx, http.MethodDelete, deny.Path+"/"+qc.lift); err != nil {
 			return failure(err)
 		}
 		fmt.Println("lifted", qc.lift)
 		return subcommands.ExitSuccess
 	}
-	data, err := qc.call(ctx, http.MethodGet, guard.Path)
+	data, err := qc.call(ctx, http.MethodGet, deny.Path)
 	if err != nil {
 		return failure(err)
 	}
-	var all []guard.Quarantined
+	var all []deny.Quarantined
 	if err = json.Unmarshal(data, &all); err != nil {
 		return failure(oops.In("read the answer").With("peer", qc.router).Wrap(err))
 	}
--- a/io/guard/guard_test.go
+++ b/io/deny/guard_test.go
@@ -1,4 +1,4 @@
-package guard_test
+package deny_test
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"almondrill/core/place"
 	"almondrill/io/clock"
 	"almondrill/io/conns"
-	"almondrill/io/guard"
+	"almondrill/io/deny"
 	"almondrill/io/stand/local"
 	"almondrill/io/stats"
 )
@@ -66,68 +66,68 @@
 }
 
 // group passes notes on to other routers' controllers.
-type group struct{ others []*guard.Controller }
+type group struct{ others []*deny.Detector }
 
-func (gr *group) TellKeepers(now time.Time, no core.CrashNotice) { gr.TellAll(now, no) }
+func (gr *group) NotifyOwners(now time.Time, no core.CrashNotice) { gr.NotifyAll(now, no) }
 
-func (gr *group) TellAll(now time.Time, no core.CrashNotice) {
+func (gr *group) NotifyAll(now time.Time, no core.CrashNotice) {
 	for _, other := range gr.others {
-		other.Hear(now, "peer", no)
+		other.ApplyNotice(now, "peer", no)
 	}
 }
 
-func newController() *guard.Controller { return controllerWith(&store{}) }
+func newDetector() *deny.Detector { return detectorWith(&store{}) }
 
-func controllerWith(st *store) *guard.Controller {
+func detectorWith(st *store) *deny.Detector {
 	one := func() int { return 1 }
-	return &guard.Controller{
-		Ledger: &guard.Ledger{Peers: &group{}, Store: st, Stats: stats.New(), Log: zap.NewNop()},
-		Conns:  &conns.Pool{}, Placer: &place.Placer{Rand: clock.NewRand(1), RouterCount: one},
+	return &deny.Detector{
+		Tracker: &deny.Tracker{Peers: &group{}, Store: st, Stats: stats.New(), Log: zap.NewNop()},
+		Conns:   &conns.Pool{}, Placer: &place.Placer{Rand: clock.NewRand(1), RouterCount: one},
 	}
 }
 
-// crashedUnder waits until that many requests are known to have run when endpoints crashed.
-func crashedUnder(t *testing.T, ct *guard.Controller, want int64) {
+// waitForCrashedUnder waits until that many requests are known to have run when endpoints crashed.
+func waitForCrashedUnder(t *testing.T, de *deny.Detector, want int64) {
 	t.Helper()
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if ct.Stats.Value(stats.CrashedUnder) == want {
+		if de.Stats.Value(stats.CrashedUnder) == want {
 			return
 		}
 	}
-	t.Errorf("crashed under %d requests, want %d", ct.Stats.Value(stats.CrashedUnder), want)
+	t.Errorf("crashed under %d requests, want %d", de.Stats.Value(stats.CrashedUnder), want)
 }
 
 // Two answers break off. One endpoint takes connections as before: an answer was lost. The
 // other refuses them, and is known to have crashed although no request is sent to it.
-func TestBrokenAnswerIsACrashOnlyIfTheEndpointIsGone(t *testing.T) {
-	ct := newController()
+func TestInterruptionIsACrashOnlyIfTheEndpointIsGone(t *testing.T) {
+	de := newDetector()
 	alive, dead := local.Listen(t), local.Listen(t)
 	_ = dead.Close()
-	ct.Interrupted(core.EndpointRef{ID: "alive", Addr: alive.Addr().String(), Hash: 1}, time.Now(), core.Fingerprint{1})
-	ct.Interrupted(core.EndpointRef{ID: "dead", Addr: dead.Addr().String(), Hash: 2}, time.Now(), core.Fingerprint{2})
-	crashedUnder(t, ct, 1)
+	de.Interrupted(core.EndpointRef{ID: "alive", Addr: alive.Addr().String(), Hash: 1}, time.Now(), core.Fingerprint{1})
+	de.Interrupted(core.EndpointRef{ID: "dead", Addr: dead.Addr().String(), Hash: 2}, time.Now(), core.Fingerprint{2})
+	waitForCrashedUnder(t, de, 1)
 	time.Sleep(300 * time.Millisecond)
-	crashedUnder(t, ct, 1)
+	waitForCrashedUnder(t, de, 1)
 }
 
 // An endpoint drains and ends with a request that takes too long: that is no crash.
 func TestEndOfADrainingEndpointIsNoCrash(t *testing.T) {
-	ct := newController()
+	de := newDetector()
 	dead := local.Listen(t)
 	_ = dead.Close()
 	ep := place.Endpoint{ID: "e", Addr: dead.Addr().String(), Pool: "pool", Slots: 1, Draining: true}
-	ct.Placer.Register(time.Now(), ep)
-	ct.Interrupted(core.EndpointRef{ID: ep.ID, Addr: ep.Addr, Hash: place.EndpointHash(ep.ID, 0)}, time.Now(), core.Fingerprint{1})
+	de.Placer.Register(time.Now(), ep)
+	de.Interrupted(core.EndpointRef{ID: ep.ID, Addr: ep.Addr, Hash: place.EndpointHash(ep.ID, 0)}, time.Now(), core.Fingerprint{1})
 	time.Sleep(50 * time.Millisecond)
-	crashedUnder(t, ct, 0)
+	waitForCrashedUnder(t, de, 0)
 }
 
-// crashThree has a request run at three endpoints when they crash.
-func crashThree(ct *guard.Controller, fp core.Fingerprint) {
+// crashThreeEndpoints has a request run at three endpoints when they crash.
+func crashThreeEndpoints(de *deny.Detector, fp core.Fingerprint) {
 	for ix := range uint64(3) {
 		en := core.EndpointRef{ID: "e", Addr: "127.0.0.1:1", Hash: 100 + ix}
-		ct.Interrupted(en, time.Now().Add(-time.Millisecond), fp)
-		ct.ConnRefused(en)
+		de.Interrupted(en, time.Now().Add(-time.Millisecond), fp)
+		de.ConnRefused(en)
 		time.Sleep(3 * time.Second)
 	}
 }
@@ -138,26 +138,26 @@
 func TestOneRouterWinsTheTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &store{}
-		one, two := controllerWith(st), controllerWith(st)
-		one.Peers, two.Peers = &group{others: []*guard.Controller{two}}, &group{others: []*guard.Controller{one}}
+		one, two := detectorWith(st), detectorWith(st)
+		one.Peers, two.Peers = &group{others: []*deny.Detector{two}}, &group{others: []*deny.Detector{one}}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = one.Run(ctx) }()
 		go func() { _ = two.Run(ctx) }()
 		fp := core.Fingerprint{1}
-		crashThree(one, fp)
+		crashThreeEndpoints(one, fp)
 		time.Sleep(time.Second)
 		en, found := st.get(fp)
 		if !found || en.Crashes != 3 {
 			t.Fatalf("the store has %+v", en)
 		}
-		two.Stored(en)
-		var passed atomic.Int64
-		ask := func() {
-			for _, ct := range []*guard.Controller{one, two, one, two} {
+		two.EntryStored(en)
+		var allowedCount atomic.Int64
+		sendAll := func() {
+			for _, de := range []*deny.Detector{one, two, one, two} {
 				go func() {
-					if allowed, after := ct.Allowed(ctx, fp); allowed {
-						passed.Add(1)
+					if allowed, after := de.Allowed(ctx, fp); allowed {
+						allowedCount.Add(1)
 					} else if after < 0 || after > 2*time.Minute {
 						t.Errorf("may return after %s", after)
 					}
@@ -166,21 +166,21 @@
 			synctest.Wait()
 		}
 		for range 10 {
-			ask()
+			sendAll()
 			time.Sleep(time.Second)
 		}
-		if passed.Load() != 0 {
-			t.Errorf("%d let through before the pause is over", passed.Load())
+		if allowedCount.Load() != 0 {
+			t.Errorf("%d let through before the pause is over", allowedCount.Load())
 		}
 		for range 30 {
-			ask()
+			sendAll()
 			en, _ = st.get(fp)
-			one.Stored(en)
-			two.Stored(en)
+			one.EntryStored(en)
+			two.EntryStored(en)
 			time.Sleep(time.Second)
 		}
-		if passed.Load() != 1 {
-			t.Errorf("%d let through as a trial, want one", passed.Load())
+		if allowedCount.Load() != 1 {
+			t.Errorf("%d let through as a trial, want one", allowedCount.Load())
 		}
 	})
 }
@@ -190,14 +190,14 @@
 func TestQuarantineIsWrittenOnceTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &store{fail: errors.New("away")}
-		ct := controllerWith(st)
+		de := detectorWith(st)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go func() { _ = ct.Run(ctx) }()
+		go func() { _ = de.Run(ctx) }()
 		fp := core.Fingerprint{1}
-		crashThree(ct, fp)
+		crashThreeEndpoints(de, fp)
 		for range 60 {
-			if allowed, after := ct.Allowed(ctx, fp); allowed || after < time.Second {
+			if allowed, after := de.Allowed(ctx, fp); allowed || after < time.Second {
 				t.Errorf("let through: %v, or told to return after %s, while the store is away", allowed, after)
 			}
 			time.Sleep(time.Second)
@@ -212,38 +212,38 @@
 		if _, found := st.get(fp); !found {
 			t.Error("the store does not have it once it is back")
 		}
-		ct.Succeeded(fp) // an attempt that was under way ends well
+		de.Succeeded(fp) // an attempt that was under way ends well
 		synctest.Wait()
 		if _, found := st.get(fp); found {
 			t.Error("the entry of a request that ended well stays")
 		}
-		if allowed, _ := ct.Allowed(ctx, fp); !allowed {
+		if allowed, _ := de.Allowed(ctx, fp); !allowed {
 			t.Error("a request that ended well is refused")
 		}
 	})
 }
 
-// slowStore takes a call's whole time and fails, as one that is silent.
-type slowStore struct{ store }
+// silentStore takes a call's whole time and fails, as one that is silent.
+type silentStore struct{ store }
 
-func (*slowStore) PutQuarantine(ctx context.Context, _ core.Quarantine) (core.Version, error) {
+func (*silentStore) PutQuarantine(ctx context.Context, _ core.Quarantine) (core.Version, error) {
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-// noKeepers is a group in which the teller counts by itself.
-type noKeepers struct{ group }
+// noOwners is a group in which the teller counts by itself.
+type noOwners struct{ group }
 
-func (*noKeepers) TellKeepers(time.Time, core.CrashNotice) {}
+func (*noOwners) NotifyOwners(time.Time, core.CrashNotice) {}
 
 // The store is silent while forty requests are quarantined, one after the other. The router that
 // decided it goes on telling its peers of each: one that hears nothing of a quarantine for 30 s
 // forgets it, and would send the request on.
-func TestAllQuarantinesAreToldWhileTheStoreIsSilent(t *testing.T) {
+func TestAllQuarantinesAreSentWhileTheStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, two := newController(), newController()
-		one.Store = &slowStore{}
-		one.Peers = &noKeepers{group{others: []*guard.Controller{two}}}
+		one, two := newDetector(), newDetector()
+		one.Store = &silentStore{}
+		one.Peers = &noOwners{group{others: []*deny.Detector{two}}}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = one.Run(ctx) }()
--- a/io/guard/kvstore.go
+++ b/io/deny/kvstore.go
@@ -1,4 +1,4 @@
-package guard
+package deny
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 	kvEnd = "quarantine0"
 	// kvTTL is how long an entry lasts that is not written again.
 	kvTTL = 10 * time.Minute
-	// mostEntries bounds a listing; a router keeps no more.
-	mostEntries = 256
-	// listsPerSecond is the whole fleet's pace of listing, a hundredth of the KV's reads;
+	// maxEntries bounds a listing; a router keeps no more.
+	maxEntries = 256
+	// fleetListsPerSecond is the whole fleet's pace of listing, a hundredth of the KV's reads;
 	// leastPause is for small fleets.
-	listsPerSecond = 20
-	leastPause     = 2 * time.Second
+	fleetListsPerSecond = 20
+	minListInterval     = 2 * time.Second
 )
 
 // KVStore keeps quarantines in the KV. Set KV before use.
@@ -53,7 +53,7 @@
 
 // list reads all entries. One that makes no sense is left out, and told.
 func (ks *KVStore) list(ctx context.Context, log *zap.Logger) (map[core.Fingerprint]core.Quarantine, error) {
-	entries, err := ks.KV.List(ctx, kvPrefix, kvEnd, mostEntries)
+	entries, err := ks.KV.List(ctx, kvPrefix, kvEnd, maxEntries)
 	if err != nil {
 		return nil, err
 	}
@@ -69,37 +69,37 @@
 	return all, nil
 }
 
-// Follow tells the Ledger of the KV's entries until ctx ends: at once, and then at a pace that
+// Watch tells the Ledger of the KV's entries until ctx ends: at once, and then at a pace that
 // does not grow with the routers, of which there are so many. A router that was not told by a
 // peer learns of a quarantine by it.
-func (ks *KVStore) Follow(ctx context.Context, le *Ledger, clock core.Clock, routers func() int) error {
+func (ks *KVStore) Watch(ctx context.Context, tr *Tracker, clock core.Clock, routers func() int) error {
 	var known map[core.Fingerprint]core.Quarantine
 	for {
-		now, err := ks.list(ctx, le.Log)
+		now, err := ks.list(ctx, tr.Log)
 		switch {
 		case err == nil:
-			le.compare(known, now)
+			tr.applyListing(known, now)
 			known = now
 		case ctx.Err() == nil:
-			le.Log.Info("Listing quarantines failed.", logs.Fields(err)...)
+			tr.Log.Info("Listing quarantines failed.", logs.Fields(err)...)
 		}
-		pause := max(leastPause, time.Duration(routers())*time.Second/listsPerSecond)
+		pause := max(minListInterval, time.Duration(routers())*time.Second/fleetListsPerSecond)
 		if clock.Sleep(ctx, pause) != nil {
 			return nil
 		}
 	}
 }
 
-// compare takes what is new in the store, and what is gone.
-func (le *Ledger) compare(before, now map[core.Fingerprint]core.Quarantine) {
+// applyListing takes what is new in the store, and what is gone.
+func (tr *Tracker) applyListing(before, now map[core.Fingerprint]core.Quarantine) {
 	for fp, qu := range now {
 		if before[fp].Rev != qu.Rev {
-			le.Stored(qu)
+			tr.EntryStored(qu)
 		}
 	}
 	for fp, qu := range before {
 		if _, still := now[fp]; !still {
-			le.Unstored(fp, qu.Rev)
+			tr.EntryRemoved(fp, qu.Rev)
 		}
 	}
 }
--- a/io/guard/kvstore_test.go
+++ b/io/deny/kvstore_test.go
@@ -1,4 +1,4 @@
-package guard_test
+package deny_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"almondrill/core"
 	"almondrill/io/clock"
-	"almondrill/io/guard"
+	"almondrill/io/deny"
 	"almondrill/io/stand/kvsrv"
 	"almondrill/io/stats"
 )
@@ -21,11 +21,11 @@
 func TestQuarantinesInTheKV(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := &kvsrv.Store{Clock: clock.Wall{}, Rand: clock.NewRand(1), Latency: 2 * time.Millisecond}
-		store := &guard.KVStore{KV: kv}
+		store := &deny.KVStore{KV: kv}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		le := &guard.Ledger{Peers: &group{}, Store: store, Stats: stats.New(), Log: zap.NewNop()}
-		go func() { _ = store.Follow(ctx, le, clock.Wall{}, func() int { return 2 }) }()
+		tr := &deny.Tracker{Peers: &group{}, Store: store, Stats: stats.New(), Log: zap.NewNop()}
+		go func() { _ = store.Watch(ctx, tr, clock.Wall{}, func() int { return 2 }) }()
 		qu := core.Quarantine{Request: core.Fingerprint{1}, Crashes: 3}
 		rev, err := store.PutQuarantine(ctx, qu)
 		if err != nil {
@@ -40,7 +40,7 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		if allowed, _ := le.Allowed(ctx, qu.Request); allowed {
+		if allowed, _ := tr.Allowed(ctx, qu.Request); allowed {
 			t.Error("a router that follows the KV lets it through")
 		}
 		qu.Rev = rev
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		if allowed, _ := le.Allowed(ctx, qu.Request); !allowed {
+		if allowed, _ := tr.Allowed(ctx, qu.Request); !allowed {
 			t.Error("an entry that is gone holds on")
 		}
 	})
--- a/io/guard/report.go
+++ b/io/deny/report.go
@@ -1,4 +1,4 @@
-package guard
+package deny
 
 import (
 	"encoding/json"
@@ -29,17 +29,17 @@
 
 // Handler answers GET Path with what is quarantined, and lifts a request on DELETE Path/X, where
 // X is its fingerprint or as much of it as log lines bear.
-func (le *Ledger) Handler() http.Handler {
+func (tr *Tracker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(wr http.ResponseWriter, _ *http.Request) {
 		wr.Header().Set("Content-Type", "application/json; charset=utf-8")
-		if err := json.NewEncoder(wr).Encode(le.list()); err != nil {
-			le.Log.Info("Listing what is quarantined failed.", zap.Error(err))
+		if err := json.NewEncoder(wr).Encode(tr.list()); err != nil {
+			tr.Log.Info("Listing what is quarantined failed.", zap.Error(err))
 		}
 	})
 	mux.HandleFunc("DELETE "+Path+"/{fingerprint}", func(wr http.ResponseWriter, rq *http.Request) {
 		name := strings.ToLower(rq.PathValue("fingerprint"))
-		if !le.lift(name) {
+		if !tr.lift(name) {
 			http.Error(wr, "no request with the fingerprint "+name+" is quarantined", http.StatusNotFound)
 			return
 		}
@@ -48,10 +48,10 @@
 	return mux
 }
 
-func (le *Ledger) list() []Quarantined {
+func (tr *Tracker) list() []Quarantined {
 	now := time.Now()
 	all := []Quarantined{}
-	for _, re := range le.table.Reports() {
+	for _, re := range tr.table.Reports() {
 		all = append(all, Quarantined{
 			Fingerprint: crash.EntryName(re.Request), SinceMs: now.Sub(re.Since).Milliseconds(),
 			Crashes: re.Crashes, Trials: re.Trials, Stored: re.Stored,
@@ -61,20 +61,20 @@
 }
 
 // lift ends the quarantine of the request, everywhere; false if there is none.
-func (le *Ledger) lift(name string) bool {
-	for _, re := range le.table.Reports() {
+func (tr *Tracker) lift(name string) bool {
+	for _, re := range tr.table.Reports() {
 		if name == re.Request.String() || name == crash.EntryName(re.Request) {
-			return le.liftOne(re.Request)
+			return tr.liftOne(re.Request)
 		}
 	}
 	return false
 }
 
-func (le *Ledger) liftOne(fp core.Fingerprint) bool {
-	ef, lifted := le.table.Lift(fp)
+func (tr *Tracker) liftOne(fp core.Fingerprint) bool {
+	ef, lifted := tr.table.Lift(fp)
 	if lifted {
-		le.Log.Info("The quarantine of a request is lifted by hand.", zap.Stringer("Fingerprint", fp))
+		tr.Log.Info("The quarantine of a request is lifted by hand.", zap.Stringer("Fingerprint", fp))
 	}
-	le.apply(time.Now(), ef)
+	tr.apply(time.Now(), ef)
 	return lifted
 }
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -41,8 +41,8 @@
 	"almondrill/io/clock"
 	"almondrill/io/conf"
 	"almondrill/io/conns"
+	"almondrill/io/deny"
 	"almondrill/io/gossip"
-	"almondrill/io/guard"
 	"almondrill/io/logs"
 	"almondrill/io/relay"
 	"almondrill/io/stats"
@@ -114,7 +114,7 @@
 	relay   *relay.Relay
 	reader  *watch.Reader
 	peers   *gossip.Group
-	guard   *guard.Controller
+	guard   *deny.Detector
 	view    *view
 	times   callerTimes
 	leaving atomic.Bool
@@ -180,11 +180,11 @@
 	pr.reader.Init()
 	pr.reader.IsWatcher, pr.reader.TakeoverDelay, pr.reader.GracePeriod = pr.peers.IsWatcher, pr.peers.TakeoverDelay, se.ReturnDelay+returnMargin
 	pr.peers.Feed = pr.reader
-	pr.guard = &guard.Controller{
-		Ledger: &guard.Ledger{Peers: pr.peers, Store: pr.Platform, Stats: pr.Stats, Log: pr.Logs.Part("guard")},
-		Conns:  pr.pool, Placer: pr.placer,
+	pr.guard = &deny.Detector{
+		Tracker: &deny.Tracker{Peers: pr.peers, Store: pr.Platform, Stats: pr.Stats, Log: pr.Logs.Part("guard")},
+		Conns:   pr.pool, Placer: pr.placer,
 	}
-	pr.peers.Blamed, pr.peers.Reach = pr.guard.Hear, pr.reach
+	pr.peers.Blamed, pr.peers.Reach = pr.guard.ApplyNotice, pr.reach
 	pr.relay = &relay.Relay{
 		Dialect: pr.Platform.Dialect(), Self: se.Name, Placer: pr.placer, Counts: pr.peers, Grants: pr.peers, Crashes: pr.guard, Budget: pr.budget, Conns: pr.pool,
 		Stats: pr.Stats, Latency: &pr.latency, Rand: pr.rand, Log: pr.Logs.Part("relay"),
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -13,8 +13,8 @@
 	kratoshttp "github.com/go-kratos/kratos/v2/transport/http"
 	"go.uber.org/zap"
 
+	"almondrill/io/deny"
 	"almondrill/io/gossip"
-	"almondrill/io/guard"
 	"almondrill/io/logs"
 )
 
@@ -70,8 +70,8 @@
 	admin.HandleFunc("/healthz", func(wr http.ResponseWriter, _ *http.Request) { _, _ = wr.Write([]byte("ok\n")) })
 	admin.HandleFunc("/readyz", pr.readyz)
 	admin.Handle("/debug/vars", pr.Stats.Handler())
-	admin.Handle(guard.Path, pr.guard.Handler())
-	admin.Handle(guard.Path+"/", pr.guard.Handler())
+	admin.Handle(deny.Path, pr.guard.Handler())
+	admin.Handle(deny.Path+"/", pr.guard.Handler())
 	var servers []transport.Server
 	for _, on := range []struct {
 		key, addr string
--- a/io/entry/view.go
+++ b/io/entry/view.go
@@ -77,9 +77,9 @@
 	case Unusable:
 		vi.reject(&what, it.Rev)
 	case core.Quarantine:
-		vi.pr.guard.Stored(what)
+		vi.pr.guard.EntryStored(what)
 	case Released:
-		vi.pr.guard.Unstored(what.Request, what.Rev)
+		vi.pr.guard.EntryRemoved(what.Request, what.Rev)
 	case PeerAddr:
 		vi.pr.peers.Add(string(what))
 	}
--- a/io/gossip/crash.go
+++ b/io/gossip/crash.go
@@ -29,8 +29,8 @@
 	AgeMs    uint32
 }
 
-// TellKeepers sends a notice to the routers that own the crash record of its request.
-func (gr *Group) TellKeepers(now time.Time, no core.CrashNotice) {
+// NotifyOwners sends a notice to the routers that own the crash record of its request.
+func (gr *Group) NotifyOwners(now time.Time, no core.CrashNotice) {
 	all := gr.counts.candidates.Load()
 	if all == nil {
 		return // the process has just started, and no peer is known
@@ -56,9 +56,9 @@
 	}
 }
 
-// TellAll sends a notice to all routers; where there are more than updateFanout, to that many
+// NotifyAll sends a notice to all routers; where there are more than updateFanout, to that many
 // random ones. The others learn of it through the store, or by a later notice.
-func (gr *Group) TellAll(now time.Time, no core.CrashNotice) {
+func (gr *Group) NotifyAll(now time.Time, no core.CrashNotice) {
 	for _, addr := range gr.randomReachable(updateFanout) {
 		to, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
--- a/io/gossip/crash_test.go
+++ b/io/gossip/crash_test.go
@@ -56,7 +56,7 @@
 	for request := range byte(10) {
 		fp := core.Fingerprint{request, 1}
 		for _, ro := range all {
-			ro.TellKeepers(now, core.CrashNotice{Kind: core.NoticeSuspected, Request: fp, Crashes: []core.Crash{{Endpoint: 7, At: now.Add(-50 * time.Millisecond)}}})
+			ro.NotifyOwners(now, core.CrashNotice{Kind: core.NoticeSuspected, Request: fp, Crashes: []core.Crash{{Endpoint: 7, At: now.Add(-50 * time.Millisecond)}}})
 		}
 		// Each of the two owners is notified by all other routers, and does not notify itself.
 		eventually(t, "both owners are notified by the four others", func() bool {
@@ -70,7 +70,7 @@
 		})
 	}
 	fp := core.Fingerprint{99}
-	all[0].TellAll(now, core.CrashNotice{Kind: core.NoticeQuarantined, Request: fp})
+	all[0].NotifyAll(now, core.CrashNotice{Kind: core.NoticeQuarantined, Request: fp})
 	eventually(t, "all others are notified", func() bool {
 		count := 0
 		for _, no := range received {
@@ -112,7 +112,7 @@
 		}
 	}
 	fp := core.Fingerprint{5}
-	all[1].TellAll(time.Now(), core.CrashNotice{Kind: core.NoticeCleared, Request: fp})
+	all[1].NotifyAll(time.Now(), core.CrashNotice{Kind: core.NoticeCleared, Request: fp})
 	eventually(t, "the next notice is received", func() bool { return received[0].count(fp) == 1 })
 	if got := len(received[0].all); got != 1 {
 		t.Errorf("%d notices received, want one", got)
--- a/io/node/guard.go
+++ b/io/node/guard.go
@@ -5,21 +5,21 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/io/guard"
+	"almondrill/io/deny"
 )
 
 // buildQuarantine makes what keeps a router from sending requests on that crash endpoints.
 func (pr *Process) buildQuarantine() {
 	log := pr.Logs.Part("guard")
-	pr.ledger = &guard.Ledger{
-		Peers: &guard.Fleet{Board: pr.board, Peers: pr.peers, Rand: pr.rand, Spent: pr.controlBucket.Spend, Log: log},
-		Store: &guard.KVStore{KV: pr.kv}, Stats: pr.Stats, Log: log,
+	pr.ledger = &deny.Tracker{
+		Peers: &deny.BoardPeers{Board: pr.board, Peers: pr.peers, Rand: pr.rand, BytesSent: pr.controlBucket.Spend, Log: log},
+		Store: &deny.KVStore{KV: pr.kv}, Stats: pr.Stats, Log: log,
 	}
 	pr.router.Crashes = pr.ledger
-	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.ledger.Hear(time.Now(), "peer", *no) }
+	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.ledger.ApplyNotice(time.Now(), "peer", *no) }
 }
 
 func (pr *Process) watchQuarantines(ctx context.Context) error {
-	store := &guard.KVStore{KV: pr.kv}
-	return store.Follow(ctx, pr.ledger, pr.clock, func() int { return len(pr.board.Snapshot().Routers) })
+	store := &deny.KVStore{KV: pr.kv}
+	return store.Watch(ctx, pr.ledger, pr.clock, func() int { return len(pr.board.Snapshot().Routers) })
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -48,7 +48,7 @@
 	"almondrill/io/back"
 	"almondrill/io/clock"
 	"almondrill/io/conf"
-	"almondrill/io/guard"
+	"almondrill/io/deny"
 	"almondrill/io/kvrpc"
 	"almondrill/io/logs"
 	"almondrill/io/rpc"
@@ -82,7 +82,7 @@
 	agent           *agent.Agent
 	orderGate       *order.Executor   // agents only
 	orderController *order.Controller // routers only
-	ledger          *guard.Ledger     // routers only
+	ledger          *deny.Tracker     // routers only
 	followers       []*back.Poller
 	app             *kratos.App
 	logger          *zap.Logger
@@ -377,8 +377,8 @@
 	mux.HandleFunc("/readyz", pr.readyz)
 	mux.Handle("/debug/vars", pr.Stats.Handler())
 	if pr.ledger != nil {
-		mux.Handle(guard.Path, pr.ledger.Handler())
-		mux.Handle(guard.Path+"/", pr.ledger.Handler())
+		mux.Handle(deny.Path, pr.ledger.Handler())
+		mux.Handle(deny.Path+"/", pr.ledger.Handler())
 	}
 	return pr.httpServer(pr.listeners.admin, mux)
 }
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -23,7 +23,7 @@
 	"almondrill/core/router"
 	"almondrill/core/syncer"
 	"almondrill/io/clock"
-	"almondrill/io/guard"
+	"almondrill/io/deny"
 	"almondrill/io/stand/kvsrv"
 	"almondrill/io/stand/vmsrv"
 	"almondrill/io/stats"
@@ -38,7 +38,7 @@
 	Spreader *syncer.Syncer
 	Meter    *bucket.Bucket
 	Router   *router.Router // nil on agents
-	Ledger   *guard.Ledger  // nil on agents
+	Ledger   *deny.Tracker  // nil on agents
 	Agent    *agent.Agent   // nil on routers
 	Keeper   *claim.Writer  // nil on routers
 	Keys     *claim.Keys
@@ -220,9 +220,9 @@
 		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Peers: port{fl.Net, me.ID}, Zone: me.VM.Zone,
 		Budget: &retry.Budget{Ratio: 0.1}, RevisionSeen: me.Spreader.NotePeerRevision,
 	}
-	store := &guard.KVStore{KV: ownKV{fl.Store, me}}
-	me.Ledger = &guard.Ledger{
-		Peers: &guard.Fleet{Board: me.Board, Peers: port{fl.Net, me.ID}, Rand: fl.Rand, Spent: me.Meter.Spend, Log: zap.NewNop()},
+	store := &deny.KVStore{KV: ownKV{fl.Store, me}}
+	me.Ledger = &deny.Tracker{
+		Peers: &deny.BoardPeers{Board: me.Board, Peers: port{fl.Net, me.ID}, Rand: fl.Rand, BytesSent: me.Meter.Spend, Log: zap.NewNop()},
 		Store: store, Stats: stats.New(), Log: zap.NewNop(),
 	}
 	me.Router.Crashes = me.Ledger
@@ -237,7 +237,7 @@
 	fl.run(me)
 	go func() { _ = me.Control.Run(me.alive) }()
 	go func() { _ = me.Ledger.Run(me.alive) }()
-	go func() { _ = store.Follow(me.alive, me.Ledger, fl.Clock, func() int { return fl.Routers }) }()
+	go func() { _ = store.Watch(me.alive, me.Ledger, fl.Clock, func() int { return fl.Routers }) }()
 	return me
 }
 
--- a/io/stand/inmem/net.go
+++ b/io/stand/inmem/net.go
@@ -218,7 +218,7 @@
 	if err != nil || me.Ledger == nil {
 		return errCut
 	}
-	me.Ledger.Hear(time.Now(), string(po.from), *no)
+	me.Ledger.ApplyNotice(time.Now(), string(po.from), *no)
 	return nil
 }
 
