--- a/io/front/front.go
+++ b/io/front/front.go
@@ -70,40 +70,40 @@
 // Handler serves the callers' paths.
 func (fr *Front) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+chatPath, fr.serve(fr.chatRequest))
+	mux.HandleFunc("POST "+chatPath, fr.serve(fr.parseChat))
 	mux.HandleFunc("GET /v1/models", fr.models)
-	mux.HandleFunc(servicesPath+"{Service}/{Path...}", fr.serve(fr.serviceRequest))
+	mux.HandleFunc(servicesPath+"{Service}/{Path...}", fr.serve(fr.parseService))
 	mux.HandleFunc("/", func(wr http.ResponseWriter, rq *http.Request) {
-		fr.fail(wr, badRequest(http.StatusNotFound, "no such path: "+rq.Method+" "+rq.URL.Path))
+		fr.writeError(wr, badRequest(http.StatusNotFound, "no such path: "+rq.Method+" "+rq.URL.Path))
 	})
 	return mux
 }
 
-// reading makes a routable request of an HTTP one.
-type reading func(rq *http.Request, cfg *decl.Config, cu *decl.Customer, body []byte) (*router.Request, error)
+// requestParser makes a routable request of an HTTP one.
+type requestParser func(rq *http.Request, cfg *decl.Config, cu *decl.Customer, body []byte) (*router.Request, error)
 
 // serve wraps what is common to all routed requests.
-func (fr *Front) serve(read reading) http.HandlerFunc {
+func (fr *Front) serve(parse requestParser) http.HandlerFunc {
 	return func(wr http.ResponseWriter, rq *http.Request) {
 		fr.Stats.Add(stats.Requests, 1)
 		fr.Stats.Add(stats.InProgress, 1)
 		defer fr.Stats.Add(stats.InProgress, -1)
-		cfg, cu, err := fr.customer(rq)
+		cfg, cu, err := fr.authenticate(rq)
 		if err != nil {
-			fr.fail(wr, err)
+			fr.writeError(wr, err)
 			return
 		}
-		body, err := fr.body(wr, rq)
+		body, err := fr.readBody(wr, rq)
 		if err != nil {
-			fr.fail(wr, err)
+			fr.writeError(wr, err)
 			return
 		}
-		routed, err := read(rq, cfg, cu, body)
+		routed, err := parse(rq, cfg, cu, body)
 		if err == nil {
-			err = fr.common(rq, cu, routed)
+			err = fr.fillCommon(rq, cu, routed)
 		}
 		if err != nil {
-			fr.fail(wr, err)
+			fr.writeError(wr, err)
 			return
 		}
 		fr.route(wr, rq, routed)
@@ -120,16 +120,16 @@
 		return
 	}
 	re := core.AsRefusal(err, "route", "router")
-	if !wt.begun {
-		fr.fail(wr, re)
+	if !wt.headSent {
+		fr.writeError(wr, re)
 		return
 	}
-	fr.count(re)
-	wt.breakOff(re)
+	fr.countRefusal(re)
+	wt.abort(re)
 }
 
-// customer finds out who calls.
-func (fr *Front) customer(rq *http.Request) (*decl.Config, *decl.Customer, error) {
+// authenticate finds out who calls.
+func (fr *Front) authenticate(rq *http.Request) (*decl.Config, *decl.Customer, error) {
 	cfg := fr.Board.Snapshot().Config
 	if cfg == nil {
 		return nil, nil, &core.Refusal{
@@ -148,9 +148,9 @@
 	return cfg, cu, nil
 }
 
-// body reads the request's body within its size and time. A caller that sends a
+// readBody reads the request's body within its size and time. A caller that sends a
 // byte now and then would otherwise hold a connection and its memory for ever.
-func (fr *Front) body(wr http.ResponseWriter, rq *http.Request) ([]byte, error) {
+func (fr *Front) readBody(wr http.ResponseWriter, rq *http.Request) ([]byte, error) {
 	control := http.NewResponseController(wr)
 	_ = control.SetReadDeadline(time.Now().Add(fr.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(wr, rq.Body, int64(fr.MaxBody)))
@@ -171,8 +171,8 @@
 	return nil, re
 }
 
-// common fills in what chats and service calls share.
-func (fr *Front) common(rq *http.Request, cu *decl.Customer, routed *router.Request) error {
+// fillCommon fills in what chats and service calls share.
+func (fr *Front) fillCommon(rq *http.Request, cu *decl.Customer, routed *router.Request) error {
 	ca := &routed.Call
 	ca.Customer = cu.Name
 	ca.Pool = routed.Group.ID
@@ -189,11 +189,11 @@
 	}
 	timeout := fr.DefaultDeadline
 	if text := rq.Header.Get(HeaderTimeout); text != "" {
-		given, err := time.ParseDuration(text)
-		if err != nil || given <= 0 {
+		requested, err := time.ParseDuration(text)
+		if err != nil || requested <= 0 {
 			return badRequest(http.StatusBadRequest, HeaderTimeout+" is not a duration such as 30s: "+text)
 		}
-		timeout = given
+		timeout = requested
 	}
 	ca.Deadline = time.Now().Add(timeout)
 	return nil
@@ -205,13 +205,13 @@
 }
 
 // setPriority takes the caller's wish, down to what its customer may ask for.
-func setPriority(ca *core.Call, wish string, cu *decl.Customer) error {
-	if wish != "" {
-		given, known := priorities[wish]
+func setPriority(ca *core.Call, name string, cu *decl.Customer) error {
+	if name != "" {
+		requested, known := priorities[name]
 		if !known {
-			return badRequest(http.StatusBadRequest, HeaderPriority+" is not batch, normal, high or urgent: "+wish)
+			return badRequest(http.StatusBadRequest, HeaderPriority+" is not batch, normal, high or urgent: "+name)
 		}
-		ca.Priority = given
+		ca.Priority = requested
 	}
 	if cu.MaxPriority > 0 {
 		ca.Priority = min(ca.Priority, cu.MaxPriority)
@@ -221,9 +221,9 @@
 
 func (fr *Front) models(wr http.ResponseWriter, rq *http.Request) {
 	fr.Stats.Add(stats.Requests, 1)
-	cfg, cu, err := fr.customer(rq)
+	cfg, cu, err := fr.authenticate(rq)
 	if err != nil {
-		fr.fail(wr, err)
+		fr.writeError(wr, err)
 		return
 	}
 	type model struct {
--- a/io/front/read.go
+++ b/io/front/read.go
@@ -16,8 +16,8 @@
 const (
 	// bytesPerToken turns a body's size into an estimate of prompt tokens.
 	bytesPerToken = 4
-	// expectedOutput is assumed of chats that name no limit.
-	expectedOutput core.Tokens = 256
+	// defaultOutput is assumed of chats that name no limit.
+	defaultOutput core.Tokens = 256
 	// serviceOutput is the work of a service call, in token equivalents.
 	serviceOutput core.Tokens = 16
 )
@@ -36,7 +36,7 @@
 	Content json.RawMessage `json:"content"`
 }
 
-func (fr *Front) chatRequest(rq *http.Request, cfg *decl.Config, cu *decl.Customer, body []byte) (*router.Request, error) {
+func (fr *Front) parseChat(rq *http.Request, cfg *decl.Config, cu *decl.Customer, body []byte) (*router.Request, error) {
 	var in chatBody
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, badRequest(http.StatusBadRequest, "the body is not a chat request: "+err.Error())
@@ -56,21 +56,21 @@
 	}
 	return &router.Request{
 		Group: gr,
-		Hint:  readHint(rq.Header.Get(HeaderHint)),
+		Hint:  decodeHint(rq.Header.Get(HeaderHint)),
 		Call: core.Call{
 			Chat: chat, MayRepeat: true, Priority: core.PriorityNormal, Stream: in.Stream,
-			Prompt: core.Tokens(len(body) / bytesPerToken), Output: outputOf(&in),
+			Prompt: core.Tokens(len(body) / bytesPerToken), Output: maxOutput(&in),
 			Method: http.MethodPost, Path: chatPath, Body: body,
 		},
 	}, nil
 }
 
-func outputOf(in *chatBody) core.Tokens {
-	most := max(in.MaxTokens, in.MaxCompletionTokens)
-	if most > 0 {
-		return most
+func maxOutput(in *chatBody) core.Tokens {
+	limit := max(in.MaxTokens, in.MaxCompletionTokens)
+	if limit > 0 {
+		return limit
 	}
-	return expectedOutput
+	return defaultOutput
 }
 
 // derivedChat names a conversation by its opening, up to the first message of
@@ -88,7 +88,7 @@
 	return core.ChatID("derived-" + strconv.FormatUint(hash.Sum64(), 16))
 }
 
-func (fr *Front) serviceRequest(rq *http.Request, cfg *decl.Config, cu *decl.Customer, body []byte) (*router.Request, error) {
+func (fr *Front) parseService(rq *http.Request, cfg *decl.Config, cu *decl.Customer, body []byte) (*router.Request, error) {
 	gr := cfg.Group(core.PoolID(rq.PathValue("Service")))
 	if gr == nil || !gr.Service || cu.Shares[gr.ID] <= 0 {
 		re := badRequest(http.StatusNotFound, "no service "+rq.PathValue("Service")+" for customer "+string(cu.Name))
@@ -105,11 +105,11 @@
 	}}, nil
 }
 
-// hintText and readHint make the hint opaque to callers. It is only ever a VM's
+// encodeHint and readHint make the hint opaque to callers. It is only ever a VM's
 // name: a wrong one is a VM that is not in the pool, and is ignored.
-func hintText(vm core.VMID) string { return base64.RawURLEncoding.EncodeToString([]byte(vm)) }
+func encodeHint(vm core.VMID) string { return base64.RawURLEncoding.EncodeToString([]byte(vm)) }
 
-func readHint(text string) core.VMID {
+func decodeHint(text string) core.VMID {
 	raw, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
 		return ""
--- a/io/front/write.go
+++ b/io/front/write.go
@@ -15,21 +15,21 @@
 
 // writer writes an answer's parts to the caller.
 type writer struct {
-	fr      *Front
-	wr      http.ResponseWriter
-	control *http.ResponseController
-	stream  bool
-	begun   bool
+	fr       *Front
+	wr       http.ResponseWriter
+	control  *http.ResponseController
+	stream   bool
+	headSent bool
 }
 
 // ServedBy sets the hint that the caller brings back with the chat's next turn.
-func (wt *writer) ServedBy(vm core.VMID) { wt.wr.Header().Set(HeaderHint, hintText(vm)) }
+func (wt *writer) ServedBy(vm core.VMID) { wt.wr.Header().Set(HeaderHint, encodeHint(vm)) }
 
 // Send writes a part. A caller that takes nothing for too long is given up, so
 // that it does not hold a slot of the engine.
 func (wt *writer) Send(pa *core.Part) error {
-	if !wt.begun {
-		wt.begun = true
+	if !wt.headSent {
+		wt.headSent = true
 		if pa.ContentType != "" {
 			wt.wr.Header().Set("Content-Type", pa.ContentType)
 		}
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// breakOff ends an answer that has begun and will not be whole.
-func (wt *writer) breakOff(re *core.Refusal) {
+// abort ends an answer that has begun and will not be whole.
+func (wt *writer) abort(re *core.Refusal) {
 	if !wt.stream {
 		// The caller's client sees the connection break before the body's end.
 		panic(http.ErrAbortHandler)
 	}
-	text, _ := json.Marshal(bodyOf(re))
+	text, _ := json.Marshal(newErrorBody(re))
 	_ = wt.control.SetWriteDeadline(time.Now().Add(wt.fr.WriteTimeout))
 	_, _ = fmt.Fprintf(wt.wr, "event: error\ndata: %s\n\n", text)
 	_ = wt.control.Flush()
@@ -68,22 +68,22 @@
 // errorBody is the body of a refusal: the inner part as OpenAI-style clients
 // expect it, the rest for those who know almondrill.
 type errorBody struct {
-	Error   errorPart `json:"error"`
-	Outcome string    `json:"Outcome"`
-	Reason  string    `json:"Reason"`
-	Step    string    `json:"Step"`
-	Peer    string    `json:"Peer"`
+	Error   errorDetail `json:"error"`
+	Outcome string      `json:"Outcome"`
+	Reason  string      `json:"Reason"`
+	Step    string      `json:"Step"`
+	Peer    string      `json:"Peer"`
 }
 
-type errorPart struct {
+type errorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 }
 
-func bodyOf(re *core.Refusal) errorBody {
+func newErrorBody(re *core.Refusal) errorBody {
 	return errorBody{
-		Error:   errorPart{Message: re.Detail, Type: "almondrill_error", Code: string(re.Reason)},
+		Error:   errorDetail{Message: re.Detail, Type: "almondrill_error", Code: string(re.Reason)},
 		Outcome: re.Outcome.String(), Reason: string(re.Reason), Step: re.Step, Peer: re.Peer,
 	}
 }
@@ -104,7 +104,7 @@
 	core.ReasonKeyReused:     http.StatusUnprocessableEntity,
 }
 
-func statusOf(re *core.Refusal) int {
+func httpStatus(re *core.Refusal) int {
 	if status, known := statuses[re.Reason]; known {
 		if re.Reason == core.ReasonBadRequest && re.Status != 0 {
 			return re.Status
@@ -117,20 +117,20 @@
 	return http.StatusBadGateway
 }
 
-// fail answers with a refusal.
-func (fr *Front) fail(wr http.ResponseWriter, err error) {
+// writeError answers with a refusal.
+func (fr *Front) writeError(wr http.ResponseWriter, err error) {
 	re := core.AsRefusal(err, "front", string(fr.Board.Self.ID))
-	fr.count(re)
+	fr.countRefusal(re)
 	if re.RetryAfter > 0 {
 		seconds := int(math.Ceil(re.RetryAfter.Seconds()))
 		wr.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
 	wr.Header().Set("Content-Type", "application/json")
-	wr.WriteHeader(statusOf(re))
-	_ = json.NewEncoder(wr).Encode(bodyOf(re))
+	wr.WriteHeader(httpStatus(re))
+	_ = json.NewEncoder(wr).Encode(newErrorBody(re))
 }
 
-func (fr *Front) count(re *core.Refusal) {
+func (fr *Front) countRefusal(re *core.Refusal) {
 	fr.Stats.Refuse(re.Reason)
 	fr.Stats.Answer(re.Outcome)
 	fr.Log.Debug("Refused a request.", zap.String("Reason", string(re.Reason)),
