--- a/io/oper/client.go
+++ b/io/oper/client.go
@@ -15,17 +15,17 @@
 
 // Dial connects to a router as an operator. The caller closes the connection.
 func Dial(addr, key string) (opsrpc.OperatorsClient, func() error, error) {
-	with := func(ctx context.Context) context.Context {
+	withKey := func(ctx context.Context) context.Context {
 		return metadata.AppendToOutgoingContext(ctx, "authorization", "Bearer "+key)
 	}
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDisableRetry(),
 		grpc.WithUnaryInterceptor(func(ctx context.Context, method string, in, out any, cc *grpc.ClientConn, call grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-			return call(with(ctx), method, in, out, cc, opts...)
+			return call(withKey(ctx), method, in, out, cc, opts...)
 		}),
 		grpc.WithStreamInterceptor(func(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, call grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-			return call(with(ctx), desc, cc, method, opts...)
+			return call(withKey(ctx), desc, cc, method, opts...)
 		}),
 	)
 	if err != nil {
--- a/io/oper/server.go
+++ b/io/oper/server.go
@@ -60,51 +60,51 @@
 func Register(sr grpc.ServiceRegistrar, se *Server) { opsrpc.RegisterOperatorsServer(sr, se) }
 
 const (
-	// watchEvery is how often Watch looks for a new revision.
-	watchEvery  = 100 * time.Millisecond
-	mostHistory = 1000
+	// watchInterval is how often Watch looks for a new revision.
+	watchInterval = 100 * time.Millisecond
+	maxHistory    = 1000
 )
 
-// operator names the caller; every call starts with it.
-func (se *Server) operator(ctx context.Context, step string) (string, error) {
+// authenticate names the caller; every call starts with it.
+func (se *Server) authenticate(ctx context.Context, step string) (string, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
 	key := ""
 	if values := md.Get("authorization"); len(values) == 1 {
 		key = strings.TrimPrefix(values[0], "Bearer ")
 	}
 	sum := sha256.Sum256([]byte(key))
-	text := hex.EncodeToString(sum[:])
+	keyHash := hex.EncodeToString(sum[:])
 	found := ""
 	for _, op := range se.Operators {
-		if subtle.ConstantTimeCompare([]byte(op.KeyHash), []byte(text)) == 1 {
+		if subtle.ConstantTimeCompare([]byte(op.KeyHash), []byte(keyHash)) == 1 {
 			found = op.Name
 		}
 	}
 	if found == "" {
-		return "", se.fail(codes.Unauthenticated, "BadKey", step, "no operator has this key")
+		return "", se.statusError(codes.Unauthenticated, "BadKey", step, "no operator has this key")
 	}
 	se.Out.Info("An operator calls.", zap.String("Operator", found), zap.String("Step", step))
 	return found, nil
 }
 
-// fail makes an error with code, reason, step and peer.
-func (se *Server) fail(code codes.Code, reason, step, text string) error {
+// statusError makes an error with code, reason, step and peer.
+func (se *Server) statusError(code codes.Code, reason, step, text string) error {
 	st := status.New(code, text)
-	with, err := st.WithDetails(&errdetails.ErrorInfo{
+	detailed, err := st.WithDetails(&errdetails.ErrorInfo{
 		Reason: reason, Domain: "almondrill",
 		Metadata: map[string]string{"Step": step, "Peer": string(se.Board.Self.ID)},
 	})
 	if err != nil {
 		return st.Err()
 	}
-	return with.Err()
+	return detailed.Err()
 }
 
-// document reads and checks what an operator sent.
-func (se *Server) document(step string, data []byte) (*decl.Document, error) {
+// parseDocument reads and checks what an operator sent.
+func (se *Server) parseDocument(step string, data []byte) (*decl.Document, error) {
 	var doc decl.Document
 	if err := json.Unmarshal(data, &doc); err != nil {
-		return nil, se.fail(codes.InvalidArgument, "BadDocument", step, "the document is not readable: "+err.Error())
+		return nil, se.statusError(codes.InvalidArgument, "BadDocument", step, "the document is not readable: "+err.Error())
 	}
 	problems := decl.Check(&doc)
 	if len(problems) == 0 {
@@ -114,20 +114,20 @@
 	for _, pr := range problems {
 		lines = append(lines, pr.String())
 	}
-	return nil, se.fail(codes.InvalidArgument, "BadDocument", step, strings.Join(lines, "\n"))
+	return nil, se.statusError(codes.InvalidArgument, "BadDocument", step, strings.Join(lines, "\n"))
 }
 
 // Plan tells what a document would change.
 func (se *Server) Plan(ctx context.Context, in *opsrpc.PlanCall) (*opsrpc.PlanReply, error) {
-	if _, err := se.operator(ctx, "plan"); err != nil {
+	if _, err := se.authenticate(ctx, "plan"); err != nil {
 		return nil, err
 	}
-	doc, err := se.document("plan", in.Document)
+	doc, err := se.parseDocument("plan", in.Document)
 	if err != nil {
 		return nil, err
 	}
 	if err = se.Log.Refresh(ctx); err != nil {
-		return nil, se.fail(codes.Unavailable, "KVDown", "plan", err.Error())
+		return nil, se.statusError(codes.Unavailable, "KVDown", "plan", err.Error())
 	}
 	current, rev := se.Log.Document()
 	return &opsrpc.PlanReply{Revision: uint64(rev), Changes: decl.Diff(current, doc).Lines()}, nil
@@ -135,14 +135,14 @@
 
 // Apply has a document accepted.
 func (se *Server) Apply(ctx context.Context, in *opsrpc.ApplyCall) (*opsrpc.ApplyReply, error) {
-	who, err := se.operator(ctx, "apply")
+	who, err := se.authenticate(ctx, "apply")
 	if err != nil {
 		return nil, err
 	}
 	if in.ID == "" {
-		return nil, se.fail(codes.InvalidArgument, "BadCall", "apply", "a change needs an ID")
+		return nil, se.statusError(codes.InvalidArgument, "BadCall", "apply", "a change needs an ID")
 	}
-	doc, err := se.wanted(ctx, in)
+	doc, err := se.requestedDocument(ctx, in)
 	if err != nil {
 		return nil, err
 	}
@@ -152,40 +152,40 @@
 	})
 	if err != nil {
 		se.Out.Info("A change was not accepted.", zap.String("Operator", who), zap.String("ID", in.ID), zap.Error(err))
-		return nil, se.notAccepted(err)
+		return nil, se.commitError(err)
 	}
 	se.Out.Info("A change was accepted.", zap.String("Operator", who), zap.String("ID", in.ID),
 		zap.Uint64("Revision", uint64(rev)), zap.String("Source", in.Source))
 	return &opsrpc.ApplyReply{Revision: uint64(rev), Changes: decl.Diff(before, doc).Lines()}, nil
 }
 
-// wanted is the document of an Apply: the one sent, or that of a revision.
-func (se *Server) wanted(ctx context.Context, in *opsrpc.ApplyCall) (*decl.Document, error) {
+// requestedDocument is the document of an Apply: the one sent, or that of a revision.
+func (se *Server) requestedDocument(ctx context.Context, in *opsrpc.ApplyCall) (*decl.Document, error) {
 	if in.Rollback == 0 {
-		return se.document("apply", in.Document)
+		return se.parseDocument("apply", in.Document)
 	}
 	doc, err := se.Log.DocumentAt(ctx, core.Revision(in.Rollback))
 	if err != nil {
-		return nil, se.fail(codes.NotFound, "NoRevision", "rollback", err.Error())
+		return nil, se.statusError(codes.NotFound, "NoRevision", "rollback", err.Error())
 	}
 	return doc, nil
 }
 
-func (se *Server) notAccepted(err error) error {
+func (se *Server) commitError(err error) error {
 	var conflict *revlog.Conflict
 	var uncertain *revlog.Uncertain
 	switch {
 	case errors.As(err, &conflict):
-		return se.fail(codes.Aborted, "Conflict", "apply", err.Error())
+		return se.statusError(codes.Aborted, "Conflict", "apply", err.Error())
 	case errors.As(err, &uncertain):
-		return se.fail(codes.DeadlineExceeded, "Uncertain", "apply", err.Error())
+		return se.statusError(codes.DeadlineExceeded, "Uncertain", "apply", err.Error())
 	}
-	return se.fail(codes.Unavailable, "NotAccepted", "apply", err.Error())
+	return se.statusError(codes.Unavailable, "NotAccepted", "apply", err.Error())
 }
 
 // Get returns a document.
 func (se *Server) Get(ctx context.Context, in *opsrpc.GetCall) (*opsrpc.GetReply, error) {
-	if _, err := se.operator(ctx, "get"); err != nil {
+	if _, err := se.authenticate(ctx, "get"); err != nil {
 		return nil, err
 	}
 	doc, rev := se.Log.Document()
@@ -193,23 +193,23 @@
 		var err error
 		rev = core.Revision(in.Revision)
 		if doc, err = se.Log.DocumentAt(ctx, rev); err != nil {
-			return nil, se.fail(codes.NotFound, "NoRevision", "get", err.Error())
+			return nil, se.statusError(codes.NotFound, "NoRevision", "get", err.Error())
 		}
 	}
 	data, err := json.Marshal(doc)
 	if err != nil {
-		return nil, se.fail(codes.Internal, "Encoding", "get", err.Error())
+		return nil, se.statusError(codes.Internal, "Encoding", "get", err.Error())
 	}
 	return &opsrpc.GetReply{Revision: uint64(rev), Document: data}, nil
 }
 
 // History lists accepted changes.
 func (se *Server) History(ctx context.Context, in *opsrpc.HistoryCall) (*opsrpc.HistoryReply, error) {
-	if _, err := se.operator(ctx, "history"); err != nil {
+	if _, err := se.authenticate(ctx, "history"); err != nil {
 		return nil, err
 	}
 	out := &opsrpc.HistoryReply{}
-	for _, de := range se.Log.History(ctx, min(mostHistory, max(1, int(in.Most)))) {
+	for _, de := range se.Log.History(ctx, min(maxHistory, max(1, int(in.Most)))) {
 		out.Changes = append(out.Changes, &opsrpc.Change{
 			Revision: uint64(de.Revision), ID: de.ID, Author: de.Author, Source: de.Source, Note: de.Note,
 			AtUnixMillis: de.At.UnixMilli(), Lines: de.Lines(),
@@ -221,7 +221,7 @@
 // Watch sends revisions as they are adopted here.
 func (se *Server) Watch(_ *opsrpc.WatchCall, st grpc.ServerStreamingServer[opsrpc.WatchReply]) error {
 	ctx := st.Context()
-	if _, err := se.operator(ctx, "watch"); err != nil {
+	if _, err := se.authenticate(ctx, "watch"); err != nil {
 		return err
 	}
 	var last core.Revision
@@ -232,7 +232,7 @@
 				return err
 			}
 		}
-		if err := se.Log.Clock.Sleep(ctx, watchEvery); err != nil {
+		if err := se.Log.Clock.Sleep(ctx, watchInterval); err != nil {
 			return nil //nolint:nilerr // the operator left
 		}
 	}
--- a/io/oper/status.go
+++ b/io/oper/status.go
@@ -11,13 +11,13 @@
 	"almondrill/io/opsrpc"
 )
 
-// askAtOnce bounds the processes that Status asks at the same time.
-const askAtOnce = 64
+// maxParallel bounds the processes that Status asks at the same time.
+const maxParallel = 64
 
 // Status asks every process which revision it has in force, and the agents how
 // far their engines are with what is declared.
 func (se *Server) Status(ctx context.Context, _ *opsrpc.StatusCall) (*opsrpc.StatusReply, error) {
-	if _, err := se.operator(ctx, "status"); err != nil {
+	if _, err := se.authenticate(ctx, "status"); err != nil {
 		return nil, err
 	}
 	sn := se.Board.Snapshot()
@@ -29,11 +29,11 @@
 		out.Processes = append(out.Processes, &opsrpc.ProcessStatus{VM: string(vm), Role: string(core.RoleAgent)})
 	}
 	endpoints := make([][]*opsrpc.EndpointStatus, len(out.Processes))
-	eachAtOnce(len(out.Processes), func(ix int) {
+	forEachParallel(len(out.Processes), func(ix int) {
 		ps := out.Processes[ix]
-		se.ask(ctx, ps)
+		se.queryRevision(ctx, ps)
 		if ps.Role == string(core.RoleAgent) && ps.Problem == "" {
-			endpoints[ix] = se.inspect(ctx, sn.Config, ps)
+			endpoints[ix] = se.inspectEndpoints(ctx, sn.Config, ps)
 		}
 	})
 	for ix, ps := range out.Processes {
@@ -44,21 +44,21 @@
 	return out, nil
 }
 
-// eachAtOnce calls fn for 0 to count-1, askAtOnce of them at a time.
-func eachAtOnce(count int, fn func(ix int)) {
-	var asking sync.WaitGroup
-	slots := make(chan struct{}, askAtOnce)
+// forEachParallel calls fn for 0 to count-1, askAtOnce of them at a time.
+func forEachParallel(count int, fn func(ix int)) {
+	var calls sync.WaitGroup
+	slots := make(chan struct{}, maxParallel)
 	for ix := range count {
 		slots <- struct{}{}
-		asking.Go(func() {
+		calls.Go(func() {
 			fn(ix)
 			<-slots
 		})
 	}
-	asking.Wait()
+	calls.Wait()
 }
 
-func (se *Server) ask(ctx context.Context, ps *opsrpc.ProcessStatus) {
+func (se *Server) queryRevision(ctx context.Context, ps *opsrpc.ProcessStatus) {
 	if core.VMID(ps.VM) == se.Board.Self.ID {
 		ps.Revision = uint64(se.Log.Revision())
 		return
@@ -71,8 +71,8 @@
 	ps.Revision, ps.Draining = uint64(di.Revision), di.Draining
 }
 
-// inspect lists an agent's endpoints in pools whose engines are given orders.
-func (se *Server) inspect(ctx context.Context, cfg *decl.Config, ps *opsrpc.ProcessStatus) []*opsrpc.EndpointStatus {
+// inspectEndpoints lists an agent's endpoints in pools whose engines are given orders.
+func (se *Server) inspectEndpoints(ctx context.Context, cfg *decl.Config, ps *opsrpc.ProcessStatus) []*opsrpc.EndpointStatus {
 	if cfg == nil || len(order.ManagedPools(cfg)) == 0 {
 		return nil
 	}
@@ -117,7 +117,7 @@
 		return
 	}
 	accepted := map[uint64]int64{}
-	for _, de := range se.Log.History(ctx, mostHistory) {
+	for _, de := range se.Log.History(ctx, maxHistory) {
 		accepted[uint64(de.Revision)] = de.At.UnixMilli()
 	}
 	now := se.Clock.Now().UnixMilli()
