--- a/io/deny/ledger.go
+++ b/io/deny/ledger.go
@@ -68,7 +68,7 @@
 	tr.once.Do(func() {
 		tr.wakeups = make(chan struct{}, 1)
 		tr.writing = map[core.Fingerprint]bool{}
-		tr.Stats.Read(stats.RequestsQuarantined, func() int64 {
+		tr.Stats.SetFunc(stats.RequestsQuarantined, func() int64 {
 			quarantined, _ := tr.table.Len()
 			return int64(quarantined)
 		})
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -104,7 +104,7 @@
 
 	Stats *stats.Set
 
-	latency stats.Latency
+	latency stats.Latencies
 	log     *zap.Logger
 	rand    *clock.Rand
 	mirror  *mirror.Mirror
@@ -223,16 +223,16 @@
 // publish makes the counters read what other parts hold.
 func (pr *Process) publish() {
 	pr.latency.Publish(pr.Stats)
-	pr.Stats.Read(stats.ConfigRevision, func() int64 { return int64(pr.inForce()) })
-	pr.Stats.Read(stats.StoreLed, func() int64 { return boolCount(pr.peers.IsWatcher()) })
-	pr.Stats.Read(stats.BytesHeld, pr.relay.Memory.Held)
-	pr.Stats.Read(stats.ViewAgeMs, func() int64 { return pr.reader.Age().Milliseconds() })
-	pr.Stats.Read(stats.StoreEra, func() int64 { return int64(pr.mirror.AsOf().Era()) })
-	pr.Stats.Read(stats.PeersLive, func() int64 { return int64(pr.peers.Live()) })
-	pr.Stats.Read(stats.EndpointsKnown, func() int64 { return int64(pr.endpoints()) })
-	pr.Stats.Read(stats.ZonesEvacuated, func() int64 { return int64(len(pr.placer.EvacuatedZones())) })
+	pr.Stats.SetFunc(stats.ConfigRevision, func() int64 { return int64(pr.inForce()) })
+	pr.Stats.SetFunc(stats.StoreLed, func() int64 { return boolCount(pr.peers.IsWatcher()) })
+	pr.Stats.SetFunc(stats.BytesHeld, pr.relay.Memory.Held)
+	pr.Stats.SetFunc(stats.ViewAgeMs, func() int64 { return pr.reader.Age().Milliseconds() })
+	pr.Stats.SetFunc(stats.StoreEra, func() int64 { return int64(pr.mirror.AsOf().Era()) })
+	pr.Stats.SetFunc(stats.PeersLive, func() int64 { return int64(pr.peers.Live()) })
+	pr.Stats.SetFunc(stats.EndpointsKnown, func() int64 { return int64(pr.endpoints()) })
+	pr.Stats.SetFunc(stats.ZonesEvacuated, func() int64 { return int64(len(pr.placer.EvacuatedZones())) })
 	if pr.Dropped != nil {
-		pr.Stats.Read(stats.LogLinesDropped, pr.Dropped)
+		pr.Stats.SetFunc(stats.LogLinesDropped, pr.Dropped)
 	}
 }
 
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -116,7 +116,7 @@
 	wt := &writer{fr: fr, wr: wr, control: http.NewResponseController(wr), stream: routed.Call.Stream}
 	_, err := fr.Router.Route(ctx, routed, wt)
 	if err == nil {
-		fr.Stats.Answer(core.Whole)
+		fr.Stats.CountOutcome(core.Whole)
 		return
 	}
 	re := core.AsRefusal(err, "route", "router")
@@ -240,7 +240,7 @@
 			list.Data = append(list.Data, model{po.Model, "model", "almondrill"})
 		}
 	}
-	fr.Stats.Answer(core.Whole)
+	fr.Stats.CountOutcome(core.Whole)
 	wr.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(wr).Encode(list)
 }
--- a/io/front/write.go
+++ b/io/front/write.go
@@ -131,8 +131,8 @@
 }
 
 func (fr *Front) countRefusal(re *core.Refusal) {
-	fr.Stats.Refuse(re.Reason)
-	fr.Stats.Answer(re.Outcome)
+	fr.Stats.CountRefusal(re.Reason)
+	fr.Stats.CountOutcome(re.Outcome)
 	fr.Log.Debug("Refused a request.", zap.String("Reason", string(re.Reason)),
 		zap.String("Step", re.Step), zap.String("Peer", re.Peer), zap.String("Detail", re.Detail))
 }
--- a/io/node/leave.go
+++ b/io/node/leave.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		pr.logger.Warn("Work was still in progress at the end of the drain timeout.", zap.Int("Calls", pr.agent.InProgress()))
 	}
-	pr.Stats.Add(stats.ContextsHanded, int64(ha.Contexts))
-	pr.Stats.Add(stats.PointersHanded, int64(ha.Pointers))
+	pr.Stats.Add(stats.ContextsHandedOn, int64(ha.Contexts))
+	pr.Stats.Add(stats.PointersHandedOn, int64(ha.Pointers))
 	pr.logger.Info("Handed chats on.", zap.Int("Contexts", ha.Contexts), zap.Int("Refused", ha.Refused),
 		zap.Int("Pointers", ha.Pointers), zap.Int64("Bytes", int64(ha.Bytes)))
 	return nil
@@ -30,7 +30,7 @@
 func (pr *Process) importContext(ctx context.Context, ha *core.Handover, rd io.Reader) error {
 	err := pr.agent.ImportContext(ctx, ha, rd)
 	if err == nil {
-		pr.Stats.Add(stats.ContextsTaken, 1)
+		pr.Stats.Add(stats.ContextsTakenIn, 1)
 	}
 	return err
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -220,9 +220,9 @@
 		pr.router = &router.Router{
 			Clock: pr.clock, Rand: pr.rand, Board: pr.board, Peers: pr.peers, Zone: pr.Settings.Zone,
 			Budget:       &retry.Budget{Ratio: pr.Settings.RetryRatio},
-			Retried:      pr.Stats.Retry,
+			Retried:      pr.Stats.CountRetry,
 			Dropped:      func() { pr.Stats.Add(stats.PartsDropped, 1) },
-			Exhausted:    func() { pr.Stats.Refuse(core.ReasonRetryBudget) },
+			Exhausted:    func() { pr.Stats.CountRefusal(core.ReasonRetryBudget) },
 			RevisionSeen: pr.syncer.NotePeerRevision,
 		}
 		pr.buildOrderController()
@@ -241,13 +241,13 @@
 }
 
 func (pr *Process) olderConfigRefused(offered, inForce core.Revision) {
-	pr.Stats.Add(stats.ConfigReverted, 1)
+	pr.Stats.Add(stats.ConfigRevertedRefused, 1)
 	pr.logger.Warn("Refused an older configuration.",
 		zap.Uint64("Offered", uint64(offered)), zap.Uint64("InForce", uint64(inForce)))
 }
 
 func (pr *Process) storeBehind(own core.Revision) {
-	pr.Stats.Add(stats.ConfigReverted, 1)
+	pr.Stats.Add(stats.ConfigRevertedRefused, 1)
 	pr.logger.Warn("The KV holds older configuration than is in force.", zap.Uint64("InForce", uint64(own)))
 }
 
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -31,7 +31,7 @@
 			logger.Info("An order was given.", orderFields(&gi.Order, gi.VM)...)
 		},
 		Refused: func(gi order.Assignment, re *core.Refusal) {
-			pr.Stats.Refuse(re.Reason)
+			pr.Stats.CountRefusal(re.Reason)
 			logger.Warn("An order was not taken.", append(orderFields(&gi.Order, gi.VM), zap.Error(re))...)
 		},
 	}
@@ -47,7 +47,7 @@
 			logger.Info("An order was carried out.", orderFields(or, pr.Settings.Name)...)
 			return
 		}
-		pr.Stats.Refuse(re.Reason)
+		pr.Stats.CountRefusal(re.Reason)
 		logger.Warn("An order was not carried out.", append(orderFields(or, pr.Settings.Name), zap.Error(re))...)
 	}
 	for ix, sl := range pr.agent.Slots {
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -89,7 +89,7 @@
 	return &claim.Keys{
 		Clock: pr.clock, Self: self, Window: se.KeyWindow, MaxBytes: maxReplayBytes, ClaimTimeout: claimTimeout,
 		Ask: asker.Claim, Alive: asker.Alive,
-		Replayed: func() { pr.Stats.Add(stats.Replays, 1) },
+		Replayed: func() { pr.Stats.Add(stats.KeyReplays, 1) },
 	}
 }
 
@@ -111,25 +111,25 @@
 	defer pr.Stats.Add(stats.InProgress, -1)
 	rep, err := pr.agent.Serve(ctx, ca, si)
 	if err == nil {
-		pr.Stats.Answer(core.Whole)
+		pr.Stats.CountOutcome(core.Whole)
 		return rep, nil
 	}
 	re := core.AsRefusal(err, "serve", string(pr.Settings.Name))
-	pr.Stats.Refuse(re.Reason)
-	pr.Stats.Answer(re.Outcome)
+	pr.Stats.CountRefusal(re.Reason)
+	pr.Stats.CountOutcome(re.Outcome)
 	return rep, re
 }
 
 // registerStats lets counters read what the parts keep themselves.
 func (pr *Process) registerStats() {
 	st := pr.Stats
-	st.Read(stats.ControlBytes, func() int64 { return int64(pr.controlBucket.Sent()) })
-	st.Read(stats.ControlHeld, pr.controlBucket.Refused)
-	st.Read(stats.ConfigRevision, func() int64 { return int64(pr.configLog.Revision()) })
-	st.Read(stats.EventsDropped, pr.board.Dropped)
-	st.Read(stats.ConnectionsOpen, func() int64 { return int64(pr.peers.OpenCount()) })
+	st.SetFunc(stats.ControlBytesSent, func() int64 { return int64(pr.controlBucket.Sent()) })
+	st.SetFunc(stats.ControlMessagesHeldBack, pr.controlBucket.Refused)
+	st.SetFunc(stats.ConfigRevision, func() int64 { return int64(pr.configLog.Revision()) })
+	st.SetFunc(stats.BoardEventsDropped, pr.board.Dropped)
+	st.SetFunc(stats.PeerConnectionsOpen, func() int64 { return int64(pr.peers.OpenCount()) })
 	if pr.agent == nil {
-		st.Read(stats.OrdersFence, func() int64 {
+		st.SetFunc(stats.OrdersFence, func() int64 {
 			fence, _ := pr.orderController.Lease.Fence()
 			return int64(fence)
 		})
@@ -145,7 +145,7 @@
 			return total
 		}
 	}
-	st.Read(stats.RunningCalls, sum(func(running, _, _ int64) int64 { return running }))
-	st.Read(stats.QueueCalls, sum(func(_, waiting, _ int64) int64 { return waiting }))
-	st.Read(stats.LoadWork, sum(func(_, _, load int64) int64 { return load }))
+	st.SetFunc(stats.RunningCalls, sum(func(running, _, _ int64) int64 { return running }))
+	st.SetFunc(stats.QueueCalls, sum(func(_, waiting, _ int64) int64 { return waiting }))
+	st.SetFunc(stats.LoadWork, sum(func(_, _, load int64) int64 { return load }))
 }
--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -66,7 +66,7 @@
 	ex.rq.sends++
 	ex.rq.lastSend.Store(&sendRecord{ex.tk.Endpoint, time.Now(), ex.rq.sends})
 	if ex.rq.sends == 1 {
-		ex.rq.re.Latency.Note(stats.SentMs, time.Since(ex.rq.began))
+		ex.rq.re.Latency.Record(stats.SentMs, time.Since(ex.rq.began))
 	}
 	co.SetDeadline(ex.rq.deadline)
 	ex.stopInterrupt = context.AfterFunc(ctx, co.Interrupt)
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -104,7 +104,7 @@
 	// Memory bounds the buffers of request and response bodies.
 	Memory  Memory
 	Stats   *stats.Set
-	Latency *stats.Latency
+	Latency *stats.Latencies
 	Rand    core.Rand
 	Log     *zap.Logger
 	// ViewAge returns how long ago this router's view of routes and endpoints was confirmed.
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -105,7 +105,7 @@
 			rq.finishFailed(rf)
 			return
 		}
-		rq.re.Stats.Retry(rf.Reason)
+		rq.re.Stats.CountRetry(rf.Reason)
 		rq.logRetry(rf)
 	}
 }
@@ -134,7 +134,7 @@
 	rq.ticket = tk
 	if rq.sends > 0 && !rq.re.Budget.TryExtra(time.Now(), rq.pool) {
 		tk.Done(time.Now(), place.Neutral)
-		rq.re.Stats.Refuse(core.ReasonRetryBudget)
+		rq.re.Stats.CountRefusal(core.ReasonRetryBudget)
 		return rq.notRun(core.ReasonRetryBudget, "retry", "the budget of further attempts is spent")
 	}
 	return nil
@@ -219,11 +219,11 @@
 // finishServed records a request whose response was forwarded completely.
 func (rq *request) finishServed() {
 	now := time.Now()
-	rq.re.Stats.Answer(core.Whole)
-	rq.re.Latency.Note(stats.AnswerMs, now.Sub(rq.began))
-	rq.re.Latency.Note(stats.FirstMs, rq.firstWrite.Sub(rq.began))
+	rq.re.Stats.CountOutcome(core.Whole)
+	rq.re.Latency.Record(stats.AnswerMs, now.Sub(rq.began))
+	rq.re.Latency.Record(stats.FirstMs, rq.firstWrite.Sub(rq.began))
 	if rq.lastEvent != "" {
-		rq.re.Latency.Note(stats.GapMs, rq.longestGap)
+		rq.re.Latency.Record(stats.GapMs, rq.longestGap)
 	}
 	rq.re.Log.Info("Served.", rq.logFields(zap.Int("Status", rq.status), zap.Duration("Took", now.Sub(rq.began)),
 		zap.Duration("First", rq.firstWrite.Sub(rq.began)))...)
@@ -250,7 +250,7 @@
 }
 
 func (rq *request) finishCallerGone() {
-	rq.re.Stats.Refuse(core.ReasonCallerGone)
+	rq.re.Stats.CountRefusal(core.ReasonCallerGone)
 	rq.re.Log.Info("The caller disconnected.", rq.logFields(zap.Duration("Took", time.Since(rq.began)))...)
 	if rq.headSent {
 		panic(http.ErrAbortHandler)
@@ -260,9 +260,9 @@
 // abortResponse ends a response of which the caller has only a part, by closing the caller's
 // connection.
 func (rq *request) abortResponse(rf *core.Refusal) {
-	rq.re.Stats.Refuse(rf.Reason)
-	rq.re.Stats.Answer(rf.Outcome)
-	rq.re.Latency.Note(stats.FailedMs, time.Since(rq.began))
+	rq.re.Stats.CountRefusal(rf.Reason)
+	rq.re.Stats.CountOutcome(rf.Outcome)
+	rq.re.Latency.Record(stats.FailedMs, time.Since(rq.began))
 	rq.re.Log.Warn("Cut an answer.", rq.refusalFields(rf)...)
 	panic(http.ErrAbortHandler)
 }
--- a/io/relay/response.go
+++ b/io/relay/response.go
@@ -52,9 +52,9 @@
 		rq.refuse(rf)
 		return
 	}
-	rq.re.Stats.Refuse(rf.Reason)
-	rq.re.Stats.Answer(rf.Outcome)
-	rq.re.Latency.Note(stats.FailedMs, time.Since(rq.began))
+	rq.re.Stats.CountRefusal(rf.Reason)
+	rq.re.Stats.CountOutcome(rf.Outcome)
+	rq.re.Latency.Record(stats.FailedMs, time.Since(rq.began))
 	rq.re.Log.Info("Forwarded an endpoint's failure response.", rq.refusalFields(rf)...)
 	rq.writeHead(rq.failure.status, rq.failure.header, int64(len(rq.failure.body)))
 	_, _ = rq.wr.Write(rq.failure.body) // fails only if the caller has disconnected
@@ -63,12 +63,12 @@
 // refuse writes the router's own error response.
 func (rq *request) refuse(rf *core.Refusal) {
 	status := statusOf(rf)
-	rq.re.Stats.Refuse(rf.Reason)
-	rq.re.Stats.Answer(rf.Outcome)
+	rq.re.Stats.CountRefusal(rf.Reason)
+	rq.re.Stats.CountOutcome(rf.Outcome)
 	if rf.Outcome == core.NotRun {
-		rq.re.Latency.Note(stats.RefusedMs, time.Since(rq.began))
+		rq.re.Latency.Record(stats.RefusedMs, time.Since(rq.began))
 	} else {
-		rq.re.Latency.Note(stats.FailedMs, time.Since(rq.began))
+		rq.re.Latency.Record(stats.FailedMs, time.Since(rq.began))
 	}
 	rq.re.Log.Warn("Refused.", rq.refusalFields(rf)...)
 	hd := rq.wr.Header()
--- a/io/stats/docs.go
+++ b/io/stats/docs.go
@@ -8,7 +8,7 @@
 )
 
 // definition explains a counter.
-type definition struct{ name, means string }
+type definition struct{ name, meaning string }
 
 // counters are all counters that are no reasons.
 var counters = []definition{
@@ -19,23 +19,23 @@
 	{AnswersFailed, "ended as run and failed"},
 	{AnswersUnknown, "ended without knowing"},
 	{PartsDropped, "parts or replies that were for another attempt"},
-	{ControlBytes, "bytes sent for control, transport headers included"},
-	{ControlHeld, "control messages that the budget did not allow"},
+	{ControlBytesSent, "bytes sent for control, transport headers included"},
+	{ControlMessagesHeldBack, "control messages that the budget did not allow"},
 	{QueueCalls, "calls waiting for a slot now"},
 	{RunningCalls, "calls running now"},
 	{LoadWork, "work at the agent's endpoints now, in token equivalents"},
 	{ConfigRevision, "the configuration in force here"},
-	{ConfigReverted, "times that older configuration was offered and refused, or found in the KV"},
-	{EventsDropped, "traffic's observations dropped because control was busy; should stay 0"},
-	{ConnectionsOpen, "connections to peers kept"},
-	{Replays, "outcomes replayed to a retry with the same key"},
+	{ConfigRevertedRefused, "times that older configuration was offered and refused, or found in the KV"},
+	{BoardEventsDropped, "traffic's observations dropped because control was busy; should stay 0"},
+	{PeerConnectionsOpen, "connections to peers kept"},
+	{KeyReplays, "outcomes replayed to a retry with the same key"},
 	{OrdersGiven, "orders that an agent took from this router"},
 	{OrdersDone, "orders that this agent's engines carried out"},
 	{OrdersGivenUp, "times that an order failed on several engines of its pool and on none went well, so that the others keep what they have; see rolling-versions.md"},
 	{OrdersFence, "the fencing number under which this router gives orders; 0 while another does"},
-	{ContextsHanded, "contexts that this agent moved to other engines when it left"},
-	{ContextsTaken, "contexts that this agent took in from leaving ones"},
-	{PointersHanded, "directory entries that this agent passed on when it left"},
+	{ContextsHandedOn, "contexts that this agent moved to other engines when it left"},
+	{ContextsTakenIn, "contexts that this agent took in from leaving ones"},
+	{PointersHandedOn, "directory entries that this agent passed on when it left"},
 	{ViewAgeMs, "on a router without agents: time since the store last confirmed what is believed; above 2,500 unknown routes and keys are answered 503"},
 	{PeersLive, "peers that are alive, by probes and by what others tell of them"},
 	{EndpointsKnown, "registered endpoints, of pools that the configuration names, that are not draining"},
@@ -56,8 +56,8 @@
 	{LogLinesSampled, "log lines left out because many of the same message came in a second"},
 }
 
-// times are the latencies of which quantiles are kept.
-var times = []definition{
+// latencies are the latencies of which quantiles are kept.
+var latencies = []definition{
 	{string(AnswerMs), "from a request to the end of its whole answer"},
 	{string(FirstMs), "from a request to the first byte of an answer that became whole"},
 	{string(GapMs), "the longest pause within a stream that became whole"},
@@ -68,8 +68,8 @@
 
 // advice is what a reason means, and what to do about it.
 type advice struct {
-	reason    core.Reason
-	means, do string
+	reason          core.Reason
+	meaning, action string
 }
 
 var reasons = []advice{
@@ -121,16 +121,16 @@
 		"Each process serves its counters at `/debug/vars` of its AdminAddr, under\n`Almondrill`. `Refusals` and `Retries` have one counter for each reason.\n\n" +
 		"## Reasons\n\n| reason | means | do |\n|---|---|---|\n")
 	for _, ad := range reasons {
-		fmt.Fprintf(&out, "| %s | %s | %s |\n", ad.reason, ad.means, ad.do)
+		fmt.Fprintf(&out, "| %s | %s | %s |\n", ad.reason, ad.meaning, ad.action)
 	}
 	out.WriteString("\n## Other counters\n\n| counter | means |\n|---|---|\n")
 	for _, de := range counters {
-		fmt.Fprintf(&out, "| %s | %s |\n", de.name, de.means)
+		fmt.Fprintf(&out, "| %s | %s |\n", de.name, de.meaning)
 	}
 	out.WriteString("\n## Latencies\n\nOn routers without agents, in milliseconds since the start of the process: each name with\n" +
 		"P50, P95, P99 and Max behind it, as `FirstMsP95`.\n\n| latency | means |\n|---|---|\n")
-	for _, de := range times {
-		fmt.Fprintf(&out, "| %s | %s |\n", de.name, de.means)
+	for _, de := range latencies {
+		fmt.Fprintf(&out, "| %s | %s |\n", de.name, de.meaning)
 	}
 	return out.String()
 }
--- a/io/stats/stats.go
+++ b/io/stats/stats.go
@@ -23,37 +23,37 @@
 
 // Names of the other counters.
 const (
-	Requests        = "Requests"
-	InProgress      = "InProgress"
-	AnswersWhole    = "AnswersWhole"
-	AnswersNotRun   = "AnswersNotRun"
-	AnswersFailed   = "AnswersFailed"
-	AnswersUnknown  = "AnswersUnknown"
-	PartsDropped    = "PartsDropped"
-	ControlBytes    = "ControlBytesSent"
-	ControlHeld     = "ControlMessagesHeldBack"
-	QueueCalls      = "QueueCalls"
-	RunningCalls    = "RunningCalls"
-	LoadWork        = "LoadWork"
-	ConfigRevision  = "ConfigRevision"
-	ConfigReverted  = "ConfigRevertedRefused"
-	EventsDropped   = "BoardEventsDropped"
-	ConnectionsOpen = "PeerConnectionsOpen"
-	Replays         = "KeyReplays"
-	OrdersGiven     = "OrdersGiven"
-	OrdersDone      = "OrdersDone"
-	OrdersFence     = "OrdersFence"
-	OrdersGivenUp   = "OrdersGivenUp"
-	ContextsHanded  = "ContextsHandedOn"
-	ContextsTaken   = "ContextsTakenIn"
-	PointersHanded  = "PointersHandedOn"
-	ViewAgeMs       = "ViewAgeMs"
-	PeersLive       = "PeersLive"
-	EndpointsKnown  = "EndpointsKnown"
-	LogLinesDropped = "LogLinesDropped"
-	LogLinesSampled = "LogLinesSampled"
-	ZonesEvacuated  = "ZonesEvacuated"
-	ColdDenied      = "ColdDenied"
+	Requests                = "Requests"
+	InProgress              = "InProgress"
+	AnswersWhole            = "AnswersWhole"
+	AnswersNotRun           = "AnswersNotRun"
+	AnswersFailed           = "AnswersFailed"
+	AnswersUnknown          = "AnswersUnknown"
+	PartsDropped            = "PartsDropped"
+	ControlBytesSent        = "ControlBytesSent"
+	ControlMessagesHeldBack = "ControlMessagesHeldBack"
+	QueueCalls              = "QueueCalls"
+	RunningCalls            = "RunningCalls"
+	LoadWork                = "LoadWork"
+	ConfigRevision          = "ConfigRevision"
+	ConfigRevertedRefused   = "ConfigRevertedRefused"
+	BoardEventsDropped      = "BoardEventsDropped"
+	PeerConnectionsOpen     = "PeerConnectionsOpen"
+	KeyReplays              = "KeyReplays"
+	OrdersGiven             = "OrdersGiven"
+	OrdersDone              = "OrdersDone"
+	OrdersFence             = "OrdersFence"
+	OrdersGivenUp           = "OrdersGivenUp"
+	ContextsHandedOn        = "ContextsHandedOn"
+	ContextsTakenIn         = "ContextsTakenIn"
+	PointersHandedOn        = "PointersHandedOn"
+	ViewAgeMs               = "ViewAgeMs"
+	PeersLive               = "PeersLive"
+	EndpointsKnown          = "EndpointsKnown"
+	LogLinesDropped         = "LogLinesDropped"
+	LogLinesSampled         = "LogLinesSampled"
+	ZonesEvacuated          = "ZonesEvacuated"
+	ColdDenied              = "ColdDenied"
 	// RegistrationsUnusable counts those that became unreadable.
 	RegistrationsUnusable = "RegistrationsUnusable"
 	// StoreLed is 1 in a router that asks the platform's store on behalf of all.
@@ -80,10 +80,10 @@
 
 // Set is one process's counters.
 type Set struct {
-	all      *expvar.Map
-	refusals *expvar.Map
-	retries  *expvar.Map
-	latency  *Latency
+	all       *expvar.Map
+	refusals  *expvar.Map
+	retries   *expvar.Map
+	latencies *Latencies
 }
 
 // New makes a Set with every counter at 0.
@@ -104,19 +104,19 @@
 // Add changes a counter.
 func (st *Set) Add(name string, by int64) { st.all.Add(name, by) }
 
-// Read makes a counter read its value from fn when asked.
-func (st *Set) Read(name string, fn func() int64) {
+// SetFunc makes a counter read its value from fn when asked.
+func (st *Set) SetFunc(name string, fn func() int64) {
 	st.all.Set(name, expvar.Func(func() any { return fn() }))
 }
 
-// Refuse counts a refusal or failure by reason.
-func (st *Set) Refuse(re core.Reason) { st.refusals.Add(string(re), 1) }
+// CountRefusal counts a refusal or failure by reason.
+func (st *Set) CountRefusal(re core.Reason) { st.refusals.Add(string(re), 1) }
 
-// Retry counts a retry by the reason of the attempt before it.
-func (st *Set) Retry(re core.Reason) { st.retries.Add(string(re), 1) }
+// CountRetry counts a retry by the reason of the attempt before it.
+func (st *Set) CountRetry(re core.Reason) { st.retries.Add(string(re), 1) }
 
-// Answer counts how a request ended.
-func (st *Set) Answer(ou core.Outcome) { st.all.Add("Answers"+ou.String(), 1) }
+// CountOutcome counts how a request ended.
+func (st *Set) CountOutcome(ou core.Outcome) { st.all.Add("Answers"+ou.String(), 1) }
 
 // Value is a counter's value, 0 for an unknown one.
 func (st *Set) Value(name string) int64 {
--- a/io/stats/stats_test.go
+++ b/io/stats/stats_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// served is what a process serves of its counters.
-func served(t *testing.T, st *stats.Set) map[string]any {
+// servedVars is what a process serves of its counters.
+func servedVars(t *testing.T, st *stats.Set) map[string]any {
 	t.Helper()
 	rec := httptest.NewRecorder()
 	st.Handler().ServeHTTP(rec, httptest.NewRequest("GET", "/debug/vars", nil))
@@ -49,10 +49,10 @@
 
 // Every counter of the page is served, from the start, so that a graph shows 0 rather
 // than nothing.
-func TestAllThatIsExplainedIsServed(t *testing.T) {
-	st, la := stats.New(), &stats.Latency{}
+func TestEveryExplainedCounterIsServed(t *testing.T) {
+	st, la := stats.New(), &stats.Latencies{}
 	la.Publish(st)
-	vars := served(t, st)
+	vars := servedVars(t, st)
 	text, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
@@ -77,18 +77,18 @@
 	}
 }
 
-func TestQuantilesOfTimes(t *testing.T) {
-	st, la := stats.New(), &stats.Latency{}
+func TestLatencyQuantiles(t *testing.T) {
+	st, la := stats.New(), &stats.Latencies{}
 	la.Publish(st)
 	for ms := range 100 {
-		la.Note(stats.GapMs, time.Duration(ms+1)*time.Millisecond)
+		la.Record(stats.GapMs, time.Duration(ms+1)*time.Millisecond)
 	}
-	la.Note(stats.FirstMs, 2*time.Hour)
+	la.Record(stats.FirstMs, 2*time.Hour)
 	if p50 := st.Value("GapMsP50"); p50 < 49 || p50 > 52 {
 		t.Errorf("median %d, want 50", p50)
 	}
-	if most := st.Value("FirstMsMax"); most < 59_000 || most > 61_000 {
-		t.Errorf("%d ms for two hours, want the largest that is told apart", most)
+	if longest := st.Value("FirstMsMax"); longest < 59_000 || longest > 61_000 {
+		t.Errorf("%d ms for two hours, want the largest that is told apart", longest)
 	}
 	if none := st.Value("FailedMsP99"); none != 0 {
 		t.Errorf("%d ms though nothing failed", none)
--- a/io/stats/text.go
+++ b/io/stats/text.go
@@ -10,9 +10,9 @@
 	"slices"
 )
 
-// bounds are the upper ends, in milliseconds, of the buckets in which latencies are
+// bucketBoundsMs are the upper ends, in milliseconds, of the buckets in which latencies are
 // served: close together around the goals of routes, 150 to 600 ms.
-var bounds = []int64{10, 20, 50, 100, 150, 200, 300, 400, 600, 1000, 2000, 5000, 10000}
+var bucketBoundsMs = []int64{10, 20, 50, 100, 150, 200, 300, 400, 600, 1000, 2000, 5000, 10000}
 
 // TextHandler serves the Set as text, a line a value, as scrapers of metrics read it:
 // the name, the reason as a label where there is one, and the value. Latencies come as
@@ -28,30 +28,30 @@
 			}
 			fmt.Fprintf(out, "%s %s\n", kv.Key, kv.Value)
 		})
-		if st.latency != nil {
-			st.latency.writeBuckets(out)
+		if st.latencies != nil {
+			st.latencies.writeBuckets(out)
 		}
 		_ = out.Flush() // whoever asked has left
 	})
 }
 
 // writeBuckets writes every latency of which something was noted.
-func (la *Latency) writeBuckets(out io.Writer) {
+func (la *Latencies) writeBuckets(out io.Writer) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
-	for _, de := range times {
-		hi := la.byTime[Time(de.name)]
+	for _, de := range latencies {
+		hi := la.histograms[LatencyName(de.name)]
 		if hi == nil {
 			continue
 		}
-		counts := make([]int64, len(bounds))
+		counts := make([]int64, len(bucketBoundsMs))
 		for _, bar := range hi.Distribution() {
-			at, _ := slices.BinarySearchFunc(bounds, bar.To, cmp.Compare[int64])
-			for ; at < len(bounds); at++ {
+			at, _ := slices.BinarySearchFunc(bucketBoundsMs, bar.To, cmp.Compare[int64])
+			for ; at < len(bucketBoundsMs); at++ {
 				counts[at] += bar.Count
 			}
 		}
-		for ix, bound := range bounds {
+		for ix, bound := range bucketBoundsMs {
 			fmt.Fprintf(out, "%s_bucket{le=\"%d\"} %d\n", de.name, bound, counts[ix])
 		}
 		fmt.Fprintf(out, "%s_bucket{le=\"+Inf\"} %d\n", de.name, hi.TotalCount())
--- a/io/stats/text_test.go
+++ b/io/stats/text_test.go
@@ -10,8 +10,8 @@
 	"almondrill/io/stats"
 )
 
-// text is what a process serves to scrapers, a line an entry.
-func text(st *stats.Set) map[string]string {
+// servedText is what a process serves to scrapers, a line an entry.
+func servedText(st *stats.Set) map[string]string {
 	rec := httptest.NewRecorder()
 	st.TextHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/metrics", nil))
 	lines := map[string]string{}
@@ -23,13 +23,13 @@
 }
 
 func TestTextHasCountersAndReasons(t *testing.T) {
-	st, la := stats.New(), &stats.Latency{}
+	st, la := stats.New(), &stats.Latencies{}
 	la.Publish(st)
 	st.Add(stats.Requests, 3)
-	st.Refuse(core.ReasonLoadCap)
-	st.Retry(core.ReasonCutShort)
-	st.Read(stats.PeersLive, func() int64 { return 5 })
-	lines := text(st)
+	st.CountRefusal(core.ReasonLoadCap)
+	st.CountRetry(core.ReasonCutShort)
+	st.SetFunc(stats.PeersLive, func() int64 { return 5 })
+	lines := servedText(st)
 	for name, want := range map[string]string{
 		"Requests": "3", "PeersLive": "5", `Refusals{Reason="LoadCap"}`: "1", `Refusals{Reason="Deadline"}`: "0",
 		`Retries{Reason="CutShort"}`: "1", "FirstMsP95": "0",
@@ -41,13 +41,13 @@
 }
 
 // Buckets are cumulative: each has all that took no longer than its bound.
-func TestTextHasBucketsOfLatencies(t *testing.T) {
-	st, la := stats.New(), &stats.Latency{}
+func TestTextHasLatencyBuckets(t *testing.T) {
+	st, la := stats.New(), &stats.Latencies{}
 	la.Publish(st)
 	for _, ms := range []int{5, 90, 120, 120, 450, 30_000} {
-		la.Note(stats.FirstMs, time.Duration(ms)*time.Millisecond)
+		la.Record(stats.FirstMs, time.Duration(ms)*time.Millisecond)
 	}
-	lines := text(st)
+	lines := servedText(st)
 	for bound, want := range map[string]string{"10": "1", "50": "1", "100": "2", "150": "4", "400": "4", "600": "5", "10000": "5", "+Inf": "6"} {
 		if got := lines[`FirstMs_bucket{le="`+bound+`"}`]; got != want {
 			t.Errorf("up to %s ms: %q, want %s", bound, got, want)
