--- a/cmd/almondrill/check.go
+++ b/cmd/almondrill/check.go
@@ -54,7 +54,7 @@
 	case cc.deploy:
 		err = platform.CheckDeploy(file, data, os.ReadFile)
 	case cc.role == relayRole:
-		_, err = conf.ReadRelay(file, data)
+		_, err = conf.ReadRelaySettings(file, data)
 	case known:
 		_, err = conf.ReadSettings(file, data, role)
 	default:
--- a/cmd/almondrill/relay.go
+++ b/cmd/almondrill/relay.go
@@ -87,5 +87,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return conf.ReadRelay(rc.file, data)
+	return conf.ReadRelaySettings(rc.file, data)
 }
--- a/io/conf/conf.go
+++ b/io/conf/conf.go
@@ -111,11 +111,11 @@
 // error is Problems.
 func ReadSettings(file string, data []byte, ro core.Role) (*Settings, error) {
 	var se Settings
-	if err := Strict(file, data, &se); err != nil {
+	if err := DecodeStrict(file, data, &se); err != nil {
 		return nil, err
 	}
-	ch := &settingsCheck{file: file, lines: Lines(data), keys: keyLines(data)}
-	ch.settings(&se, ro)
+	ch := &settingsChecker{file: file, lines: ObjectLines(data), keys: keyLines(data)}
+	ch.checkSettings(&se, ro)
 	if len(ch.problems) > 0 {
 		return nil, ch.problems
 	}
@@ -123,61 +123,61 @@
 	return &se, nil
 }
 
-type settingsCheck struct {
+type settingsChecker struct {
 	file     string
 	lines    map[string]int
 	keys     map[string]int
 	problems Problems
 }
 
-func (ch *settingsCheck) add(line int, format string, args ...any) {
+func (ch *settingsChecker) addProblem(line int, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	ch.problems = append(ch.problems, fmt.Sprintf("%s:%d: %s", ch.file, max(1, line), text))
 }
 
-func (ch *settingsCheck) need(key, value, what string) {
+func (ch *settingsChecker) checkPresent(key, value, what string) {
 	if value == "" {
-		ch.add(ch.keys[key], "%s is missing: expected %s", key, what)
+		ch.addProblem(ch.keys[key], "%s is missing: expected %s", key, what)
 	}
 }
 
-func (ch *settingsCheck) addr(key, value string) {
+func (ch *settingsChecker) checkAddr(key, value string) {
 	if value == "" {
-		ch.add(ch.keys[key], "%s is missing: expected an IP address and port, such as 10.0.0.5:7000", key)
+		ch.addProblem(ch.keys[key], "%s is missing: expected an IP address and port, such as 10.0.0.5:7000", key)
 		return
 	}
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
-		ch.add(ch.keys[key], "%s: %q is not an IP address and port, such as 10.0.0.5:7000", key, value)
+		ch.addProblem(ch.keys[key], "%s: %q is not an IP address and port, such as 10.0.0.5:7000", key, value)
 	}
 }
 
-func (ch *settingsCheck) settings(se *Settings, ro core.Role) {
-	ch.need("Name", string(se.Name), "the VM's name")
-	ch.need("Zone", string(se.Zone), "the VM's availability zone")
-	ch.need("Region", string(se.Region), "the VM's region")
-	ch.addr("PeersAddr", se.PeersAddr)
-	ch.addr("AdminAddr", se.AdminAddr)
-	ch.addr("KVAddr", se.KVAddr)
-	ch.addr("VMsAddr", se.VMsAddr)
+func (ch *settingsChecker) checkSettings(se *Settings, ro core.Role) {
+	ch.checkPresent("Name", string(se.Name), "the VM's name")
+	ch.checkPresent("Zone", string(se.Zone), "the VM's availability zone")
+	ch.checkPresent("Region", string(se.Region), "the VM's region")
+	ch.checkAddr("PeersAddr", se.PeersAddr)
+	ch.checkAddr("AdminAddr", se.AdminAddr)
+	ch.checkAddr("KVAddr", se.KVAddr)
+	ch.checkAddr("VMsAddr", se.VMsAddr)
 	if ro == core.RoleRouter {
-		ch.addr("CallersAddr", se.CallersAddr)
+		ch.checkAddr("CallersAddr", se.CallersAddr)
 	}
 	if ro == core.RoleAgent && len(se.Endpoints) == 0 {
-		ch.add(ch.keys["Endpoints"], "Endpoints is missing: expected at least one endpoint")
+		ch.addProblem(ch.keys["Endpoints"], "Endpoints is missing: expected at least one endpoint")
 	}
-	ch.numbers(se)
+	ch.checkNumbers(se)
 	for _, op := range se.Operators {
 		if raw, err := hex.DecodeString(op.KeyHash); err != nil || len(raw) != 32 || op.Name == "" {
-			ch.add(ch.lines["Operators/"+op.Name], "operator %q needs a Name, and a KeyHash of 64 hexadecimal digits", op.Name)
+			ch.addProblem(ch.lines["Operators/"+op.Name], "operator %q needs a Name, and a KeyHash of 64 hexadecimal digits", op.Name)
 		}
 	}
 	for _, ep := range se.Endpoints {
-		ch.endpoint(ep)
+		ch.checkEndpoint(ep)
 	}
 }
 
-func (ch *settingsCheck) numbers(se *Settings) {
+func (ch *settingsChecker) checkNumbers(se *Settings) {
 	for key, value := range map[string]float64{
 		"MaxBodyBytes": float64(se.MaxBodyBytes), "BodyTimeout": float64(se.BodyTimeout),
 		"WriteTimeout": float64(se.WriteTimeout), "DefaultDeadline": float64(se.DefaultDeadline),
@@ -189,41 +189,41 @@
 		"KeyWindow":       float64(se.KeyWindow), "ClaimShards": float64(se.ClaimShards),
 	} {
 		if value < 0 {
-			ch.add(ch.keys[key], "%s must not be negative", key)
+			ch.addProblem(ch.keys[key], "%s must not be negative", key)
 		}
 	}
 	if se.HandOverBytes < -1 {
-		ch.add(ch.keys["HandOverBytes"], "HandOverBytes must be -1, to move none, or more")
+		ch.addProblem(ch.keys["HandOverBytes"], "HandOverBytes must be -1, to move none, or more")
 	}
-	ch.level(se.LogLevel)
+	ch.checkLevel(se.LogLevel)
 }
 
-func (ch *settingsCheck) level(level string) {
+func (ch *settingsChecker) checkLevel(level string) {
 	if !strings.Contains(" debug info warn error ", " "+level+" ") && level != "" {
-		ch.add(ch.keys["LogLevel"], "LogLevel: %q is not debug, info, warn or error", level)
+		ch.addProblem(ch.keys["LogLevel"], "LogLevel: %q is not debug, info, warn or error", level)
 	}
 }
 
-func (ch *settingsCheck) endpoint(ep EndpointSetting) {
+func (ch *settingsChecker) checkEndpoint(ep EndpointSetting) {
 	line := ch.lines["Endpoints/"+string(ep.Name)]
 	if ep.Name == "" || ep.Pool == "" {
-		ch.add(line, "an endpoint needs Name and Pool")
+		ch.addProblem(line, "an endpoint needs Name and Pool")
 	}
 	if ep.Kind != KindEngine && ep.Kind != KindService {
-		ch.add(line, "endpoint %s: Kind: %q is not Engine or Service", ep.Name, ep.Kind)
+		ch.addProblem(line, "endpoint %s: Kind: %q is not Engine or Service", ep.Name, ep.Kind)
 	}
 	if ur, err := url.Parse(ep.URL); err != nil || ur.Scheme != "http" || ur.Host == "" {
-		ch.add(line, "endpoint %s: URL: %q is not a URL such as http://127.0.0.1:8000", ep.Name, ep.URL)
+		ch.addProblem(line, "endpoint %s: URL: %q is not a URL such as http://127.0.0.1:8000", ep.Name, ep.URL)
 	}
 }
 
 // ReadDeclarations reads and checks a document. The error is Problems.
 func ReadDeclarations(file string, data []byte) (*decl.Document, error) {
 	var doc decl.Document
-	if err := Strict(file, data, &doc); err != nil {
+	if err := DecodeStrict(file, data, &doc); err != nil {
 		return nil, err
 	}
-	lines := Lines(data)
+	lines := ObjectLines(data)
 	var pr Problems
 	for _, found := range decl.Check(&doc) {
 		kind, name, _ := strings.Cut(found.Object, " ")
--- a/io/conf/docs.go
+++ b/io/conf/docs.go
@@ -25,47 +25,47 @@
 checked with ` + "`almondrill check -role router FILE`" + `.
 
 `)
-	section(&out, reflect.TypeFor[Settings]())
-	heading(&out, "Endpoints", "one entry for each endpoint beside an agent", reflect.TypeFor[EndpointSetting]())
-	heading(&out, "Operators", "one entry for each operator that a router knows", reflect.TypeFor[OperatorSetting]())
+	writeSection(&out, reflect.TypeFor[Settings]())
+	writeHeading(&out, "Endpoints", "one entry for each endpoint beside an agent", reflect.TypeFor[EndpointSetting]())
+	writeHeading(&out, "Operators", "one entry for each operator that a router knows", reflect.TypeFor[OperatorSetting]())
 	out.WriteString("## Settings of a router without agents\n\nRead by `almondrill relay`, checked with `almondrill check -role relay FILE`.\n\n")
-	section(&out, reflect.TypeFor[RelaySettings]())
+	writeSection(&out, reflect.TypeFor[RelaySettings]())
 	out.WriteString("## Declarations\n\nAccepted with `almondrill apply`, checked with `almondrill check FILE`.\n\n")
-	section(&out, reflect.TypeFor[decl.Document]())
-	heading(&out, "Customers", "", reflect.TypeFor[decl.Customer]())
-	heading(&out, "Pools", "engines that serve the same model", reflect.TypeFor[decl.Pool]())
-	heading(&out, "Services", "plain services", reflect.TypeFor[decl.Service]())
-	heading(&out, "Endpoints (declared)", "what an endpoint checks itself; one that is not declared checks nothing", reflect.TypeFor[decl.Endpoint]())
+	writeSection(&out, reflect.TypeFor[decl.Document]())
+	writeHeading(&out, "Customers", "", reflect.TypeFor[decl.Customer]())
+	writeHeading(&out, "Pools", "engines that serve the same model", reflect.TypeFor[decl.Pool]())
+	writeHeading(&out, "Services", "plain services", reflect.TypeFor[decl.Service]())
+	writeHeading(&out, "Endpoints (declared)", "what an endpoint checks itself; one that is not declared checks nothing", reflect.TypeFor[decl.Endpoint]())
 	return strings.TrimRight(out.String(), "\n") + "\n"
 }
 
-func heading(out *strings.Builder, title, what string, ty reflect.Type) {
+func writeHeading(out *strings.Builder, title, what string, ty reflect.Type) {
 	fmt.Fprintf(out, "### %s\n\n", title)
 	if what != "" {
 		fmt.Fprintf(out, "%s.\n\n", strings.ToUpper(what[:1])+what[1:])
 	}
-	section(out, ty)
+	writeSection(out, ty)
 }
 
-func section(out *strings.Builder, ty reflect.Type) {
+func writeSection(out *strings.Builder, ty reflect.Type) {
 	out.WriteString("| key | type | needed | meaning |\n|---|---|---|---|\n")
-	fields(out, ty)
+	writeFields(out, ty)
 	out.WriteString("\n")
 }
 
-func fields(out *strings.Builder, ty reflect.Type) {
+func writeFields(out *strings.Builder, ty reflect.Type) {
 	for ix := range ty.NumField() {
 		fi := ty.Field(ix)
 		if fi.Anonymous {
-			fields(out, fi.Type)
+			writeFields(out, fi.Type)
 			continue
 		}
 		key, _, _ := strings.Cut(fi.Tag.Get("yaml"), ",")
-		fmt.Fprintf(out, "| %s | %s | %s | %s |\n", key, typeText(fi.Type), fi.Tag.Get("need"), fi.Tag.Get("doc"))
+		fmt.Fprintf(out, "| %s | %s | %s | %s |\n", key, typeName(fi.Type), fi.Tag.Get("need"), fi.Tag.Get("doc"))
 	}
 }
 
-func typeText(ty reflect.Type) string {
+func typeName(ty reflect.Type) string {
 	switch {
 	case ty.String() == "time.Duration":
 		return "duration"
--- a/io/conf/relay.go
+++ b/io/conf/relay.go
@@ -47,25 +47,25 @@
 	defaultTo(&se.LogLevel, "info")
 }
 
-// ReadRelay reads and checks the settings of a router that calls endpoints itself.
+// ReadRelaySettings reads and checks the settings of a router that calls endpoints itself.
 // The error is Problems.
-func ReadRelay(file string, data []byte) (*RelaySettings, error) {
+func ReadRelaySettings(file string, data []byte) (*RelaySettings, error) {
 	var se RelaySettings
-	if err := Strict(file, data, &se); err != nil {
+	if err := DecodeStrict(file, data, &se); err != nil {
 		return nil, err
 	}
-	ch := &settingsCheck{file: file, lines: Lines(data), keys: keyLines(data)}
-	ch.need("Name", string(se.Name), "the VM's name")
-	ch.need("Zone", string(se.Zone), "the VM's availability zone")
-	ch.need("Region", string(se.Region), "the VM's region")
+	ch := &settingsChecker{file: file, lines: ObjectLines(data), keys: keyLines(data)}
+	ch.checkPresent("Name", string(se.Name), "the VM's name")
+	ch.checkPresent("Zone", string(se.Zone), "the VM's availability zone")
+	ch.checkPresent("Region", string(se.Region), "the VM's region")
 	for key, value := range map[string]string{
 		"CallersAddr": se.CallersAddr, "ReadyAddr": se.ReadyAddr, "AdminAddr": se.AdminAddr,
 		"PeersAddr": se.PeersAddr, "KVAddr": se.KVAddr,
 	} {
-		ch.addr(key, value)
+		ch.checkAddr(key, value)
 	}
 	if se.MetricsAddr != "" {
-		ch.addr("MetricsAddr", se.MetricsAddr)
+		ch.checkAddr("MetricsAddr", se.MetricsAddr)
 	}
 	for key, value := range map[string]float64{
 		"CapFactor": se.CapFactor, "ColdOverrun": se.ColdOverrun, "ColdSlack": se.ColdSlack, "EvacuateMs": float64(se.EvacuateMs),
@@ -74,10 +74,10 @@
 		"DrainTimeout": float64(se.DrainTimeout), "ReturnDelay": float64(se.ReturnDelay), "MemoryMB": float64(se.MemoryMB),
 	} {
 		if value < 0 {
-			ch.add(ch.keys[key], "%s must not be negative", key)
+			ch.addProblem(ch.keys[key], "%s must not be negative", key)
 		}
 	}
-	ch.level(se.LogLevel)
+	ch.checkLevel(se.LogLevel)
 	if len(ch.problems) > 0 {
 		return nil, ch.problems
 	}
--- a/io/conf/strict.go
+++ b/io/conf/strict.go
@@ -16,14 +16,14 @@
 // Error lists the problems, a line each.
 func (pr Problems) Error() string { return strings.Join(pr, "\n") }
 
-// Strict decodes YAML into out. Unknown keys, values of the wrong type or unit
+// DecodeStrict decodes YAML into out. Unknown keys, values of the wrong type or unit
 // and further documents are errors; all are reported, as Problems.
-func Strict(file string, data []byte, out any) error {
+func DecodeStrict(file string, data []byte, out any) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
 	err := dec.Decode(out)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return inFile(file, err)
+		return fileProblems(file, err)
 	}
 	var more yaml.Node
 	if err == nil && !errors.Is(dec.Decode(&more), io.EOF) {
@@ -32,15 +32,15 @@
 	return nil
 }
 
-// inFile rewrites the library's errors as "file:line: what is wrong".
-func inFile(file string, err error) error {
+// fileProblems rewrites the library's errors as "file:line: what is wrong".
+func fileProblems(file string, err error) error {
 	var types *yaml.TypeError
 	if !errors.As(err, &types) {
 		return Problems{withLine(file, strings.TrimPrefix(err.Error(), "yaml: "))}
 	}
 	var pr Problems
 	for _, text := range types.Errors {
-		pr = append(pr, withLine(file, explain(text)))
+		pr = append(pr, withLine(file, explainTypeError(text)))
 	}
 	return pr
 }
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("%s:1: %s", file, text)
 }
 
-// explain says what was expected where the library names a Go type.
-func explain(text string) string {
+// explainTypeError says what was expected where the library names a Go type.
+func explainTypeError(text string) string {
 	text = strings.ReplaceAll(text, "into time.Duration", "as a duration with a unit, such as 250ms or 10s")
 	if at := strings.Index(text, " in type "); at >= 0 {
 		text = strings.Replace(text[:at], "field ", "unknown key ", 1)
@@ -65,9 +65,9 @@
 	return text
 }
 
-// Lines finds the line of the object in a sequence under a top-level key, by its
+// ObjectLines finds the line of the object in a sequence under a top-level key, by its
 // Name: Lines(data)["Pools/chat"] is the line of pool chat.
-func Lines(data []byte) map[string]int {
+func ObjectLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	var root yaml.Node
 	if yaml.Unmarshal(data, &root) != nil || len(root.Content) == 0 {
@@ -76,13 +76,13 @@
 	top := root.Content[0]
 	for ix := 0; ix+1 < len(top.Content); ix += 2 {
 		for _, item := range top.Content[ix+1].Content {
-			noteLines(lines, top.Content[ix].Value, item)
+			addObjectLines(lines, top.Content[ix].Value, item)
 		}
 	}
 	return lines
 }
 
-func noteLines(lines map[string]int, section string, item *yaml.Node) {
+func addObjectLines(lines map[string]int, section string, item *yaml.Node) {
 	name := ""
 	for ix := 0; ix+1 < len(item.Content); ix += 2 {
 		if item.Content[ix].Value == "Name" {
