--- a/cmd/almondrill/relay.go
+++ b/cmd/almondrill/relay.go
@@ -69,11 +69,11 @@
 		return failure(err)
 	}
 	set := stats.New()
-	ring := logs.NewRing(os.Stdout)
+	ring := logs.NewAsyncWriter(os.Stdout)
 	defer ring.Close(logTimeout)
 	pr := &entry.Process{
 		Settings: se, Platform: &platform.Platform{Store: platform.Store{Addr: se.KVAddr}},
-		Logs:    logs.JSON(ring, level, func() { set.Add(stats.LogLinesSampled, 1) }).With(zap.String("VM", string(se.Name))),
+		Logs:    logs.NewJSON(ring, level, func() { set.Add(stats.LogLinesSampled, 1) }).With(zap.String("VM", string(se.Name))),
 		Dropped: ring.Dropped, Reload: rc.read, Stats: set,
 	}
 	if err = pr.Run(ctx); err != nil {
--- a/io/demo/demo_test.go
+++ b/io/demo/demo_test.go
@@ -12,7 +12,7 @@
 
 func startFleet(t *testing.T) *demo.Fleet {
 	t.Helper()
-	fl := &demo.Fleet{Logs: logs.Quiet(), Routers: 2, Engines: 3, Services: 2}
+	fl := &demo.Fleet{Logs: logs.Discard(), Routers: 2, Engines: 3, Services: 2}
 	if err := fl.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/io/demo/hop_test.go
+++ b/io/demo/hop_test.go
@@ -45,7 +45,7 @@
 
 func hopFleet(b *testing.B, every time.Duration) *demo.Fleet {
 	b.Helper()
-	fl := &demo.Fleet{Logs: logs.Quiet(), Routers: 1, Engines: 1, Services: 1, TokenEvery: every, Slots: 512}
+	fl := &demo.Fleet{Logs: logs.Discard(), Routers: 1, Engines: 1, Services: 1, TokenEvery: every, Slots: 512}
 	if err := fl.Start(context.Background()); err != nil {
 		b.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 func BenchmarkAdded(b *testing.B) {
 	for _, rate := range []float64{250, 500, 1000} {
 		b.Run(fmt.Sprint("rate=", rate), func(b *testing.B) {
-			fl := &demo.Fleet{Logs: logs.Quiet(), Routers: 1, Engines: 1, Services: 1, TokenEvery: 2 * time.Millisecond, Slots: 512}
+			fl := &demo.Fleet{Logs: logs.Discard(), Routers: 1, Engines: 1, Services: 1, TokenEvery: 2 * time.Millisecond, Slots: 512}
 			if err := fl.Start(context.Background()); err != nil {
 				b.Fatal(err)
 			}
@@ -198,7 +198,7 @@
 	for _, agents := range []int{8, 16, 32} {
 		b.Run(fmt.Sprint("processes=", agents+agents/4+1), func(b *testing.B) {
 			before := memoryInUse()
-			fl := &demo.Fleet{Logs: logs.Quiet(), Routers: agents / 4, Engines: agents, Services: 1}
+			fl := &demo.Fleet{Logs: logs.Discard(), Routers: agents / 4, Engines: agents, Services: 1}
 			if err := fl.Start(context.Background()); err != nil {
 				b.Fatal(err)
 			}
--- a/io/demo/path_test.go
+++ b/io/demo/path_test.go
@@ -164,7 +164,7 @@
 // A router starts while the KV cannot be reached and no peer is known. It says so
 // on /readyz and refuses requests as not run.
 func TestStartWithoutKVRefusesClearly(t *testing.T) {
-	pr := &node.Process{Role: core.RoleRouter, Logs: logs.Quiet(), Settings: &conf.Settings{
+	pr := &node.Process{Role: core.RoleRouter, Logs: logs.Discard(), Settings: &conf.Settings{
 		Name: "alone", Zone: "a", Region: "north", PeersAddr: "127.0.0.1:0", CallersAddr: "127.0.0.1:0", AdminAddr: "127.0.0.1:0",
 		KVAddr: "127.0.0.1:1", VMsAddr: "127.0.0.1:1", DrainDelay: time.Millisecond,
 	}}
--- a/io/deny/kvstore.go
+++ b/io/deny/kvstore.go
@@ -61,7 +61,7 @@
 	for _, en := range entries {
 		qu, err := crash.DecodeEntry(strings.TrimPrefix(en.Key, kvPrefix), en.Value, en.Version)
 		if err != nil {
-			log.Warn("An entry of a quarantine makes no sense.", append(logs.Fields(err), zap.String("Key", en.Key))...)
+			log.Warn("An entry of a quarantine makes no sense.", append(logs.ErrorFields(err), zap.String("Key", en.Key))...)
 			continue
 		}
 		all[qu.Request] = qu
@@ -81,7 +81,7 @@
 			tr.applyListing(known, now)
 			known = now
 		case ctx.Err() == nil:
-			tr.Log.Info("Listing quarantines failed.", logs.Fields(err)...)
+			tr.Log.Info("Listing quarantines failed.", logs.ErrorFields(err)...)
 		}
 		pause := max(minListInterval, time.Duration(routers())*time.Second/fleetListsPerSecond)
 		if clock.Sleep(ctx, pause) != nil {
--- a/io/deny/ledger.go
+++ b/io/deny/ledger.go
@@ -167,7 +167,7 @@
 		return err // another router has written it, and the store tells so
 	}
 	if err != nil {
-		tr.Log.Warn("Writing a quarantine failed.", append(logs.Fields(err), zap.Stringer("Fingerprint", en.Request))...)
+		tr.Log.Warn("Writing a quarantine failed.", append(logs.ErrorFields(err), zap.Stringer("Fingerprint", en.Request))...)
 		return err
 	}
 	en.Rev = rev
@@ -248,7 +248,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	if err := tr.Store.DeleteQuarantine(ctx, en); err != nil && !errors.Is(err, core.ErrConflict) {
-		tr.Log.Warn("Removing a quarantine failed.", append(logs.Fields(err), zap.Stringer("Fingerprint", en.Request))...)
+		tr.Log.Warn("Removing a quarantine failed.", append(logs.ErrorFields(err), zap.Stringer("Fingerprint", en.Request))...)
 	}
 }
 
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -142,7 +142,7 @@
 	} {
 		go func() {
 			if err := loop(control); err != nil && control.Err() == nil {
-				pr.log.Error("A part of the process ended.", logs.Fields(err)...)
+				pr.log.Error("A part of the process ended.", logs.ErrorFields(err)...)
 			}
 		}()
 	}
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	pr.Logs.TakeKratos()
+	pr.Logs.InstallKratos()
 	app := kratos.New(
 		kratos.Name("almondrill-relay"),
 		kratos.ID(string(pr.Settings.Name)),
@@ -108,7 +108,7 @@
 func (pr *Process) metrics() []transport.Server {
 	li, err := listen("MetricsAddr", pr.Settings.MetricsAddr)
 	if err != nil {
-		pr.log.Warn("Serves no metrics.", logs.Fields(err)...)
+		pr.log.Warn("Serves no metrics.", logs.ErrorFields(err)...)
 		return nil
 	}
 	mux := http.NewServeMux()
--- a/io/entry/view_test.go
+++ b/io/entry/view_test.go
@@ -63,7 +63,7 @@
 }
 
 func process(pf entry.Platform) *entry.Process {
-	pr := &entry.Process{Settings: &conf.RelaySettings{PeersAddr: "127.0.0.1:1"}, Platform: pf, Logs: logs.Quiet()}
+	pr := &entry.Process{Settings: &conf.RelaySettings{PeersAddr: "127.0.0.1:1"}, Platform: pf, Logs: logs.Discard()}
 	pr.Settings.Defaults()
 	pr.Build()
 	return pr
--- a/io/logs/logs.go
+++ b/io/logs/logs.go
@@ -25,14 +25,14 @@
 // New writes to out what is at or above the level: debug, info, warn or error.
 // An unknown level counts as info.
 func New(out io.Writer, level string) *Logs {
-	at, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
-		at = zapcore.InfoLevel
+		minLevel = zapcore.InfoLevel
 	}
 	format := zap.NewProductionEncoderConfig()
 	format.EncodeTime = zapcore.ISO8601TimeEncoder
 	format.EncodeLevel = zapcore.CapitalLevelEncoder
-	return &Logs{core: zapcore.NewCore(zapcore.NewConsoleEncoder(format), zapcore.AddSync(out), at)}
+	return &Logs{core: zapcore.NewCore(zapcore.NewConsoleEncoder(format), zapcore.AddSync(out), minLevel)}
 }
 
 // Part is the logger of one part; every line starts with its name.
@@ -41,19 +41,19 @@
 // With adds fields to every line.
 func (lo *Logs) With(fields ...zap.Field) *Logs { return &Logs{core: lo.core.With(fields)} }
 
-// Quiet drops everything.
-func Quiet() *Logs { return &Logs{core: zapcore.NewNopCore()} }
+// Discard drops everything.
+func Discard() *Logs { return &Logs{core: zapcore.NewNopCore()} }
 
-// global guards kratos' logger, of which there is one per program: where several
+// kratosOnce guards kratos' logger, of which there is one per program: where several
 // processes live in one, the first gets its lines.
-var global sync.Once
+var kratosOnce sync.Once
 
-// TakeKratos makes these the logs of kratos' own lines, unless others are already.
-func (lo *Logs) TakeKratos() { global.Do(func() { kratoslog.SetLogger(lo.Kratos()) }) }
+// InstallKratos makes these the logs of kratos' own lines, unless others are already.
+func (lo *Logs) InstallKratos() { kratosOnce.Do(func() { kratoslog.SetLogger(lo.KratosLogger()) }) }
 
-// Kratos passes kratos' own lines on as part "kratos", at debug level: they
+// KratosLogger passes kratos' own lines on as part "kratos", at debug level: they
 // repeat what the parts tell.
-func (lo *Logs) Kratos() kratoslog.Logger { return kratosLogger{lo.Part("kratos").Sugar()} }
+func (lo *Logs) KratosLogger() kratoslog.Logger { return kratosLogger{lo.Part("kratos").Sugar()} }
 
 type kratosLogger struct{ sugar *zap.SugaredLogger }
 
@@ -67,10 +67,10 @@
 	return nil
 }
 
-// Fields are an error's message with the step and the peer at which it arose,
+// ErrorFields are an error's message with the step and the peer at which it arose,
 // which its message alone does not tell. The library's own field would add a stack
 // of many lines.
-func Fields(err error) []zap.Field {
+func ErrorFields(err error) []zap.Field {
 	fields := []zap.Field{zap.String("Error", err.Error())}
 	var oo oops.OopsError
 	if errors.As(err, &oo) {
--- a/io/logs/ring.go
+++ b/io/logs/ring.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Ring takes lines and writes them in the background. A line that finds it full
+// AsyncWriter takes lines and writes them in the background. A line that finds it full
 // is dropped and counted: whoever logs never waits for a slow reader.
-type Ring struct {
+type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
@@ -20,65 +20,65 @@
 }
 
 const (
-	// ringLines bounds the lines that wait, some 300 bytes each.
-	ringLines = 1024
-	// ringBatch is how many bytes are written at a time: a write costs more than
+	// maxQueuedLines bounds the lines that wait, some 300 bytes each.
+	maxQueuedLines = 1024
+	// maxBatchBytes is how many bytes are written at a time: a write costs more than
 	// the bytes in it.
-	ringBatch = 16 << 10
+	maxBatchBytes = 16 << 10
 )
 
-// NewRing starts writing to out.
-func NewRing(out io.Writer) *Ring {
-	ri := &Ring{out: out, lines: make(chan []byte, ringLines), quit: make(chan struct{}), flushed: make(chan struct{})}
-	go ri.drain()
-	return ri
+// NewAsyncWriter starts writing to out.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	aw := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), flushed: make(chan struct{})}
+	go aw.run()
+	return aw
 }
 
 // Write takes one line.
-func (ri *Ring) Write(line []byte) (int, error) {
+func (aw *AsyncWriter) Write(line []byte) (int, error) {
 	select {
-	case ri.lines <- append([]byte(nil), line...):
+	case aw.lines <- append([]byte(nil), line...):
 	default:
-		ri.dropped.Add(1)
+		aw.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Dropped is how many lines were dropped.
-func (ri *Ring) Dropped() int64 { return ri.dropped.Load() }
+func (aw *AsyncWriter) Dropped() int64 { return aw.dropped.Load() }
 
 // Close writes what waits, but for no longer than the time given. Later lines are
 // dropped.
-func (ri *Ring) Close(most time.Duration) {
-	close(ri.quit)
+func (aw *AsyncWriter) Close(timeout time.Duration) {
+	close(aw.quit)
 	select {
-	case <-ri.flushed:
-	case <-time.After(most):
+	case <-aw.flushed:
+	case <-time.After(timeout):
 	}
 }
 
-func (ri *Ring) drain() {
-	defer close(ri.flushed)
+func (aw *AsyncWriter) run() {
+	defer close(aw.flushed)
 	for {
 		select {
-		case line := <-ri.lines:
-			ri.writeFrom(line)
-		case <-ri.quit:
-			ri.writeFrom(nil)
+		case line := <-aw.lines:
+			aw.writeQueued(line)
+		case <-aw.quit:
+			aw.writeQueued(nil)
 			return
 		}
 	}
 }
 
-// writeFrom writes a line and those that wait behind it.
-func (ri *Ring) writeFrom(line []byte) {
+// writeQueued writes a line and those that wait behind it.
+func (aw *AsyncWriter) writeQueued(line []byte) {
 	for {
 		batch := line
-		for len(batch) < ringBatch && len(ri.lines) > 0 {
-			batch = append(batch, <-ri.lines...)
+		for len(batch) < maxBatchBytes && len(aw.lines) > 0 {
+			batch = append(batch, <-aw.lines...)
 		}
-		_, _ = ri.out.Write(batch) // where the output is gone, there is no place left to say so
-		if len(ri.lines) == 0 {
+		_, _ = aw.out.Write(batch) // where the output is gone, there is no place left to say so
+		if len(aw.lines) == 0 {
 			return
 		}
 		line = nil
@@ -93,9 +93,9 @@
 	sampleEvery = 20
 )
 
-// JSON writes structured lines, bounded per message and second. sampled is called
+// NewJSON writes structured lines, bounded per message and second. sampled is called
 // for each line that is left out.
-func JSON(out io.Writer, level zapcore.LevelEnabler, sampled func()) *Logs {
+func NewJSON(out io.Writer, level zapcore.LevelEnabler, sampled func()) *Logs {
 	format := zap.NewProductionEncoderConfig()
 	format.TimeKey = "Time"
 	format.LevelKey = "Level"
--- a/io/logs/ring_test.go
+++ b/io/logs/ring_test.go
@@ -13,15 +13,15 @@
 	"almondrill/io/logs"
 )
 
-// slow is an output whose reader has stopped.
-type slow struct {
-	mu   sync.Mutex // guards out
-	out  bytes.Buffer
-	stop chan struct{}
+// blockedWriter is an output whose reader has stopped.
+type blockedWriter struct {
+	mu      sync.Mutex // guards out
+	out     bytes.Buffer
+	release chan struct{}
 }
 
-func (sl *slow) Write(data []byte) (int, error) {
-	<-sl.stop
+func (sl *blockedWriter) Write(data []byte) (int, error) {
+	<-sl.release
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
 	return sl.out.Write(data)
@@ -29,24 +29,24 @@
 
 // Whoever reads standard output stops reading. Requests are served all the same, and
 // what was dropped is counted.
-func TestStoppedReaderDelaysNobody(t *testing.T) {
-	out := &slow{stop: make(chan struct{})}
-	ring := logs.NewRing(out)
+func TestBlockedOutputDelaysNobody(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
+	writer := logs.NewAsyncWriter(out)
 	sampled := 0
-	lo := logs.JSON(ring, zapcore.InfoLevel, func() { sampled++ }).With(zap.String("VM", "one")).Part("relay")
+	lo := logs.NewJSON(writer, zapcore.InfoLevel, func() { sampled++ }).With(zap.String("VM", "one")).Part("relay")
 	began := time.Now()
 	for ix := range 5000 {
 		lo.Warn("Refused.", zap.Int("Number", ix))
-		_, _ = ring.Write([]byte("{}\n"))
+		_, _ = writer.Write([]byte("{}\n"))
 	}
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("5,000 lines took %s", took)
 	}
-	if ring.Dropped() == 0 || sampled == 0 {
-		t.Errorf("%d dropped, %d left out; want both", ring.Dropped(), sampled)
+	if writer.Dropped() == 0 || sampled == 0 {
+		t.Errorf("%d dropped, %d left out; want both", writer.Dropped(), sampled)
 	}
-	close(out.stop)
-	ring.Close(time.Second)
+	close(out.release)
+	writer.Close(time.Second)
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	first, _, _ := strings.Cut(out.out.String(), "\n")
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -252,7 +252,7 @@
 }
 
 func (pr *Process) logFailure(message string) func(err error) {
-	return func(err error) { pr.logger.Warn(message, logs.Fields(err)...) }
+	return func(err error) { pr.logger.Warn(message, logs.ErrorFields(err)...) }
 }
 
 // digest tells the own state.
@@ -320,7 +320,7 @@
 	if pr.Signals {
 		signals = []os.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGQUIT}
 	}
-	pr.Logs.TakeKratos()
+	pr.Logs.InstallKratos()
 	pr.app = kratos.New(
 		kratos.Name("almondrill-"+string(pr.Role)),
 		kratos.ID(string(pr.Settings.Name)),
--- a/io/watch/reader.go
+++ b/io/watch/reader.go
@@ -251,7 +251,7 @@
 		}
 		rd.noteFailure()
 		if !disconnected {
-			rd.Log.Warn("Lost the store.", append(logs.Fields(err),
+			rd.Log.Warn("Lost the store.", append(logs.ErrorFields(err),
 				zap.Duration("Age", rd.Age()), zap.Stringer("AsOf", rd.Mirror.AsOf()))...)
 			disconnected = true
 		}
