--- a/cmd/almondrill/explain.go
+++ b/cmd/almondrill/explain.go
@@ -11,7 +11,7 @@
 
 	"github.com/google/subcommands"
 
-	"almondrill/io/story"
+	"almondrill/io/trace"
 )
 
 // explainCommand tells from logs what happened.
@@ -51,7 +51,7 @@
 	if err != nil {
 		return failure(err)
 	}
-	lines, skipped, err := story.Read(rd)
+	lines, skipped, err := trace.Read(rd)
 	if err != nil {
 		return failure(err)
 	}
@@ -73,12 +73,12 @@
 }
 
 // teller is what picks the lines, with what they are about; nil with what is wrong.
-func (ec *explainCommand) teller() (func([]story.Line) []story.Line, string) {
+func (ec *explainCommand) teller() (func([]trace.Line) []trace.Line, string) {
 	switch {
 	case ec.request != "" && ec.endpoint == "" && ec.from == "":
-		return func(lines []story.Line) []story.Line { return story.Request(lines, ec.request) }, "request " + ec.request
+		return func(lines []trace.Line) []trace.Line { return trace.ForRequest(lines, ec.request) }, "request " + ec.request
 	case ec.endpoint != "" && ec.request == "" && ec.from == "":
-		return func(lines []story.Line) []story.Line { return story.Endpoint(lines, ec.endpoint) }, "endpoint " + ec.endpoint
+		return func(lines []trace.Line) []trace.Line { return trace.ForEndpoint(lines, ec.endpoint) }, "endpoint " + ec.endpoint
 	case ec.from != "" && ec.request == "" && ec.endpoint == "":
 		from, err := time.Parse(time.RFC3339, ec.from)
 		if err != nil {
@@ -88,7 +88,7 @@
 		if err != nil {
 			return nil, "-to is not a time such as 2026-01-31T15:04:05Z: " + ec.to
 		}
-		return func(lines []story.Line) []story.Line { return story.Span(lines, from, to) }, "that span"
+		return func(lines []trace.Line) []trace.Line { return trace.Between(lines, from, to) }, "that span"
 	}
 	return nil, "one of -request, -endpoint, or -from and -to is needed"
 }
@@ -109,7 +109,7 @@
 	return io.MultiReader(all...), nil
 }
 
-func (ec *explainCommand) print(li story.Line) error {
+func (ec *explainCommand) print(li trace.Line) error {
 	if !ec.asJSON {
 		_, err := fmt.Println(li)
 		return err
--- a/io/story/story.go
+++ b/io/trace/story.go
@@ -1,4 +1,4 @@
-// Package story reads the logs of routers and tells what happened to a request, to
+// Package trace reads the logs of routers and tells what happened to a request, to
 // an endpoint, or in a span of time.
 //
 // # Concepts
@@ -12,7 +12,7 @@
 //
 //	lines, stats, err := story.Read(reader)
 //	for _, li := range story.Request(lines, "9c41d07be2a35f68") { fmt.Println(li) }
-package story
+package trace
 
 import (
 	"bufio"
@@ -46,11 +46,11 @@
 	NoLog int
 }
 
-// longest bounds a line.
-const longest = 1 << 20
+// maxLineBytes bounds a line.
+const maxLineBytes = 1 << 20
 
-// own are the fields that Line has by name.
-var own = []string{"Time", "Level", "Part", "VM", "Message", "Request", "Endpoint", "Peer"}
+// namedFields are the fields that Line has by name.
+var namedFields = []string{"Time", "Level", "Part", "VM", "Message", "Request", "Endpoint", "Peer"}
 
 // Read reads lines; what stands before a line's opening brace is ignored, so that
 // logs which a collector has prefixed can be read too.
@@ -58,7 +58,7 @@
 	var lines []Line
 	var sk Skipped
 	scan := bufio.NewScanner(rd)
-	scan.Buffer(nil, longest)
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		li, ok := parse(scan.Bytes())
 		if !ok {
@@ -83,54 +83,54 @@
 	if json.Unmarshal(data[at:], &li.Fields) != nil {
 		return Line{}, false
 	}
-	text := func(name string) string {
+	stringField := func(name string) string {
 		value, _ := li.Fields[name].(string)
 		return value
 	}
-	when, err := time.Parse(logTime, text("Time"))
-	if err != nil || text("Message") == "" {
+	when, err := time.Parse(timeLayout, stringField("Time"))
+	if err != nil || stringField("Message") == "" {
 		return Line{}, false
 	}
-	li.Time, li.Level, li.Part, li.VM = when, text("Level"), text("Part"), text("VM")
-	li.Message, li.Request, li.Endpoint, li.Peer = text("Message"), text("Request"), text("Endpoint"), text("Peer")
-	for _, name := range own {
+	li.Time, li.Level, li.Part, li.VM = when, stringField("Level"), stringField("Part"), stringField("VM")
+	li.Message, li.Request, li.Endpoint, li.Peer = stringField("Message"), stringField("Request"), stringField("Endpoint"), stringField("Peer")
+	for _, name := range namedFields {
 		delete(li.Fields, name)
 	}
 	return li, true
 }
 
-// logTime is how the logs write times.
-const logTime = "2006-01-02T15:04:05.000Z0700"
+// timeLayout is how the logs write times.
+const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
-// Request is the story of a request: its lines, and before them what its VM had last
+// ForRequest is the story of a request: its lines, and before them what its VM had last
 // learned of the configuration and of the endpoints that its lines name, and what any router
 // found out about it: which endpoints crashed while they ran it, under this id or another.
-func Request(lines []Line, id string) []Line {
+func ForRequest(lines []Line, id string) []Line {
 	var found []Line
 	endpoints := map[string]bool{}
 	vms := map[string]bool{}
-	prints := map[string]bool{}
+	fingerprints := map[string]bool{}
 	for _, li := range lines {
 		if li.Request == id {
 			found = append(found, li)
 			endpoints[li.Endpoint], endpoints[li.Peer] = true, true
 			vms[li.VM] = true
-			prints[li.text("Fingerprint")] = true
+			fingerprints[li.stringField("Fingerprint")] = true
 		}
 	}
 	if len(found) == 0 {
 		return nil
 	}
 	delete(endpoints, "")
-	delete(prints, "")
-	before := lastBelief(lines, found[0].Time, vms, endpoints)
-	before = append(before, blamed(lines, prints)...)
+	delete(fingerprints, "")
+	before := viewBefore(lines, found[0].Time, vms, endpoints)
+	before = append(before, crashLines(lines, fingerprints)...)
 	slices.SortStableFunc(before, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	return append(before, found...)
 }
 
-// blamed are the lines about requests of these fingerprints as such, whichever attempt.
-func blamed(lines []Line, prints map[string]bool) []Line {
+// crashLines are the lines about requests of these fingerprints as such, whichever attempt.
+func crashLines(lines []Line, fingerprints map[string]bool) []Line {
 	var out []Line
 	for _, li := range lines {
 		if li.Request != "" {
@@ -139,23 +139,23 @@
 		ran, _ := li.Fields["Ran"].([]any)
 		named := slices.ContainsFunc(ran, func(one any) bool {
 			fp, _ := one.(string)
-			return prints[fp]
+			return fingerprints[fp]
 		})
-		if named || prints[li.text("Fingerprint")] {
+		if named || fingerprints[li.stringField("Fingerprint")] {
 			out = append(out, li)
 		}
 	}
 	return out
 }
 
-func (li *Line) text(field string) string {
+func (li *Line) stringField(field string) string {
 	value, _ := li.Fields[field].(string)
 	return value
 }
 
-// lastBelief finds the last lines before a time, by VM, that changed what it believed
+// viewBefore finds the last lines before a time, by VM, that changed what it believed
 // of the configuration, of the store and of the endpoints.
-func lastBelief(lines []Line, until time.Time, vms, endpoints map[string]bool) []Line {
+func viewBefore(lines []Line, until time.Time, vms, endpoints map[string]bool) []Line {
 	last := map[string]Line{}
 	for _, li := range lines {
 		if li.Time.After(until) {
@@ -183,22 +183,22 @@
 	return out
 }
 
-// Endpoint is the story of an endpoint: what was learned of it, and each request that
+// ForEndpoint is the story of an endpoint: what was learned of it, and each request that
 // did not end well there.
-func Endpoint(lines []Line, id string) []Line {
+func ForEndpoint(lines []Line, id string) []Line {
 	return slices.DeleteFunc(slices.Clone(lines), func(li Line) bool {
 		concerned := li.Endpoint == id || li.Peer == id
-		return !concerned || li.Request != "" && li.Message == served
+		return !concerned || li.Request != "" && li.Message == servedMessage
 	})
 }
 
-// served is the message of requests that ended well.
-const served = "Served."
+// servedMessage is the message of requests that ended well.
+const servedMessage = "Served."
 
-// Span is what happened from one time to another, but for requests that ended well.
-func Span(lines []Line, from, to time.Time) []Line {
+// Between is what happened from one time to another, but for requests that ended well.
+func Between(lines []Line, from, to time.Time) []Line {
 	return slices.DeleteFunc(slices.Clone(lines), func(li Line) bool {
-		return li.Time.Before(from) || li.Time.After(to) || li.Message == served
+		return li.Time.Before(from) || li.Time.After(to) || li.Message == servedMessage
 	})
 }
 
--- a/io/story/story_test.go
+++ b/io/trace/story_test.go
@@ -1,11 +1,11 @@
-package story_test
+package trace_test
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"almondrill/io/story"
+	"almondrill/io/trace"
 )
 
 // Logs of two routers, as a collector joined them: prefixed, out of order, with a line
@@ -21,9 +21,9 @@
 x {"Level":"INFO","Time":"2026-01-31T15:04:05.600Z","Part":"relay","Message":"Served.","VM":"one","Request":"def","Endpoint":"e1"}
 `
 
-func read(t *testing.T) []story.Line {
+func readLogs(t *testing.T) []trace.Line {
 	t.Helper()
-	lines, skipped, err := story.Read(strings.NewReader(logs))
+	lines, skipped, err := trace.Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	return lines
 }
 
-func messages(lines []story.Line) string {
+func messages(lines []trace.Line) string {
 	var out []string
 	for _, li := range lines {
 		out = append(out, li.VM+" "+li.Message)
@@ -43,8 +43,8 @@
 
 // A user complains about a request. Its story holds what its router believed then, not
 // what it or another one learned later.
-func TestStoryOfARequest(t *testing.T) {
-	found := story.Request(read(t), "abc")
+func TestTraceOfARequest(t *testing.T) {
+	found := trace.ForRequest(readLogs(t), "abc")
 	want := "one Adopted a configuration.; one Endpoint.; one Lost the store.; one Refused."
 	if got := messages(found); got != want {
 		t.Fatalf("got  %s\nwant %s", got, want)
@@ -55,18 +55,18 @@
 	if text := found[3].String(); !strings.Contains(text, "Reason=CutShort") || !strings.Contains(text, "Peer=e1") {
 		t.Errorf("the line for people lacks the cause: %s", text)
 	}
-	if story.Request(read(t), "unknown") != nil {
+	if trace.ForRequest(readLogs(t), "unknown") != nil {
 		t.Error("a story of a request that is not there")
 	}
 }
 
-func TestStoryOfAnEndpointAndOfASpan(t *testing.T) {
-	lines := read(t)
-	if got := messages(story.Endpoint(lines, "e1")); got != "one Endpoint.; two Endpoint.; one Refused." {
+func TestTraceOfAnEndpointAndOfAnInterval(t *testing.T) {
+	lines := readLogs(t)
+	if got := messages(trace.ForEndpoint(lines, "e1")); got != "one Endpoint.; two Endpoint.; one Refused." {
 		t.Errorf("endpoint: %s", got)
 	}
 	from := time.Date(2026, 1, 31, 15, 4, 5, 140e6, time.UTC)
-	if got := messages(story.Span(lines, from, from.Add(100*time.Millisecond))); got != "two Endpoint.; one Lost the store." {
+	if got := messages(trace.Between(lines, from, from.Add(100*time.Millisecond))); got != "two Endpoint.; one Lost the store." {
 		t.Errorf("span: %s", got)
 	}
 }
@@ -74,8 +74,8 @@
 func FuzzRead(f *testing.F) {
 	f.Add(logs)
 	f.Fuzz(func(t *testing.T, text string) {
-		lines, _, _ := story.Read(strings.NewReader(text))
-		for _, li := range story.Request(lines, "abc") {
+		lines, _, _ := trace.Read(strings.NewReader(text))
+		for _, li := range trace.ForRequest(lines, "abc") {
 			_ = li.String()
 		}
 	})
