--- a/cmd/almondrill/processes_test.go
+++ b/cmd/almondrill/processes_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 	"almondrill/io/stand/local"
 )
 
@@ -127,10 +127,10 @@
 		_, err := fl.run(append(append([]string{"apply", "-planned", "0", "-source", "abc"}, operator...), file)...)
 		return err == nil
 	})
-	cl := &caller.Client{Key: "key"}
-	ask := func(addr string, tokens int) *caller.Result {
-		return cl.Chat(context.Background(), addr, &caller.Chat{
-			Model: "demo-model", Stream: true, MaxTokens: tokens, Messages: []caller.Message{{Role: "user", Content: "hi"}},
+	cl := &client.Client{Key: "key"}
+	ask := func(addr string, tokens int) *client.Result {
+		return cl.Chat(context.Background(), addr, &client.Chat{
+			Model: "demo-model", Stream: true, MaxTokens: tokens, Messages: []client.Message{{Role: "user", Content: "hi"}},
 		})
 	}
 	for _, addr := range []string{first, second} {
@@ -141,7 +141,7 @@
 		return err == nil && strings.Contains(out, "0 of 3 processes are behind")
 	})
 
-	answer := make(chan *caller.Result, 1)
+	answer := make(chan *client.Result, 1)
 	go func() { answer <- ask(first, 60) }()
 	time.Sleep(300 * time.Millisecond)
 	_ = leaving.Process.Signal(syscall.SIGTERM)
--- a/io/caller/caller.go
+++ b/io/client/caller.go
@@ -1,4 +1,4 @@
-// Package caller is a client of almondrill's callers' side, for the demo, the
+// Package client is a client of almondrill's callers' side, for the demo, the
 // load generator and tests.
 //
 // # Concepts
@@ -11,7 +11,7 @@
 //
 //	cl := &caller.Client{Key: "secret"}
 //	rs := cl.Chat(ctx, "127.0.0.1:8080", &caller.Chat{Model: "m", Messages: msgs})
-package caller
+package client
 
 import (
 	"bytes"
@@ -129,7 +129,7 @@
 		rs.readStream(got.Body, start)
 		return rs
 	}
-	rs.readWhole(got.Body, start)
+	rs.readBody(got.Body, start)
 	return rs
 }
 
@@ -138,8 +138,8 @@
 	Reason  core.Reason
 }
 
-// refuse takes in a refusal's body; it reports whether data is one.
-func (rs *Result) refuse(data []byte) bool {
+// parseRefusal takes in a refusal's body; it reports whether data is one.
+func (rs *Result) parseRefusal(data []byte) bool {
 	var re refusal
 	if json.Unmarshal(data, &re) != nil || re.Outcome == "" {
 		return false
@@ -153,7 +153,7 @@
 	return true
 }
 
-type completion struct {
+type chatResponse struct {
 	Choices []struct {
 		Delta   Message `json:"delta"`
 		Message Message `json:"message"`
@@ -165,51 +165,51 @@
 	} `json:"usage"`
 }
 
-func (rs *Result) readWhole(body io.Reader, start time.Time) {
+func (rs *Result) readBody(body io.Reader, start time.Time) {
 	data, err := io.ReadAll(body)
 	rs.First = time.Since(start)
 	if err != nil {
 		rs.Err = err
 		return
 	}
-	if rs.refuse(data) {
+	if rs.parseRefusal(data) {
 		return
 	}
 	rs.Outcome = core.Whole
 	rs.Answer = string(data)
-	var co completion
+	var co chatResponse
 	if json.Unmarshal(data, &co) == nil && len(co.Choices) > 0 {
 		rs.Answer = co.Choices[0].Message.Content
 		rs.Cached = co.Usage.Details.Cached
 	}
 }
 
-var errNoEnd = errors.New("the stream ended without its end mark")
+var errTruncated = errors.New("the stream ended without its end mark")
 
 func (rs *Result) readStream(body io.Reader, start time.Time) {
 	var all strings.Builder
 	last := start
-	rs.Err = errNoEnd
+	rs.Err = errTruncated
 	for ev, err := range sse.Read(body, nil) {
 		switch {
 		case err != nil:
 			rs.Err = err
 		case ev.Type == "error":
-			rs.refuse([]byte(ev.Data))
+			rs.parseRefusal([]byte(ev.Data))
 			rs.Err = nil
 		case ev.Data == "[DONE]":
 			rs.Outcome, rs.Err = core.Whole, nil
 		default:
 			now := time.Now()
-			rs.token(ev.Data, &all, now.Sub(start), now.Sub(last))
+			rs.addToken(ev.Data, &all, now.Sub(start), now.Sub(last))
 			last = now
 		}
 	}
 	rs.Answer = all.String()
 }
 
-func (rs *Result) token(data string, all *strings.Builder, since, gap time.Duration) {
-	var co completion
+func (rs *Result) addToken(data string, all *strings.Builder, since, gap time.Duration) {
+	var co chatResponse
 	if json.Unmarshal([]byte(data), &co) != nil {
 		return
 	}
--- a/io/demo/crash_test.go
+++ b/io/demo/crash_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 	"almondrill/io/demo"
 	"almondrill/io/stand/engine"
 )
@@ -23,7 +23,7 @@
 	}
 	turn := chat(true)
 	turn.Messages[0].Content = "crash"
-	cl := &caller.Client{Key: demo.Key}
+	cl := &client.Client{Key: demo.Key}
 	refused := 0
 	for ix := range returns {
 		rs := cl.Chat(context.Background(), fl.RouterAddrs()[ix%2], turn)
--- a/io/demo/demo_test.go
+++ b/io/demo/demo_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"almondrill/core"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 	"almondrill/io/demo"
 	"almondrill/io/logs"
 )
@@ -24,17 +24,17 @@
 	return fl
 }
 
-func chat(stream bool) *caller.Chat {
-	return &caller.Chat{
+func chat(stream bool) *client.Chat {
+	return &client.Chat{
 		Model: demo.Model, Stream: stream, MaxTokens: 5,
-		Messages: []caller.Message{{Role: "user", Content: "hello there"}},
+		Messages: []client.Message{{Role: "user", Content: "hello there"}},
 	}
 }
 
 // A chat, streamed or not, comes back whole through router and agent.
 func TestChatThroughTheWholePath(t *testing.T) {
 	fl := startFleet(t)
-	cl := &caller.Client{Key: demo.Key}
+	cl := &client.Client{Key: demo.Key}
 	for _, stream := range []bool{false, true} {
 		rs := cl.Chat(context.Background(), fl.RouterAddrs()[0], chat(stream))
 		if rs.Outcome != core.Whole || rs.Answer != "hello there w1 w2 w3 w4" {
--- a/io/demo/drive.go
+++ b/io/demo/drive.go
@@ -9,7 +9,7 @@
 
 	"almondrill/core"
 	"almondrill/core/decl"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 	"almondrill/io/clock"
 )
 
@@ -46,7 +46,7 @@
 // driver is the state of one Drive.
 type driver struct {
 	fl     *Fleet
-	client *caller.Client
+	client *client.Client
 	addrs  []string
 
 	mu        sync.Mutex // guards all below
@@ -61,7 +61,7 @@
 	if dr.Parallel == 0 {
 		dr.Parallel = 16
 	}
-	dv := &driver{fl: fl, client: &caller.Client{Key: Key, HTTP: NewHTTP()}, addrs: fl.RouterAddrs()}
+	dv := &driver{fl: fl, client: &client.Client{Key: Key, HTTP: NewHTTP()}, addrs: fl.RouterAddrs()}
 	before, start := fl.controlBytes(), time.Now()
 	stop := make(chan struct{})
 	peak := make(chan float64, 1)
@@ -133,7 +133,7 @@
 // caller does who lost patience. Both must get the answer of one run.
 func (dv *driver) draft(ctx context.Context, name string) {
 	var both sync.WaitGroup
-	results := make([]*caller.Result, 2)
+	results := make([]*client.Result, 2)
 	for ix := range results {
 		both.Go(func() {
 			addr := dv.addrs[ix%len(dv.addrs)]
@@ -148,12 +148,12 @@
 	id       core.ChatID
 	hint     string
 	turns    int
-	messages []caller.Message
+	messages []client.Message
 }
 
 func (dv *driver) turn(ctx context.Context, addr, name string, co *conversation, ra *clock.Rand) {
-	co.messages = append(co.messages, caller.Message{Role: "user", Content: "question of " + name})
-	ch := &caller.Chat{
+	co.messages = append(co.messages, client.Message{Role: "user", Content: "question of " + name})
+	ch := &client.Chat{
 		Model: Model, ID: co.id, Stream: ra.Uint64()%2 == 0, MaxTokens: 8 + int(ra.Uint64()%24), Messages: co.messages,
 	}
 	if ra.Uint64()%2 == 0 {
@@ -164,10 +164,10 @@
 	dv.reuse(co, rs)
 	co.hint = rs.Hint
 	co.turns++
-	co.messages = append(co.messages, caller.Message{Role: "assistant", Content: rs.Answer})
+	co.messages = append(co.messages, client.Message{Role: "assistant", Content: rs.Answer})
 }
 
-func (dv *driver) reuse(co *conversation, rs *caller.Result) {
+func (dv *driver) reuse(co *conversation, rs *client.Result) {
 	if co.turns == 0 {
 		return
 	}
@@ -181,7 +181,7 @@
 
 // note counts one request's end and tells the audit. Where it was sent more than
 // once, it counts as one request, as its worst outcome.
-func (dv *driver) note(nonce string, results ...*caller.Result) {
+func (dv *driver) note(nonce string, results ...*client.Result) {
 	worst := core.Whole
 	for _, rs := range results {
 		switch rs.Outcome {
--- a/io/demo/hop_test.go
+++ b/io/demo/hop_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 	"almondrill/io/demo"
 	"almondrill/io/load"
 	"almondrill/io/logs"
@@ -55,13 +55,13 @@
 
 // streams runs that many streamed chats side by side and returns their tokens.
 func streams(b *testing.B, addr string, count, tokens int) int {
-	cl := &caller.Client{Key: demo.Key, HTTP: demo.NewHTTP()}
+	cl := &client.Client{Key: demo.Key, HTTP: demo.NewHTTP()}
 	var all sync.WaitGroup
 	for n := range count {
 		all.Go(func() {
-			rs := cl.Chat(context.Background(), addr, &caller.Chat{
+			rs := cl.Chat(context.Background(), addr, &client.Chat{
 				Model: demo.Model, Stream: true, MaxTokens: tokens,
-				Messages: []caller.Message{{Role: "user", Content: fmt.Sprint("stream ", n)}},
+				Messages: []client.Message{{Role: "user", Content: fmt.Sprint("stream ", n)}},
 			})
 			if rs.Outcome != core.Whole {
 				b.Errorf("%s %s %v", rs.Outcome, rs.Reason, rs.Err)
--- a/io/demo/leave_test.go
+++ b/io/demo/leave_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"almondrill/core"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 	"almondrill/io/demo"
 	"almondrill/io/stand/engine"
 )
@@ -15,7 +15,7 @@
 // many contexts that engine held and how many the others took in.
 func imports(t *testing.T, fl *demo.Fleet, fa engine.Faults) (held int64, taken int) {
 	t.Helper()
-	cl := &caller.Client{Key: demo.Key}
+	cl := &client.Client{Key: demo.Key}
 	for n := range 30 {
 		ch := chat(true)
 		ch.ID = core.ChatID(fmt.Sprint("chat-", n))
--- a/io/demo/orders_test.go
+++ b/io/demo/orders_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 	"almondrill/io/demo"
 	"almondrill/io/oper"
 	"almondrill/io/opsrpc"
@@ -49,7 +49,7 @@
 }
 
 func chatUntil(t *testing.T, fl *demo.Fleet, stop <-chan struct{}) {
-	cl := &caller.Client{Key: demo.Key}
+	cl := &client.Client{Key: demo.Key}
 	for {
 		select {
 		case <-stop:
--- a/io/demo/path_test.go
+++ b/io/demo/path_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 	"almondrill/io/conf"
 	"almondrill/io/demo"
 	"almondrill/io/load"
@@ -100,7 +100,7 @@
 	for _, en := range fl.Standins {
 		en.SetFaults(engine.Faults{CutAfter: 3})
 	}
-	cl := &caller.Client{Key: demo.Key}
+	cl := &client.Client{Key: demo.Key}
 	rs := cl.Chat(context.Background(), router(fl).CallersAddr(), chat(true))
 	if rs.Outcome != core.Failed || rs.Reason != core.ReasonCutShort || rs.Answer == "" {
 		t.Errorf("stream: %s %s %v %q", rs.Outcome, rs.Reason, rs.Err, rs.Answer)
@@ -116,7 +116,7 @@
 func TestCrossedReplyIsDropped(t *testing.T) {
 	fl := startFleet(t)
 	fl.Standins[0].SetFaults(engine.Faults{Crossed: true})
-	cl := &caller.Client{Key: demo.Key}
+	cl := &client.Client{Key: demo.Key}
 	crossed := int64(0)
 	for n := range 30 {
 		ch := chat(false)
--- a/io/load/load.go
+++ b/io/load/load.go
@@ -28,7 +28,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"almondrill/core"
-	"almondrill/io/caller"
+	"almondrill/io/client"
 )
 
 // Plan says what to send.
@@ -78,7 +78,7 @@
 // run is the state of one Run.
 type run struct {
 	pl     Plan
-	client *caller.Client
+	client *client.Client
 
 	mu                     sync.Mutex // guards all below
 	rep                    Report
@@ -92,7 +92,7 @@
 type chat struct {
 	id       core.ChatID
 	hint     string
-	messages []caller.Message
+	messages []client.Message
 	ready    time.Time
 }
 
@@ -104,7 +104,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: pl.MostOpen, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	ru := &run{
-		pl: pl, client: &caller.Client{Key: pl.Key, HTTP: &http.Client{Transport: transport}},
+		pl: pl, client: &client.Client{Key: pl.Key, HTTP: &http.Client{Transport: transport}},
 		rand:  rand.New(rand.NewPCG(pl.Seed, 1)),
 		first: newHistogram(), between: newHistogram(), answer: newHistogram(),
 		rep: Report{Outcomes: map[string]int{}, Reasons: map[string]int{}},
@@ -163,10 +163,10 @@
 }
 
 func (ru *run) send(ctx context.Context, ch *chat) {
-	ch.messages = append(ch.messages, caller.Message{
+	ch.messages = append(ch.messages, client.Message{
 		Role: "user", Content: fmt.Sprintf("%s asks %d", ch.id, len(ch.messages)),
 	})
-	rq := &caller.Chat{
+	rq := &client.Chat{
 		Model: ru.pl.Model, ID: ch.id, Hint: ch.hint, Stream: ru.draw(ru.pl.Streamed),
 		MaxTokens: ru.pl.MaxTokens, Messages: ch.messages,
 	}
@@ -175,14 +175,14 @@
 	}
 	rs := ru.client.Chat(ctx, ru.pl.Addr, rq)
 	ch.hint = rs.Hint
-	ch.messages = append(ch.messages, caller.Message{Role: "assistant", Content: rs.Answer})
+	ch.messages = append(ch.messages, client.Message{Role: "assistant", Content: rs.Answer})
 	if len(ch.messages) > 2*turnsKept {
 		ch.messages = ch.messages[:0]
 	}
 	ru.note(ch, rs)
 }
 
-func (ru *run) note(ch *chat, rs *caller.Result) {
+func (ru *run) note(ch *chat, rs *client.Result) {
 	think := -math.Log(1-rand.Float64()) * float64(ru.pl.Think)
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
