--- a/io/load/load.go
+++ b/io/load/load.go
@@ -70,13 +70,13 @@
 type Times struct{ P50, P95, P99, Max float64 }
 
 const (
-	turnsKept = 8
-	highest   = int64(10 * time.Minute)
-	digits    = 3
+	maxTurns   = 8
+	maxLatency = int64(10 * time.Minute)
+	digits     = 3
 )
 
-// run is the state of one Run.
-type run struct {
+// generator is the state of one Run.
+type generator struct {
 	pl     Plan
 	client *client.Client
 
@@ -85,15 +85,15 @@
 	first, between, answer *hdrhistogram.Histogram
 	idle                   []*chat
 	rand                   *rand.Rand
-	open                   int
-	chats                  int
+	inFlight               int
+	chatCount              int
 }
 
 type chat struct {
 	id       core.ChatID
 	hint     string
 	messages []client.Message
-	ready    time.Time
+	readyAt  time.Time
 }
 
 // Run sends the plan's requests and waits for their answers.
@@ -103,7 +103,7 @@
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: pl.MostOpen, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	ru := &run{
+	ge := &generator{
 		pl: pl, client: &client.Client{Key: pl.Key, HTTP: &http.Client{Transport: transport}},
 		rand:  rand.New(rand.NewPCG(pl.Seed, 1)),
 		first: newHistogram(), between: newHistogram(), answer: newHistogram(),
@@ -115,103 +115,103 @@
 		if wait := time.Until(next); wait > 0 {
 			time.Sleep(wait)
 		}
-		if ch := ru.take(); ch != nil {
-			all.Go(func() { ru.send(ctx, ch) })
+		if ch := ge.nextChat(); ch != nil {
+			all.Go(func() { ge.send(ctx, ch) })
 		}
-		next = next.Add(ru.gap())
+		next = next.Add(ge.nextInterval())
 	}
 	all.Wait()
-	return ru.report()
+	return ge.report()
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, highest, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, digits) }
 
-// gap draws the time to the next request: arrivals are independent of each other.
-func (ru *run) gap() time.Duration {
-	ru.mu.Lock()
-	defer ru.mu.Unlock()
-	return time.Duration(-math.Log(1-ru.rand.Float64()) / ru.pl.Rate * float64(time.Second))
+// nextInterval draws the time to the next request: arrivals are independent of each other.
+func (ge *generator) nextInterval() time.Duration {
+	ge.mu.Lock()
+	defer ge.mu.Unlock()
+	return time.Duration(-math.Log(1-ge.rand.Float64()) / ge.pl.Rate * float64(time.Second))
 }
 
-// take finds a chat whose think time is over, or opens one; nil if too many
+// nextChat finds a chat whose think time is over, or opens one; nil if too many
 // requests are open.
-func (ru *run) take() *chat {
-	ru.mu.Lock()
-	defer ru.mu.Unlock()
-	if ru.open >= ru.pl.MostOpen {
-		ru.rep.Unsent++
+func (ge *generator) nextChat() *chat {
+	ge.mu.Lock()
+	defer ge.mu.Unlock()
+	if ge.inFlight >= ge.pl.MostOpen {
+		ge.rep.Unsent++
 		return nil
 	}
-	ru.open++
-	ru.rep.Sent++
-	if len(ru.idle) > 0 && time.Now().After(ru.idle[0].ready) {
-		ch := ru.idle[0]
-		ru.idle = ru.idle[1:]
+	ge.inFlight++
+	ge.rep.Sent++
+	if len(ge.idle) > 0 && time.Now().After(ge.idle[0].readyAt) {
+		ch := ge.idle[0]
+		ge.idle = ge.idle[1:]
 		return ch
 	}
-	ru.chats++
-	if ru.pl.Chats > 0 && len(ru.idle) >= ru.pl.Chats {
-		ru.idle = ru.idle[1:]
+	ge.chatCount++
+	if ge.pl.Chats > 0 && len(ge.idle) >= ge.pl.Chats {
+		ge.idle = ge.idle[1:]
 	}
-	return &chat{id: core.ChatID(fmt.Sprintf("load-%d-%d", ru.pl.Seed, ru.chats))}
+	return &chat{id: core.ChatID(fmt.Sprintf("load-%d-%d", ge.pl.Seed, ge.chatCount))}
 }
 
-func (ru *run) draw(part float64) bool {
-	ru.mu.Lock()
-	defer ru.mu.Unlock()
-	return ru.rand.Float64() < part
+func (ge *generator) chance(part float64) bool {
+	ge.mu.Lock()
+	defer ge.mu.Unlock()
+	return ge.rand.Float64() < part
 }
 
-func (ru *run) send(ctx context.Context, ch *chat) {
+func (ge *generator) send(ctx context.Context, ch *chat) {
 	ch.messages = append(ch.messages, client.Message{
 		Role: "user", Content: fmt.Sprintf("%s asks %d", ch.id, len(ch.messages)),
 	})
 	rq := &client.Chat{
-		Model: ru.pl.Model, ID: ch.id, Hint: ch.hint, Stream: ru.draw(ru.pl.Streamed),
-		MaxTokens: ru.pl.MaxTokens, Messages: ch.messages,
+		Model: ge.pl.Model, ID: ch.id, Hint: ch.hint, Stream: ge.chance(ge.pl.Streamed),
+		MaxTokens: ge.pl.MaxTokens, Messages: ch.messages,
 	}
-	if ru.draw(ru.pl.Once) {
+	if ge.chance(ge.pl.Once) {
 		rq.IdemKey = fmt.Sprintf("%s-%d", ch.id, len(ch.messages))
 	}
-	rs := ru.client.Chat(ctx, ru.pl.Addr, rq)
+	rs := ge.client.Chat(ctx, ge.pl.Addr, rq)
 	ch.hint = rs.Hint
 	ch.messages = append(ch.messages, client.Message{Role: "assistant", Content: rs.Answer})
-	if len(ch.messages) > 2*turnsKept {
+	if len(ch.messages) > 2*maxTurns {
 		ch.messages = ch.messages[:0]
 	}
-	ru.note(ch, rs)
+	ge.record(ch, rs)
 }
 
-func (ru *run) note(ch *chat, rs *client.Result) {
-	think := -math.Log(1-rand.Float64()) * float64(ru.pl.Think)
-	ru.mu.Lock()
-	defer ru.mu.Unlock()
-	ru.open--
-	ch.ready = time.Now().Add(time.Duration(think))
-	ru.idle = append(ru.idle, ch)
-	ru.rep.Outcomes[rs.Outcome.String()]++
+func (ge *generator) record(ch *chat, rs *client.Result) {
+	think := -math.Log(1-rand.Float64()) * float64(ge.pl.Think)
+	ge.mu.Lock()
+	defer ge.mu.Unlock()
+	ge.inFlight--
+	ch.readyAt = time.Now().Add(time.Duration(think))
+	ge.idle = append(ge.idle, ch)
+	ge.rep.Outcomes[rs.Outcome.String()]++
 	if rs.Reason != "" {
-		ru.rep.Reasons[string(rs.Reason)]++
+		ge.rep.Reasons[string(rs.Reason)]++
 	}
 	if rs.Outcome != core.Whole {
 		return
 	}
 	// The only error is a value beyond ten minutes, which is then left out.
-	_ = ru.first.RecordValue(int64(rs.First))
-	_ = ru.answer.RecordValue(int64(rs.Total))
+	_ = ge.first.RecordValue(int64(rs.First))
+	_ = ge.answer.RecordValue(int64(rs.Total))
 	for _, gap := range rs.Gaps {
-		_ = ru.between.RecordValue(int64(gap))
+		_ = ge.between.RecordValue(int64(gap))
 	}
 }
 
-func (ru *run) report() *Report {
-	ru.rep.FirstToken = timesOf(ru.first)
-	ru.rep.BetweenToken = timesOf(ru.between)
-	ru.rep.WholeAnswer = timesOf(ru.answer)
-	return &ru.rep
+func (ge *generator) report() *Report {
+	ge.rep.FirstToken = quantilesOf(ge.first)
+	ge.rep.BetweenToken = quantilesOf(ge.between)
+	ge.rep.WholeAnswer = quantilesOf(ge.answer)
+	return &ge.rep
 }
 
-func timesOf(hi *hdrhistogram.Histogram) Times {
+func quantilesOf(hi *hdrhistogram.Histogram) Times {
 	at := func(quantile float64) float64 {
 		return float64(hi.ValueAtQuantile(quantile)) / float64(time.Millisecond)
 	}
