--- a/io/entry/caller.go
+++ b/io/entry/caller.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// defaultIdle and defaultHead are how long callers' connections may be idle, and
+	// defaultIdleTimeout and defaultHead are how long callers' connections may be idle, and
 	// how long a head may take, while no configuration says otherwise: what common
 	// HTTP servers allow.
-	defaultIdle = time.Minute
-	defaultHead = 10 * time.Second
-	// idleMark and headMark stand for the configuration's times in the server's
+	defaultIdleTimeout   = time.Minute
+	defaultHeaderTimeout = 10 * time.Second
+	// idleSentinel and headMark stand for the configuration's times in the server's
 	// settings, which cannot be changed while it runs. They are far longer than any
 	// real time, and a day apart, so that each can be told from the other.
-	idleMark = 24 * time.Hour
-	headMark = 48 * time.Hour
-	// markSpan is how far a deadline may be from its mark and still be told: the
+	idleSentinel   = 24 * time.Hour
+	headerSentinel = 48 * time.Hour
+	// sentinelSpan is how far a deadline may be from its mark and still be told: the
 	// server sets it a moment after it has worked it out.
-	markSpan = time.Hour
-	// callerTimeout is how long bytes to a caller may stay unacknowledged. A caller
+	sentinelSpan = time.Hour
+	// callerAckTimeout is how long bytes to a caller may stay unacknowledged. A caller
 	// without power would otherwise hold an endpoint's place.
-	callerTimeout = 4 * time.Second
+	callerAckTimeout = 4 * time.Second
 )
 
-// callerTimes are the times that callers have, in ns. They change with the
+// callerTimeouts are the times that callers have, in ns. They change with the
 // configuration.
-type callerTimes struct {
-	idle atomic.Int64
-	head atomic.Int64
+type callerTimeouts struct {
+	idle   atomic.Int64
+	header atomic.Int64
 }
 
 // set takes the configuration's times; 0 stands for the default.
-func (ct *callerTimes) set(idle, head time.Duration) {
+func (ct *callerTimeouts) set(idle, header time.Duration) {
 	if idle <= 0 {
-		idle = defaultIdle
+		idle = defaultIdleTimeout
 	}
-	if head <= 0 {
-		head = defaultHead
+	if header <= 0 {
+		header = defaultHeaderTimeout
 	}
 	ct.idle.Store(int64(idle))
-	ct.head.Store(int64(head))
+	ct.header.Store(int64(header))
 }
 
 // callerListener accepts callers' connections.
 type callerListener struct {
 	net.Listener
-	times *callerTimes
+	timeouts *callerTimeouts
 }
 
 // Accept waits for a connection.
@@ -67,9 +67,9 @@
 		return co, nil
 	}
 	if rc, err := tcp.SyscallConn(); err == nil {
-		_ = conns.SetUserTimeout(rc, callerTimeout) // without it the connection only ends later
+		_ = conns.SetUserTimeout(rc, callerAckTimeout) // without it the connection only ends later
 	}
-	return &callerConn{TCPConn: tcp, times: cl.times}, nil
+	return &callerConn{TCPConn: tcp, timeouts: cl.timeouts}, nil
 }
 
 // callerConn is a caller's connection.
@@ -81,26 +81,26 @@
 // ended before it sends anything.
 type callerConn struct {
 	*net.TCPConn
-	times *callerTimes
+	timeouts *callerTimeouts
 }
 
 // SetReadDeadline puts the configuration's times in the place of their marks.
 func (cc *callerConn) SetReadDeadline(at time.Time) error {
 	switch left := time.Until(at); {
-	case left > headMark-markSpan:
-		at = time.Now().Add(time.Duration(cc.times.head.Load()))
-	case left > idleMark-markSpan:
-		at = time.Now().Add(time.Duration(cc.times.idle.Load()))
+	case left > headerSentinel-sentinelSpan:
+		at = time.Now().Add(time.Duration(cc.timeouts.header.Load()))
+	case left > idleSentinel-sentinelSpan:
+		at = time.Now().Add(time.Duration(cc.timeouts.idle.Load()))
 	}
 	return cc.TCPConn.SetReadDeadline(at)
 }
 
-// ended tells whether the connection was closed, on this side or by the caller.
+// closed tells whether the connection was closed, on this side or by the caller.
 //
 // The server notices a caller's close only once it reads again, which it does beside the
 // request; a router with more to do than it can would pass requests on by the hundred
 // whose callers gave up while they waited to be read. So the socket is asked.
-func (cc *callerConn) ended() bool {
+func (cc *callerConn) closed() bool {
 	rc, err := cc.SyscallConn()
 	if err != nil {
 		return true // it is closed on this side
@@ -117,7 +117,7 @@
 // callerContext lets the relay see whether the connection has ended.
 func callerContext(ctx context.Context, co net.Conn) context.Context {
 	if cc, ok := co.(*callerConn); ok {
-		return relay.WithConnClosed(ctx, cc.ended)
+		return relay.WithConnClosed(ctx, cc.closed)
 	}
 	return ctx
 }
--- a/io/entry/caller_test.go
+++ b/io/entry/caller_test.go
@@ -9,9 +9,9 @@
 	"almondrill/io/entry"
 )
 
-// pair is both ends of a caller's connection: the caller's, and the router's with what
+// connPair is both ends of a caller's connection: the caller's, and the router's with what
 // tells that it has ended.
-func pair(t *testing.T) (*net.TCPConn, net.Conn, func() bool) {
+func connPair(t *testing.T) (*net.TCPConn, net.Conn, func() bool) {
 	t.Helper()
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,15 +30,15 @@
 		_ = caller.Close()
 		_ = co.Close()
 	})
-	own, ended := entry.Accepted(co)
-	return caller.(*net.TCPConn), own, ended
+	own, closed := entry.WrapCallerConn(co)
+	return caller.(*net.TCPConn), own, closed
 }
 
 // A router has more to do than it can. Callers give up and close their connections while
 // their requests wait for a processor; the server has not read the close yet. Sent on
 // all the same, by the hundred, these keep endpoints busy for nobody.
-func TestCallerThatLeftIsSeenBeforeTheServerReads(t *testing.T) {
-	caller, own, ended := pair(t)
+func TestClosedCallerIsDetectedBeforeTheServerReads(t *testing.T) {
+	caller, own, ended := connPair(t)
 	if ended() {
 		t.Error("ended though both sides are open")
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-func TestCallerThatResetsHasLeft(t *testing.T) {
-	caller, _, ended := pair(t)
+func TestResetByTheCallerIsDetected(t *testing.T) {
+	caller, _, ended := connPair(t)
 	_ = caller.SetLinger(0)
 	_ = caller.Close()
 	time.Sleep(20 * time.Millisecond)
@@ -68,8 +68,8 @@
 	}
 }
 
-func TestOwnCloseHasEnded(t *testing.T) {
-	_, own, ended := pair(t)
+func TestLocalCloseIsDetected(t *testing.T) {
+	_, own, ended := connPair(t)
 	_ = own.Close()
 	if !ended() {
 		t.Error("not ended though this side has closed")
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -67,12 +67,12 @@
 	Announce(ctx context.Context, self core.VMID, addr string, log *zap.Logger)
 }
 
-// Departure tells that an endpoint's registration is gone.
-type Departure struct{ ID core.EndpointID }
+// Deregistration tells that an endpoint's registration is gone.
+type Deregistration struct{ ID core.EndpointID }
 
-// Unusable tells that an endpoint's registration is there, but names no endpoint that
+// InvalidRegistration tells that an endpoint's registration is there, but names no endpoint that
 // could be used, and why.
-type Unusable struct {
+type InvalidRegistration struct {
 	ID  core.EndpointID
 	Err error
 }
@@ -83,8 +83,8 @@
 	Ended bool
 }
 
-// Released tells that the entry of a quarantined request is gone.
-type Released struct {
+// QuarantineRemoval tells that the entry of a quarantined request is gone.
+type QuarantineRemoval struct {
 	Request core.Fingerprint
 	Rev     core.Version
 }
@@ -104,28 +104,28 @@
 
 	Stats *stats.Set
 
-	latency stats.Latencies
-	log     *zap.Logger
-	rand    *clock.Rand
-	mirror  *mirror.Mirror
-	placer  *place.Placer
-	budget  *retry.Window
-	pool    *conns.Pool
-	relay   *relay.Relay
-	reader  *watch.Reader
-	peers   *gossip.Group
-	guard   *deny.Detector
-	view    *view
-	times   callerTimes
-	leaving atomic.Bool
-	app     atomic.Pointer[kratos.App]
+	latency      stats.Latencies
+	log          *zap.Logger
+	rand         *clock.Rand
+	mirror       *mirror.Mirror
+	placer       *place.Placer
+	budget       *retry.Window
+	pool         *conns.Pool
+	relay        *relay.Relay
+	reader       *watch.Reader
+	peers        *gossip.Group
+	crashes      *deny.Detector
+	view         *view
+	timeouts     callerTimeouts
+	shuttingDown atomic.Bool
+	app          atomic.Pointer[kratos.App]
 }
 
-// heldPart is the part of the process's memory that bodies and answers may take.
-const heldPart = 0.25
+// bufferShare is the part of the process's memory that bodies and answers may take.
+const bufferShare = 0.25
 
-// evacuateTime is how long after its acceptance an evacuation may be obeyed.
-func (pr *Process) evacuateTime() time.Duration {
+// evacuationWindow is how long after its acceptance an evacuation may be obeyed.
+func (pr *Process) evacuationWindow() time.Duration {
 	return time.Duration(pr.Settings.EvacuateMs) * time.Millisecond
 }
 
@@ -138,7 +138,7 @@
 	control, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for _, loop := range []func(context.Context) error{
-		pr.reader.Run, pr.peers.Run, pr.view.run, pr.guard.Run, pr.tidy, pr.watchSettings, pr.announce,
+		pr.reader.Run, pr.peers.Run, pr.view.settle, pr.crashes.Run, pr.closeIdleConns, pr.watchSettings, pr.announce,
 	} {
 		go func() {
 			if err := loop(control); err != nil && control.Err() == nil {
@@ -167,45 +167,45 @@
 	pr.log = pr.Logs.Part("entry")
 	pr.rand = clock.NewRand(clock.RandomSeed())
 	pr.pool = &conns.Pool{}
-	pr.times.set(0, 0)
+	pr.timeouts.set(0, 0)
 	pr.mirror = &mirror.Mirror{Outranks: pr.Platform.Outranks}
 	pr.peers = &gossip.Group{Self: se.Name, Addr: se.PeersAddr, Mirror: pr.mirror, Rand: pr.rand, Log: pr.Logs.Part("gossip")}
 	pr.placer = &place.Placer{
 		Zone: se.Zone, Regions: se.Zones, Rand: pr.rand, CapFactor: se.CapFactor, RouterCount: pr.peers.Routers,
 		ColdLimits: place.ColdLimits{Overrun: se.ColdOverrun, Slack: se.ColdSlack},
 	}
-	pr.peers.Placer, pr.peers.InForce = pr.placer, pr.inForce
+	pr.peers.Placer, pr.peers.InForce = pr.placer, pr.configVersion
 	pr.budget = &retry.Window{Ratio: se.RetryRatio, Slack: se.RetrySlack, Span: se.RetrySpan, Routers: pr.peers.Routers}
 	pr.reader = &watch.Reader{Feed: pr.Platform, Mirror: pr.mirror, Rand: pr.rand, Log: pr.Logs.Part("feeds")}
 	pr.reader.Init()
-	pr.reader.IsWatcher, pr.reader.TakeoverDelay, pr.reader.GracePeriod = pr.peers.IsWatcher, pr.peers.TakeoverDelay, se.ReturnDelay+returnMargin
+	pr.reader.IsWatcher, pr.reader.TakeoverDelay, pr.reader.GracePeriod = pr.peers.IsWatcher, pr.peers.TakeoverDelay, se.ReturnDelay+propagationMargin
 	pr.peers.Feed = pr.reader
-	pr.guard = &deny.Detector{
+	pr.crashes = &deny.Detector{
 		Tracker: &deny.Tracker{Peers: pr.peers, Store: pr.Platform, Stats: pr.Stats, Log: pr.Logs.Part("guard")},
 		Conns:   pr.pool, Placer: pr.placer,
 	}
-	pr.peers.Blamed, pr.peers.Reach = pr.guard.ApplyNotice, pr.reach
+	pr.peers.Blamed, pr.peers.Reach = pr.crashes.ApplyNotice, pr.probe
 	pr.relay = &relay.Relay{
-		Dialect: pr.Platform.Dialect(), Self: se.Name, Placer: pr.placer, Counts: pr.peers, Grants: pr.peers, Crashes: pr.guard, Budget: pr.budget, Conns: pr.pool,
+		Dialect: pr.Platform.Dialect(), Self: se.Name, Placer: pr.placer, Counts: pr.peers, Grants: pr.peers, Crashes: pr.crashes, Budget: pr.budget, Conns: pr.pool,
 		Stats: pr.Stats, Latency: &pr.latency, Rand: pr.rand, Log: pr.Logs.Part("relay"),
-		ViewAge: pr.reader.Age, ShuttingDown: pr.leaving.Load,
+		ViewAge: pr.reader.Age, ShuttingDown: pr.shuttingDown.Load,
 	}
-	pr.relay.Memory.Limit = int64(heldPart * float64(se.MemoryMB) * (1 << 20))
-	pr.view = &view{pr: pr, log: pr.Logs.Part("view"), zones: newZones()}
-	pr.mirror.Changed, pr.mirror.Restored = pr.view.changed, pr.reader.NoteRestore
-	pr.seed()
-	pr.publish()
+	pr.relay.Memory.Limit = int64(bufferShare * float64(se.MemoryMB) * (1 << 20))
+	pr.view = &view{pr: pr, log: pr.Logs.Part("view"), evacuations: newEvacuations()}
+	pr.mirror.Changed, pr.mirror.Restored = pr.view.applyItem, pr.reader.NoteRestore
+	pr.addSeeds()
+	pr.publishStats()
 }
 
-// reach tells whether a connection to an endpoint can be made; known is false for one that is gone.
-func (pr *Process) reach(ctx context.Context, endpoint uint64) (reached, known bool) {
+// probe tells whether a connection to an endpoint can be made; known is false for one that is gone.
+func (pr *Process) probe(ctx context.Context, endpoint uint64) (reached, known bool) {
 	addr, known := pr.placer.AddrOf(endpoint)
 	return known && pr.pool.Connect(ctx, addr) == nil, known
 }
 
-// seed makes the routers known that the settings name. Their port for peers is
+// addSeeds makes the routers known that the settings name. Their port for peers is
 // the own one.
-func (pr *Process) seed() {
+func (pr *Process) addSeeds() {
 	_, port, err := net.SplitHostPort(pr.Settings.PeersAddr)
 	if err != nil {
 		return // the settings were checked
@@ -220,16 +220,16 @@
 	}
 }
 
-// publish makes the counters read what other parts hold.
-func (pr *Process) publish() {
+// publishStats makes the counters read what other parts hold.
+func (pr *Process) publishStats() {
 	pr.latency.Publish(pr.Stats)
-	pr.Stats.SetFunc(stats.ConfigRevision, func() int64 { return int64(pr.inForce()) })
+	pr.Stats.SetFunc(stats.ConfigRevision, func() int64 { return int64(pr.configVersion()) })
 	pr.Stats.SetFunc(stats.StoreLed, func() int64 { return boolCount(pr.peers.IsWatcher()) })
 	pr.Stats.SetFunc(stats.BytesHeld, pr.relay.Memory.Held)
 	pr.Stats.SetFunc(stats.ViewAgeMs, func() int64 { return pr.reader.Age().Milliseconds() })
 	pr.Stats.SetFunc(stats.StoreEra, func() int64 { return int64(pr.mirror.AsOf().Era()) })
 	pr.Stats.SetFunc(stats.PeersLive, func() int64 { return int64(pr.peers.Live()) })
-	pr.Stats.SetFunc(stats.EndpointsKnown, func() int64 { return int64(pr.endpoints()) })
+	pr.Stats.SetFunc(stats.EndpointsKnown, func() int64 { return int64(pr.servingEndpoints()) })
 	pr.Stats.SetFunc(stats.ZonesEvacuated, func() int64 { return int64(len(pr.placer.EvacuatedZones())) })
 	if pr.Dropped != nil {
 		pr.Stats.SetFunc(stats.LogLinesDropped, pr.Dropped)
@@ -244,17 +244,17 @@
 	return 0
 }
 
-// inForce is the version of the configuration in force, 0 if there is none.
-func (pr *Process) inForce() route.Version {
+// configVersion is the version of the configuration in force, 0 if there is none.
+func (pr *Process) configVersion() route.Version {
 	if ta := pr.relay.Table(); ta != nil {
 		return ta.Version
 	}
 	return 0
 }
 
-// endpoints is how many endpoints may get work. One that registered for a pool which the
+// servingEndpoints is how many endpoints may get work. One that registered for a pool which the
 // configuration does not name serves nobody.
-func (pr *Process) endpoints() int {
+func (pr *Process) servingEndpoints() int {
 	ta := pr.relay.Table()
 	if ta == nil {
 		return 0
@@ -262,13 +262,13 @@
 	return pr.placer.Serving(func(id core.PoolID) bool { return ta.Pool(id) != nil })
 }
 
-// announceTick is how often a router looks whether it is to be found through the store. It
+// announceCheckInterval is how often a router looks whether it is to be found through the store. It
 // is long enough to have heard of the peers that are.
-const announceTick = time.Second
+const announceCheckInterval = time.Second
 
 // announce makes this router known in the store once it is among those that should be.
 func (pr *Process) announce(ctx context.Context) error {
-	tick := time.NewTicker(announceTick)
+	tick := time.NewTicker(announceCheckInterval)
 	defer tick.Stop()
 	for waiting := true; waiting; waiting = !pr.peers.ShouldAnnounce() {
 		select {
@@ -281,12 +281,12 @@
 	return nil
 }
 
-// tidyEvery is how often idle connections are looked at; their limits are seconds.
-const tidyEvery = 250 * time.Millisecond
+// idleCheckInterval is how often idle connections are looked at; their limits are seconds.
+const idleCheckInterval = 250 * time.Millisecond
 
-// tidy closes connections to endpoints that were idle for too long.
-func (pr *Process) tidy(ctx context.Context) error {
-	tick := time.NewTicker(tidyEvery)
+// closeIdleConns closes connections to endpoints that were idle for too long.
+func (pr *Process) closeIdleConns(ctx context.Context) error {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -301,11 +301,11 @@
 // readyz answers the balancer.
 func (pr *Process) readyz(wr http.ResponseWriter, _ *http.Request) {
 	switch {
-	case pr.leaving.Load():
+	case pr.shuttingDown.Load():
 		http.Error(wr, "leaving", http.StatusServiceUnavailable)
 	case pr.relay.Table() == nil:
 		http.Error(wr, "no configuration yet", http.StatusServiceUnavailable)
-	case pr.endpoints() == 0:
+	case pr.servingEndpoints() == 0:
 		http.Error(wr, "no endpoints yet", http.StatusServiceUnavailable)
 	default:
 		fmt.Fprintln(wr, "ready")
--- a/io/entry/export_test.go
+++ b/io/entry/export_test.go
@@ -8,14 +8,14 @@
 	"almondrill/core/place"
 )
 
-// Accepted makes a connection one of a caller's, and returns what tells that it has ended.
-func Accepted(co net.Conn) (net.Conn, func() bool) {
-	cc := &callerConn{TCPConn: co.(*net.TCPConn), times: &callerTimes{}}
-	return cc, cc.ended
+// WrapCallerConn makes a connection one of a caller's, and returns what tells that it has ended.
+func WrapCallerConn(co net.Conn) (net.Conn, func() bool) {
+	cc := &callerConn{TCPConn: co.(*net.TCPConn), timeouts: &callerTimeouts{}}
+	return cc, cc.closed
 }
 
-// Changed takes an item that is new to the mirror.
-func (pr *Process) Changed(it core.Item) { pr.view.changed(it) }
+// ApplyItem takes an item that is new to the mirror.
+func (pr *Process) ApplyItem(it core.Item) { pr.view.applyItem(it) }
 
 // Endpoints is how many are known, of whichever pools.
 func (pr *Process) Endpoints() int { return pr.placer.Serving(func(core.PoolID) bool { return true }) }
@@ -25,7 +25,7 @@
 	return pr.placer.Pick(time.Now(), &place.Request{Pool: pool})
 }
 
-// Broke tells that an attempt broke off.
-func (pr *Process) Broke(en core.EndpointRef, began time.Time, fp core.Fingerprint) {
-	pr.guard.Interrupted(en, began, fp)
+// Interrupted tells that an attempt broke off.
+func (pr *Process) Interrupted(en core.EndpointRef, began time.Time, fp core.Fingerprint) {
+	pr.crashes.Interrupted(en, began, fp)
 }
--- a/io/entry/reload.go
+++ b/io/entry/reload.go
@@ -14,8 +14,8 @@
 	"almondrill/io/conf"
 )
 
-// reloadEvery is how often the settings file is looked at without a signal.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often the settings file is looked at without a signal.
+const reloadInterval = 2 * time.Second
 
 // watchSettings takes changed settings in force, on SIGHUP and without.
 func (pr *Process) watchSettings(ctx context.Context) error {
@@ -25,7 +25,7 @@
 	if pr.Reload == nil {
 		return nil
 	}
-	tick := time.NewTicker(reloadEvery)
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	last := *pr.Settings
 	for {
@@ -46,12 +46,12 @@
 			continue
 		}
 		last = *se
-		pr.apply(se)
+		pr.applySettings(se)
 	}
 }
 
-// apply takes in force what may change while the process runs.
-func (pr *Process) apply(se *conf.RelaySettings) {
+// applySettings takes in force what may change while the process runs.
+func (pr *Process) applySettings(se *conf.RelaySettings) {
 	pr.placer.SetBounds(se.CapFactor, place.ColdLimits{Overrun: se.ColdOverrun, Slack: se.ColdSlack})
 	pr.budget.SetBound(se.RetryRatio, se.RetrySlack)
 	fixed := se.CallersAddr == pr.Settings.CallersAddr && se.PeersAddr == pr.Settings.PeersAddr &&
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -70,8 +70,8 @@
 	admin.HandleFunc("/healthz", func(wr http.ResponseWriter, _ *http.Request) { _, _ = wr.Write([]byte("ok\n")) })
 	admin.HandleFunc("/readyz", pr.readyz)
 	admin.Handle("/debug/vars", pr.Stats.Handler())
-	admin.Handle(deny.Path, pr.guard.Handler())
-	admin.Handle(deny.Path+"/", pr.guard.Handler())
+	admin.Handle(deny.Path, pr.crashes.Handler())
+	admin.Handle(deny.Path+"/", pr.crashes.Handler())
 	var servers []transport.Server
 	for _, on := range []struct {
 		key, addr string
@@ -87,13 +87,13 @@
 			return nil, err
 		}
 		if on.key == "CallersAddr" {
-			li = &callerListener{Listener: li, times: &pr.times}
+			li = &callerListener{Listener: li, timeouts: &pr.timeouts}
 		}
 		srv := pr.httpServer(li, on.handler)
 		if on.key == "CallersAddr" {
 			srv.ConnContext = callerContext
-			srv.IdleTimeout = idleMark
-			srv.ReadHeaderTimeout = headMark
+			srv.IdleTimeout = idleSentinel
+			srv.ReadHeaderTimeout = headerSentinel
 		}
 		servers = append(servers, srv)
 	}
@@ -132,7 +132,7 @@
 // beforeStop lets the balancer see that this router leaves, while it goes on
 // serving: callers keep their connections until an answer tells them to close.
 func (pr *Process) beforeStop(context.Context) error {
-	pr.leaving.Store(true)
+	pr.shuttingDown.Store(true)
 	pr.log.Info("Leaving.", zap.Duration("Delay", pr.Settings.DrainDelay), zap.Int64("InProgress", pr.Stats.Value("InProgress")))
 	time.Sleep(pr.Settings.DrainDelay)
 	return nil
--- a/io/entry/view_test.go
+++ b/io/entry/view_test.go
@@ -44,7 +44,7 @@
 
 func (fa faulty) Decode(it core.Item) (any, error) {
 	if it.Deleted {
-		return entry.Departure{ID: core.EndpointID(it.Key)}, nil
+		return entry.Deregistration{ID: core.EndpointID(it.Key)}, nil
 	}
 	if it.Key == "faulty" {
 		var none []int
@@ -62,7 +62,7 @@
 	}, nil
 }
 
-func process(pf entry.Platform) *entry.Process {
+func newProcess(pf entry.Platform) *entry.Process {
 	pr := &entry.Process{Settings: &conf.RelaySettings{PeersAddr: "127.0.0.1:1"}, Platform: pf, Logs: logs.Discard()}
 	pr.Settings.Defaults()
 	pr.Build()
@@ -71,19 +71,19 @@
 
 // An endpoint goes silent under a request, which runs out of time, and seconds later another
 // registers at its address: the first has crashed. One that drained before has left.
-func TestEndpointThatIsReplacedHasCrashed(t *testing.T) {
+func TestReplacedEndpointCountsAsCrashed(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		addr := local.Listen(t).Addr().String()
-		pr := process(faulty{addr})
-		pr.Changed(core.Item{Key: "one", Rev: 1})
-		pr.Broke(core.EndpointRef{ID: "one", Addr: addr, Hash: place.EndpointHash("one", 0)}, time.Now().Add(-time.Second), core.Fingerprint{1})
+		pr := newProcess(faulty{addr})
+		pr.ApplyItem(core.Item{Key: "one", Rev: 1})
+		pr.Interrupted(core.EndpointRef{ID: "one", Addr: addr, Hash: place.EndpointHash("one", 0)}, time.Now().Add(-time.Second), core.Fingerprint{1})
 		want := int64(1)
 		if draining {
-			pr.Changed(core.Item{Key: "one", Rev: 2, Value: []byte("draining")})
+			pr.ApplyItem(core.Item{Key: "one", Rev: 2, Value: []byte("draining")})
 			want = 0
 		}
-		pr.Changed(core.Item{Key: "two", Rev: 3})
-		pr.Changed(core.Item{Key: "two", Rev: 4, Value: []byte("draining")})
+		pr.ApplyItem(core.Item{Key: "two", Rev: 3})
+		pr.ApplyItem(core.Item{Key: "two", Rev: 4, Value: []byte("draining")})
 		if got := pr.Stats.Value(stats.CrashedUnder); got != want {
 			t.Errorf("draining %v: crashed under %d requests, want %d", draining, got, want)
 		}
@@ -93,7 +93,7 @@
 // Guards against requests that are sent to endpoints which are gone until their registrations lapse:
 // after a part of a pool had crashed and come back at the same addresses under other ids, callers were
 // refused for as long as that takes.
-func TestEndpointWhoseAddressAnotherHasGetsNothing(t *testing.T) {
+func TestDisplacedEndpointGetsNoRequests(t *testing.T) {
 	item := func(key string, rev core.Version, value string) core.Item {
 		return core.Item{Key: key, Rev: rev, Value: []byte(value)}
 	}
@@ -109,10 +109,10 @@
 		"the last to come is left": {[]core.Item{item("a", 2, ""), item("b", 3, ""), {Key: "a", Rev: 4, Deleted: true}}, "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			pr := process(faulty{"127.0.0.1:1"})
-			pr.Changed(item("config", 1, ""))
+			pr := newProcess(faulty{"127.0.0.1:1"})
+			pr.ApplyItem(item("config", 1, ""))
 			for _, it := range ca.items {
-				pr.Changed(it)
+				pr.ApplyItem(it)
 			}
 			for range 40 {
 				tk, rf := pr.Pick("pool")
@@ -131,10 +131,10 @@
 // Something writes an item into the store that brings a fault of the decoder about. All
 // routers read it, now and at each start: without a guard all end together, again and again
 // until somebody removes it, and callers find nobody. What else the store has is in force.
-func TestItemThatTheDecoderFailsOnEndsNoRouter(t *testing.T) {
-	pr := process(faulty{"127.0.0.1:1"})
+func TestDecoderPanicDoesNotStopTheRouter(t *testing.T) {
+	pr := newProcess(faulty{"127.0.0.1:1"})
 	for rev, key := range []string{"one", "faulty", "two"} {
-		pr.Changed(core.Item{Key: key, Rev: core.Version(rev + 1)})
+		pr.ApplyItem(core.Item{Key: key, Rev: core.Version(rev + 1)})
 	}
 	if known := pr.Endpoints(); known != 2 {
 		t.Errorf("%d endpoints are known, want 2", known)
--- a/io/entry/zones.go
+++ b/io/entry/zones.go
@@ -8,64 +8,64 @@
 	"almondrill/core"
 )
 
-// evacuateMargin is the part of EvacuateMs that is not used: for the store's answer on its way,
+// evacuationMargin is the part of EvacuateMs that is not used: for the store's answer on its way,
 // and what is on its way to endpoints.
-const evacuateMargin = 1500 * time.Millisecond
+const evacuationMargin = 1500 * time.Millisecond
 
-// zones are what the store says of evacuations and may not hold, as it came back from a copy. The view's
+// evacuations are what the store says of evacuations and may not hold, as it came back from a copy. The view's
 // lock guards it.
-type zones struct {
+type evacuations struct {
 	// ended is when evacuations last ended.
 	ended map[core.Zone]time.Time
 	// missing are those in force that the store does not have, back those that had ended and that it has.
-	missing map[core.Zone]bool
-	back    map[core.Zone]heardOf
+	missing    map[core.Zone]bool
+	reappeared map[core.Zone]seenItem
 }
 
-// heardOf is an item's version and when it was heard of.
-type heardOf struct {
+// seenItem is an item's version and when it was heard of.
+type seenItem struct {
 	rev core.Version
 	at  time.Time
 }
 
-func newZones() zones {
-	return zones{ended: map[core.Zone]time.Time{}, missing: map[core.Zone]bool{}, back: map[core.Zone]heardOf{}}
+func newEvacuations() evacuations {
+	return evacuations{ended: map[core.Zone]time.Time{}, missing: map[core.Zone]bool{}, reappeared: map[core.Zone]seenItem{}}
 }
 
-// evacuate puts the evacuation of a zone in force, or ends it. What a restore of the store took away or
+// applyEvacuation puts the evacuation of a zone in force, or ends it. What a restore of the store took away or
 // brought back is settled once the operator has had time to write it again.
-func (vi *view) evacuate(ev Evacuation, rev core.Version) {
+func (vi *view) applyEvacuation(ev Evacuation, rev core.Version) {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
-	he := heardOf{rev, time.Now()}
-	doubted := vi.pr.reader.MaybeRolledBack(rev)
+	si := seenItem{rev, time.Now()}
+	uncertain := vi.pr.reader.MaybeRolledBack(rev)
 	fields := []zap.Field{zap.String("Zone", string(ev.Zone)), zap.Stringer("Rev", rev), zap.Duration("Age", vi.pr.reader.Age())}
 	switch {
-	case ev.Ended && doubted:
-		vi.zones.missing[ev.Zone] = true
+	case ev.Ended && uncertain:
+		vi.evacuations.missing[ev.Zone] = true
 		vi.log.Info("The evacuation of a zone is missing.", fields...)
 	case ev.Ended:
 		vi.endEvacuation(ev.Zone)
-	case doubted && he.at.Sub(vi.zones.ended[ev.Zone]) < departedFor:
-		vi.zones.back[ev.Zone] = he
+	case uncertain && si.at.Sub(vi.evacuations.ended[ev.Zone]) < removalTTL:
+		vi.evacuations.reappeared[ev.Zone] = si
 		vi.log.Info("The evacuation of a zone is back, perhaps from a copy of the store.", fields...)
 	default:
-		vi.beginEvacuation(ev.Zone, he)
+		vi.beginEvacuation(ev.Zone, si)
 	}
 }
 
-func (vi *view) beginEvacuation(zone core.Zone, he heardOf) {
-	delete(vi.zones.missing, zone)
-	delete(vi.zones.back, zone)
+func (vi *view) beginEvacuation(zone core.Zone, si seenItem) {
+	delete(vi.evacuations.missing, zone)
+	delete(vi.evacuations.reappeared, zone)
 	now, age := time.Now(), vi.pr.reader.Age()
 	// What is believed was confirmed age ago without it, so that it was accepted since.
-	until := he.at.Add(max(0, vi.pr.evacuateTime()-evacuateMargin-age))
+	until := si.at.Add(max(0, vi.pr.evacuationWindow()-evacuationMargin-age))
 	if !vi.pr.placer.Evacuate(now, zone, until) {
 		return
 	}
 	open := vi.pr.placer.Open()
 	fields := []zap.Field{
-		zap.String("Zone", string(zone)), zap.Stringer("Rev", he.rev), zap.Duration("Age", age),
+		zap.String("Zone", string(zone)), zap.Stringer("Rev", si.rev), zap.Duration("Age", age),
 		zap.Duration("Within", max(0, until.Sub(now))), zap.Int("EndpointsLeft", open),
 	}
 	vi.log.Warn("A zone is evacuated.", fields...)
@@ -75,10 +75,10 @@
 }
 
 func (vi *view) endEvacuation(zone core.Zone) {
-	delete(vi.zones.missing, zone)
-	delete(vi.zones.back, zone)
+	delete(vi.evacuations.missing, zone)
+	delete(vi.evacuations.reappeared, zone)
 	now := time.Now()
-	vi.zones.ended[zone] = now
+	vi.evacuations.ended[zone] = now
 	if vi.pr.placer.Restore(now, zone) {
 		vi.log.Info("The evacuation of a zone has ended.", zap.String("Zone", string(zone)), zap.Duration("Age", vi.pr.reader.Age()))
 	}
@@ -89,10 +89,10 @@
 func (vi *view) settleEvacuations() {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
-	for zone := range vi.zones.missing {
+	for zone := range vi.evacuations.missing {
 		vi.endEvacuation(zone)
 	}
-	for zone, he := range vi.zones.back {
-		vi.beginEvacuation(zone, he)
+	for zone, si := range vi.evacuations.reappeared {
+		vi.beginEvacuation(zone, si)
 	}
 }
