--- a/io/back/follow_test.go
+++ b/io/back/follow_test.go
@@ -126,7 +126,7 @@
 		t.Fatal(re)
 	}
 	pe.startChat(ctx, t)
-	for pe.engine.Working() == 0 {
+	for pe.engine.Work() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for range 5 {
@@ -137,7 +137,7 @@
 	}
 	pe.gate.Release(ti)
 	cancel()
-	for pe.engine.Working() != 0 {
+	for pe.engine.Work() != 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for late := range 5 {
--- a/io/demo/crash_test.go
+++ b/io/demo/crash_test.go
@@ -34,7 +34,7 @@
 	}
 	asked := 0
 	for _, en := range fl.Standins {
-		asked += en.Served().Requests
+		asked += en.Stats().Requests
 	}
 	if asked > most || refused < returns-2*most {
 		t.Errorf("engines were asked %d times, at most %d allowed; refused %d of %d times", asked, most, refused, returns)
--- a/io/demo/leave_test.go
+++ b/io/demo/leave_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	for _, en := range fl.Standins {
-		taken += en.Served().Imports
+		taken += en.Stats().Imports
 	}
 	return int64(len(holdings)), taken
 }
--- a/io/demo/orders_test.go
+++ b/io/demo/orders_test.go
@@ -42,8 +42,8 @@
 	close(stop)
 	chats.Wait()
 	for ix, en := range fl.Standins {
-		if st := en.Tuned(); st.Version != "2" || len(st.Adapters) != 1 || en.Served().Interrupted > 0 {
-			t.Errorf("engine %d: %+v, interrupted %d", ix, st, en.Served().Interrupted)
+		if st := en.State(); st.Version != "2" || len(st.Adapters) != 1 || en.Stats().Interrupted > 0 {
+			t.Errorf("engine %d: %+v, interrupted %d", ix, st, en.Stats().Interrupted)
 		}
 	}
 }
--- a/io/stand/engine/cache.go
+++ b/io/stand/engine/cache.go
@@ -11,9 +11,9 @@
 const (
 	defaultCacheTokens = 100_000
 	maxCacheEntries    = 1 << 20
-	eventsKept         = 10_000
-	reportsKept        = 1_000
-	eventPage          = 1_000
+	maxEvents          = 10_000
+	maxLoadSamples     = 1_000
+	eventsPerPage      = 1_000
 )
 
 func (en *Engine) initCache() {
@@ -27,10 +27,10 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.initCache()
-	held, _ := en.cache.Get(key)
-	hit := min(held, prompt)
-	en.served.PromptTokens += prompt
-	en.served.CachedTokens += hit
+	cached, _ := en.cache.Get(key)
+	hit := min(cached, prompt)
+	en.stats.PromptTokens += prompt
+	en.stats.CachedTokens += hit
 	return hit
 }
 
@@ -42,36 +42,36 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.initCache()
-	most := en.CacheTokens
-	if most == 0 {
-		most = defaultCacheTokens
+	limit := en.CacheTokens
+	if limit == 0 {
+		limit = defaultCacheTokens
 	}
 	if old, known := en.cache.Peek(key); known {
 		en.cached -= old
 	}
 	en.cache.Add(key, tokens)
 	en.cached += tokens
-	en.event("Stored", key)
-	for en.cached > most && en.cache.Len() > 1 {
-		gone, size, _ := en.cache.RemoveOldest()
+	en.publishEvent("Stored", key)
+	for en.cached > limit && en.cache.Len() > 1 {
+		evicted, size, _ := en.cache.RemoveOldest()
 		en.cached -= size
-		en.event("Evicted", gone)
+		en.publishEvent("Evicted", evicted)
 	}
 }
 
-// event publishes a change, unless it is ordered to be lost.
-func (en *Engine) event(kind, key string) {
+// publishEvent publishes a change, unless it is ordered to be lost.
+func (en *Engine) publishEvent(kind, key string) {
 	en.eventSeq++
-	if lose := en.faults.LoseEvents; lose > 0 && en.eventSeq%uint64(lose) == 0 {
+	if every := en.faults.LoseEvents; every > 0 && en.eventSeq%uint64(every) == 0 {
 		return
 	}
 	en.events = append(en.events, Event{Seq: en.eventSeq, Kind: kind, Key: key})
-	if len(en.events) > eventsKept {
+	if len(en.events) > maxEvents {
 		en.events = en.events[1:]
 	}
 }
 
-func (en *Engine) listCache(wr http.ResponseWriter, _ *http.Request) {
+func (en *Engine) handleListCache(wr http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.initCache()
@@ -81,7 +81,7 @@
 	}{en.eventSeq, en.cache.Keys()})
 }
 
-func (en *Engine) cacheEvents(wr http.ResponseWriter, rq *http.Request) {
+func (en *Engine) handleCacheEvents(wr http.ResponseWriter, rq *http.Request) {
 	after, err := strconv.ParseUint(rq.FormValue("after"), 10, 64)
 	if err != nil {
 		http.Error(wr, "after: not a number", http.StatusBadRequest)
@@ -91,29 +91,29 @@
 	defer en.mu.Unlock()
 	page := []Event{}
 	for _, ev := range en.events {
-		if ev.Seq > after && len(page) < eventPage {
+		if ev.Seq > after && len(page) < eventsPerPage {
 			page = append(page, ev)
 		}
 	}
 	writeJSON(wr, page)
 }
 
-// note records the load for later reports.
-func (en *Engine) note() {
-	en.reports = append(en.reports, report{en.Clock.Now(), en.work})
-	if len(en.reports) > reportsKept {
-		en.reports = en.reports[1:]
+// recordLoad records the load for later reports.
+func (en *Engine) recordLoad() {
+	en.loadSamples = append(en.loadSamples, loadSample{en.Clock.Now(), en.work})
+	if len(en.loadSamples) > maxLoadSamples {
+		en.loadSamples = en.loadSamples[1:]
 	}
 }
 
-// load reports the work as it was ReportLag ago.
-func (en *Engine) load(wr http.ResponseWriter, _ *http.Request) {
+// handleLoad reports the work as it was ReportLag ago.
+func (en *Engine) handleLoad(wr http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	seen := en.Clock.Now().Add(-en.ReportLag)
+	asOf := en.Clock.Now().Add(-en.ReportLag)
 	work := 0
-	for _, re := range en.reports {
-		if re.at.After(seen) {
+	for _, re := range en.loadSamples {
+		if re.at.After(asOf) {
 			break
 		}
 		work = re.work
--- a/io/stand/engine/engine.go
+++ b/io/stand/engine/engine.go
@@ -78,19 +78,19 @@
 	// Faults.CrashOn.
 	Crash func()
 
-	mu       sync.Mutex // guards all below
-	faults   Faults
-	running  int
-	work     int
-	cache    *simplelru.LRU[string, int]
-	cached   int
-	events   []Event
-	eventSeq uint64
-	reports  []report
-	fence    core.Fence
-	tuned    *core.EngineState
-	loading  bool
-	served   Served
+	mu          sync.Mutex // guards all below
+	faults      Faults
+	running     int
+	work        int
+	cache       *simplelru.LRU[string, int]
+	cached      int
+	events      []Event
+	eventSeq    uint64
+	loadSamples []loadSample
+	fence       core.Fence
+	loaded      *core.EngineState
+	loading     bool
+	stats       Stats
 }
 
 // Event is one change of the cache. Kind is Stored or Evicted.
@@ -100,8 +100,8 @@
 	Key  string
 }
 
-// Served counts what the engine did, in requests and tokens.
-type Served struct {
+// Stats counts what the engine did, in requests and tokens.
+type Stats struct {
 	Requests, Whole, Tokens, PromptTokens, CachedTokens, Orders, RefusedOrders int
 	// Interrupted counts requests that were running when a load began, or came
 	// while it lasted.
@@ -110,7 +110,7 @@
 	Imports int
 }
 
-type report struct {
+type loadSample struct {
 	at   time.Time
 	work int
 }
@@ -132,15 +132,15 @@
 	en.faults = fa
 }
 
-// Served is what the engine did so far.
-func (en *Engine) Served() Served {
+// Stats is what the engine did so far.
+func (en *Engine) Stats() Stats {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.served
+	return en.stats
 }
 
-// Working is the work inside now, as later reports will show it.
-func (en *Engine) Working() int {
+// Work is the work inside now, as later reports will show it.
+func (en *Engine) Work() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.work
@@ -149,14 +149,14 @@
 // Handler serves the engine's protocol.
 func (en *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", en.chat)
-	mux.HandleFunc("GET /load", en.load)
-	mux.HandleFunc("GET /cache", en.listCache)
-	mux.HandleFunc("GET /cache/events", en.cacheEvents)
-	mux.HandleFunc("GET /cache/export", en.exportCache)
-	mux.HandleFunc("PUT /cache/import", en.importCache)
-	mux.HandleFunc("POST /orders", en.order)
-	mux.HandleFunc("GET /orders", en.state)
+	mux.HandleFunc("POST /v1/chat/completions", en.handleChat)
+	mux.HandleFunc("GET /load", en.handleLoad)
+	mux.HandleFunc("GET /cache", en.handleListCache)
+	mux.HandleFunc("GET /cache/events", en.handleCacheEvents)
+	mux.HandleFunc("GET /cache/export", en.handleExport)
+	mux.HandleFunc("PUT /cache/import", en.handleImport)
+	mux.HandleFunc("POST /orders", en.handleOrder)
+	mux.HandleFunc("GET /orders", en.handleState)
 	return mux
 }
 
@@ -165,14 +165,14 @@
 // defaultMaxTokens is the answer's length where the request names none.
 const defaultMaxTokens = 16
 
-func (en *Engine) chat(wr http.ResponseWriter, rq *http.Request) {
+func (en *Engine) handleChat(wr http.ResponseWriter, rq *http.Request) {
 	var in request
 	if err := json.NewDecoder(rq.Body).Decode(&in); err != nil || len(in.Messages) == 0 {
 		http.Error(wr, `{"error":{"message":"malformed request"}}`, http.StatusBadRequest)
 		return
 	}
-	fa := en.begin()
-	if en.isLoading() {
+	fa := en.startRequest()
+	if en.checkLoading() {
 		http.Error(wr, `{"error":{"message":"a model is being loaded"}}`, http.StatusServiceUnavailable)
 		return
 	}
@@ -190,20 +190,20 @@
 	}
 	prompt := promptTokens(&in)
 	hit := en.lookup(rq.Header.Get("X-Cache-Key"), prompt)
-	en.enter(int(core.WorkOf(core.Tokens(prompt-hit), core.Tokens(tokens))))
-	defer en.exit(tokens)
+	en.addWork(int(core.WorkOf(core.Tokens(prompt-hit), core.Tokens(tokens))))
+	defer en.finishRequest(tokens)
 	en.sleep(rq, time.Duration(prompt-hit)*en.PrefillEvery)
 	id := rq.Header.Get("X-Request-Id")
 	if fa.Crossed {
 		id = "0"
 	}
 	wr.Header().Set("X-Request-Id", id)
-	an := &answering{en: en, rq: rq, wr: wr, fa: fa, nonce: nonce, tokens: tokens, prompt: prompt, hit: hit}
+	an := &response{en: en, rq: rq, wr: wr, fa: fa, nonce: nonce, tokens: tokens, prompt: prompt, hit: hit}
 	an.resume, _ = strconv.Atoi(rq.Header.Get("X-Resume-Position"))
 	if in.Stream {
-		an.stream()
+		an.writeStream()
 	} else {
-		an.whole()
+		an.writeWhole()
 	}
 	en.store(rq.Header.Get("X-Cache-Key"), prompt+tokens)
 }
@@ -216,8 +216,8 @@
 	return sum
 }
 
-// answering is one request's way.
-type answering struct {
+// response is one request's way.
+type response struct {
 	en     *Engine
 	rq     *http.Request
 	wr     http.ResponseWriter
@@ -229,16 +229,16 @@
 	resume int
 }
 
-// word is token number n of the answer, from 0.
-func (an *answering) word(n int) string {
+// tokenText is token number n of the answer, from 0.
+func (an *response) tokenText(n int) string {
 	if n == 0 {
 		return an.nonce
 	}
 	return fmt.Sprintf(" w%d", n)
 }
 
-// step waits for one token; false means that the caller left or a fault struck.
-func (an *answering) step(n int) bool {
+// generate waits for one token; false means that the caller left or a fault struck.
+func (an *response) generate(n int) bool {
 	if an.fa.CutAfter > 0 && n == an.fa.CutAfter {
 		return false
 	}
@@ -253,59 +253,59 @@
 	if an.rq.Context().Err() != nil {
 		return false
 	}
-	an.en.progress()
+	an.en.tokenDone()
 	return true
 }
 
-func (an *answering) stream() {
+func (an *response) writeStream() {
 	an.wr.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(an.wr)
 	var all strings.Builder
 	for n := range an.tokens {
 		if n < an.resume {
-			all.WriteString(an.word(n))
+			all.WriteString(an.tokenText(n))
 			continue
 		}
-		if !an.step(n) {
+		if !an.generate(n) {
 			panic(http.ErrAbortHandler)
 		}
-		all.WriteString(an.word(n))
-		text, _ := json.Marshal(an.word(n))
+		all.WriteString(an.tokenText(n))
+		text, _ := json.Marshal(an.tokenText(n))
 		fmt.Fprintf(an.wr, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%s}}]}\n\n", text)
 		_ = flush.Flush()
 	}
 	fmt.Fprintf(an.wr, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[],\"usage\":%s}\n\n", an.usage())
-	an.sent(all.String())
+	an.recordSent(all.String())
 	fmt.Fprint(an.wr, "data: [DONE]\n\n")
 	_ = flush.Flush()
 }
 
-func (an *answering) whole() {
+func (an *response) writeWhole() {
 	var all strings.Builder
 	for n := range an.tokens {
-		if !an.step(n) {
+		if !an.generate(n) {
 			panic(http.ErrAbortHandler)
 		}
-		all.WriteString(an.word(n))
+		all.WriteString(an.tokenText(n))
 	}
 	text, _ := json.Marshal(all.String())
-	an.sent(all.String())
+	an.recordSent(all.String())
 	an.wr.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(an.wr, `{"object":"chat.completion","model":%q,"choices":[{"index":0,"message":{"role":"assistant","content":%s},"finish_reason":"stop"}],"usage":%s}`,
 		an.en.Model, text, an.usage())
 }
 
-func (an *answering) usage() string {
+func (an *response) usage() string {
 	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}`,
 		an.prompt, an.tokens, an.prompt+an.tokens, an.hit)
 }
 
-func (an *answering) sent(answer string) {
+func (an *response) recordSent(answer string) {
 	if an.en.Audit != nil {
 		an.en.Audit.RecordSent(an.nonce, answer)
 	}
 	an.en.mu.Lock()
-	an.en.served.Whole++
+	an.en.stats.Whole++
 	an.en.mu.Unlock()
 }
 
@@ -315,10 +315,10 @@
 	}
 }
 
-func (en *Engine) begin() Faults {
+func (en *Engine) startRequest() Faults {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.served.Requests++
+	en.stats.Requests++
 	return en.faults
 }
 
@@ -328,26 +328,26 @@
 	return en.TokenEvery + time.Duration(en.running-1)*en.PerRequest
 }
 
-func (en *Engine) enter(work int) {
+func (en *Engine) addWork(work int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.running++
 	en.work += work
-	en.note()
+	en.recordLoad()
 }
 
-func (en *Engine) exit(tokens int) {
+func (en *Engine) finishRequest(tokens int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.running--
 	if en.running == 0 {
 		en.work = 0
 	}
-	en.served.Tokens += tokens
-	en.note()
+	en.stats.Tokens += tokens
+	en.recordLoad()
 }
 
-func (en *Engine) progress() {
+func (en *Engine) tokenDone() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.work = max(0, en.work-1)
--- a/io/stand/engine/move.go
+++ b/io/stand/engine/move.go
@@ -12,9 +12,9 @@
 // bytesPerToken is the size of an exported context; real ones are larger.
 const bytesPerToken = 64
 
-// exportCache sends a chat's context: its tokens on a line, then as many bytes as
+// handleExport sends a chat's context: its tokens on a line, then as many bytes as
 // these take.
-func (en *Engine) exportCache(wr http.ResponseWriter, rq *http.Request) {
+func (en *Engine) handleExport(wr http.ResponseWriter, rq *http.Request) {
 	en.mu.Lock()
 	en.initCache()
 	tokens, known := en.cache.Peek(rq.FormValue("key"))
@@ -34,8 +34,8 @@
 	_, _ = io.WriteString(wr, body)
 }
 
-// importCache keeps a context that came whole.
-func (en *Engine) importCache(wr http.ResponseWriter, rq *http.Request) {
+// handleImport keeps a context that came whole.
+func (en *Engine) handleImport(wr http.ResponseWriter, rq *http.Request) {
 	rd := bufio.NewReader(rq.Body)
 	line, err := rd.ReadString('\n')
 	if err != nil {
@@ -54,6 +54,6 @@
 	}
 	en.store(rq.FormValue("key"), tokens)
 	en.mu.Lock()
-	en.served.Imports++
+	en.stats.Imports++
 	en.mu.Unlock()
 }
--- a/io/stand/engine/orders.go
+++ b/io/stand/engine/orders.go
@@ -10,71 +10,71 @@
 	"almondrill/core"
 )
 
-// tune is the engine's state, made at first use; en.mu is held.
-func (en *Engine) tune() *core.EngineState {
-	if en.tuned == nil {
-		en.tuned = &core.EngineState{Model: en.Model, Version: en.Version, Role: "Both"}
+// stateLocked is the engine's state, made at first use; en.mu is held.
+func (en *Engine) stateLocked() *core.EngineState {
+	if en.loaded == nil {
+		en.loaded = &core.EngineState{Model: en.Model, Version: en.Version, Role: "Both"}
 	}
-	return en.tuned
+	return en.loaded
 }
 
-// Tuned is what the engine has loaded.
-func (en *Engine) Tuned() core.EngineState {
+// State is what the engine has loaded.
+func (en *Engine) State() core.EngineState {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return *en.tune()
+	return *en.stateLocked()
 }
 
-func (en *Engine) state(wr http.ResponseWriter, _ *http.Request) { writeJSON(wr, en.Tuned()) }
+func (en *Engine) handleState(wr http.ResponseWriter, _ *http.Request) { writeJSON(wr, en.State()) }
 
-func (en *Engine) isLoading() bool {
+func (en *Engine) checkLoading() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.loading {
-		en.served.Interrupted++
+		en.stats.Interrupted++
 	}
 	return en.loading
 }
 
-// order carries an order out, or refuses one with an old number if it checks.
-func (en *Engine) order(wr http.ResponseWriter, rq *http.Request) {
+// handleOrder carries an order out, or refuses one with an old number if it checks.
+func (en *Engine) handleOrder(wr http.ResponseWriter, rq *http.Request) {
 	var or core.Order
 	if err := json.NewDecoder(rq.Body).Decode(&or); err != nil {
 		http.Error(wr, "malformed order", http.StatusBadRequest)
 		return
 	}
-	if !en.takes(&or) {
+	if !en.acceptOrder(&or) {
 		http.Error(wr, "old fencing number", http.StatusConflict)
 		return
 	}
-	if err := en.fetch(rq.Context(), &or); err != nil {
-		en.endLoad()
+	if err := en.loadWeights(rq.Context(), &or); err != nil {
+		en.finishLoading()
 		wr.Header().Set("Retry-After", "1")
 		http.Error(wr, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	en.apply(&or)
+	en.applyOrder(&or)
 	writeJSON(wr, struct{ State string }{"Done"})
 }
 
-func (en *Engine) takes(or *core.Order) bool {
+func (en *Engine) acceptOrder(or *core.Order) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.ChecksFence && or.Fence < en.fence {
-		en.served.RefusedOrders++
+		en.stats.RefusedOrders++
 		return false
 	}
 	en.fence = max(en.fence, or.Fence)
-	en.served.Orders++
+	en.stats.Orders++
 	if or.Kind == core.OrderLoadModel {
 		en.loading = true
-		en.served.Interrupted += en.running
+		en.stats.Interrupted += en.running
 	}
 	return true
 }
 
-// fetch gets weights from the weight store, if there is one, and loads them.
-func (en *Engine) fetch(ctx context.Context, or *core.Order) error {
+// loadWeights gets weights from the weight store, if there is one, and loads them.
+func (en *Engine) loadWeights(ctx context.Context, or *core.Order) error {
 	if or.Kind != core.OrderLoadModel && or.Kind != core.OrderLoadAdapter {
 		return nil
 	}
@@ -96,39 +96,39 @@
 	return en.Clock.Sleep(ctx, en.LoadTime)
 }
 
-func (en *Engine) apply(or *core.Order) {
-	defer en.endLoad()
+func (en *Engine) applyOrder(or *core.Order) {
+	defer en.finishLoading()
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	st := en.tune()
-	drop := func(name string) {
-		st.Adapters = slices.DeleteFunc(slices.Clone(st.Adapters), func(has string) bool { return has == name })
+	st := en.stateLocked()
+	removeAdapter := func(name string) {
+		st.Adapters = slices.DeleteFunc(slices.Clone(st.Adapters), func(loaded string) bool { return loaded == name })
 	}
 	switch or.Kind {
 	case core.OrderLoadModel:
-		en.tuned = &core.EngineState{Model: or.Name, Version: or.Version, Role: st.Role}
-		en.dropCache()
+		en.loaded = &core.EngineState{Model: or.Name, Version: or.Version, Role: st.Role}
+		en.purgeCache()
 	case core.OrderLoadAdapter:
-		drop(or.Name)
+		removeAdapter(or.Name)
 		st.Adapters = append(st.Adapters, or.Name)
 	case core.OrderUnloadAdapter:
-		drop(or.Name)
+		removeAdapter(or.Name)
 	case core.OrderChangeRole:
 		st.Role = or.Name
 	}
 }
 
-func (en *Engine) endLoad() {
+func (en *Engine) finishLoading() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.loading = false
 }
 
-// dropCache forgets all contexts, which another model cannot use.
-func (en *Engine) dropCache() {
+// purgeCache forgets all contexts, which another model cannot use.
+func (en *Engine) purgeCache() {
 	en.initCache()
 	for _, key := range en.cache.Keys() {
-		en.event("Evicted", key)
+		en.publishEvent("Evicted", key)
 	}
 	en.cache.Purge()
 	en.cached = 0
