--- a/core/trial/config_test.go
+++ b/core/trial/config_test.go
@@ -25,7 +25,7 @@
 }
 
 func (st *harness) allHaveRevision(rev core.Revision) bool {
-	for _, me := range st.fl.All() {
+	for _, me := range st.fl.Members() {
 		if me.Log.Revision() < rev {
 			return false
 		}
@@ -36,8 +36,8 @@
 // checkRevisionsIncrease checks the order in which every process adopted revisions.
 func (st *harness) checkRevisionsIncrease() {
 	st.t.Helper()
-	for _, me := range st.fl.All() {
-		adopted := me.Adopted()
+	for _, me := range st.fl.Members() {
+		adopted := me.AdoptedRevisions()
 		for ix := 1; ix < len(adopted); ix++ {
 			if adopted[ix] <= adopted[ix-1] {
 				st.t.Errorf("%s adopted %v", me.ID, adopted)
@@ -115,9 +115,9 @@
 func TestPartitionedRouterCatchesUp(t *testing.T) {
 	runHarness(t, 14, func(st *harness) {
 		partitioned := st.fl.RouterAt(2)
-		partitioned.KVCut.Store(true)
-		for _, me := range st.fl.All() {
-			st.fl.Net.Cut(partitioned.ID, me.ID, true)
+		partitioned.KVUnreachable.Store(true)
+		for _, me := range st.fl.Members() {
+			st.fl.Net.SetPartition(partitioned.ID, me.ID, true)
 		}
 		var rev core.Revision
 		for n := range 5 {
@@ -127,8 +127,8 @@
 		if partitioned.Log.Revision() == rev {
 			t.Fatal("it was not cut off: this shows nothing")
 		}
-		for _, me := range st.fl.All() {
-			st.fl.Net.Cut(partitioned.ID, me.ID, false)
+		for _, me := range st.fl.Members() {
+			st.fl.Net.SetPartition(partitioned.ID, me.ID, false)
 		}
 		time.Sleep(9 * time.Second)
 		if !st.allHaveRevision(rev) {
--- a/core/trial/control_test.go
+++ b/core/trial/control_test.go
@@ -41,7 +41,7 @@
 					before, start := controlBytesSent(fl), time.Now()
 					time.Sleep(20 * time.Second)
 					agents := controlBytesSent(fl) - before
-					b.ReportMetric(float64(agents)/time.Since(start).Seconds()/float64(len(fl.All())), "B/s/node")
+					b.ReportMetric(float64(agents)/time.Since(start).Seconds()/float64(len(fl.Members())), "B/s/node")
 				})
 			}
 		})
@@ -50,8 +50,8 @@
 
 func controlBytesSent(fl *inmem.Fleet) core.Bytes {
 	var sum core.Bytes
-	for _, me := range fl.All() {
-		sum += me.Meter.Sent()
+	for _, me := range fl.Members() {
+		sum += me.Bucket.Sent()
 	}
 	return sum
 }
@@ -107,15 +107,15 @@
 	start := time.Now()
 	var times []float64
 	done := map[core.VMID]bool{}
-	for len(done) < len(fl.All()) {
-		for _, me := range fl.All() {
+	for len(done) < len(fl.Members()) {
+		for _, me := range fl.Members() {
 			if !done[me.ID] && me.Log.Revision() >= rev {
 				done[me.ID] = true
 				times = append(times, time.Since(start).Seconds())
 			}
 		}
 		if time.Since(start) > time.Minute {
-			t.Fatalf("%d of %d have revision %d after a minute", len(done), len(fl.All()), rev)
+			t.Fatalf("%d of %d have revision %d after a minute", len(done), len(fl.Members()), rev)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -155,7 +155,7 @@
 	}
 	const changes, perDay = 3, 3800
 	every := 24 * time.Hour / perDay
-	fetched, calls, start := fl.Net.Fetched(), fl.Store.Calls(), time.Now()
+	fetched, calls, start := fl.Net.FetchedBytes(), fl.Store.Calls(), time.Now()
 	for n := range changes {
 		from := fl.RouterAt(n % fl.Routers)
 		doc, rev := from.Log.Document()
@@ -168,7 +168,7 @@
 	}
 	took := time.Since(start).Seconds()
 	after := fl.Store.Calls()
-	b.ReportMetric(float64(fl.Net.Fetched()-fetched)/took/float64(nodes), "config-B/s/node")
+	b.ReportMetric(float64(fl.Net.FetchedBytes()-fetched)/took/float64(nodes), "config-B/s/node")
 	b.ReportMetric(float64(after.Reads+after.Writes-calls.Reads-calls.Writes)/took, "kv-calls/s")
 }
 
--- a/core/trial/crash_test.go
+++ b/core/trial/crash_test.go
@@ -16,14 +16,14 @@
 func (st *harness) crashOnBody(after, downtime time.Duration) {
 	for _, me := range st.fl.LiveAgents() {
 		for _, en := range me.Engines {
-			en.Crashes.UnderBody, en.Crashes.After, en.Crashes.Away = crashBody, after, downtime
+			en.Crashes.OnBodyPrefix, en.Crashes.After, en.Crashes.Downtime = crashBody, after, downtime
 		}
 	}
 }
 
 func (st *harness) crashCount() int {
 	count := 0
-	for _, me := range st.fl.All() {
+	for _, me := range st.fl.Members() {
 		for _, en := range me.Engines {
 			count += en.CrashCount()
 		}
--- a/core/trial/failure_test.go
+++ b/core/trial/failure_test.go
@@ -15,9 +15,9 @@
 
 func (st *harness) executions() int {
 	sum := 0
-	for _, me := range st.fl.All() {
+	for _, me := range st.fl.Members() {
 		for _, en := range me.Engines {
-			sum += en.Ran()
+			sum += en.CallCount()
 		}
 	}
 	return sum
@@ -34,9 +34,9 @@
 		time.Sleep(5 * time.Second)
 		st.fl.SetState(draining, core.VMDraining)
 		time.Sleep(3 * time.Second)
-		before := draining.Engines[0].Ran()
+		before := draining.Engines[0].CallCount()
 		all.Wait()
-		if after := draining.Engines[0].Ran(); before == 0 || after != before {
+		if after := draining.Engines[0].CallCount(); before == 0 || after != before {
 			t.Errorf("%d calls ran by 3 s after the mark, %d in the end", before, after)
 		}
 		if st.counts[core.NotRun]+st.counts[core.Unknown]+st.counts[core.Failed] > 0 {
@@ -106,7 +106,7 @@
 		})
 		time.Sleep(100 * time.Millisecond)
 		for _, me := range st.fl.LiveAgents() {
-			if me.Engines[0].Ran() > 0 {
+			if me.Engines[0].CallCount() > 0 {
 				me.Kill()
 			}
 		}
@@ -152,7 +152,7 @@
 			for _, me := range st.fl.LiveAgents() {
 				if me.VM.Zone == "zone-1" {
 					for from := range 3 {
-						st.fl.Net.Cut(st.fl.RouterAt(from).ID, me.ID, broken)
+						st.fl.Net.SetPartition(st.fl.RouterAt(from).ID, me.ID, broken)
 					}
 				}
 			}
@@ -176,9 +176,9 @@
 
 func (st *harness) zoneExecutions(zone core.Zone) int {
 	sum := 0
-	for _, me := range st.fl.All() {
+	for _, me := range st.fl.Members() {
 		if me.VM.Zone == zone && me.Agent != nil {
-			sum += me.Engines[0].Ran()
+			sum += me.Engines[0].CallCount()
 		}
 	}
 	return sum
@@ -298,7 +298,7 @@
 		for _, me := range live[2:] {
 			me.Agent.StopAccepting()
 		}
-		for _, me := range st.fl.All() {
+		for _, me := range st.fl.Members() {
 			if me.Router != nil {
 				for _, gone := range live[2:] {
 					me.Board.Post(board.ProcessAnnounced{VM: gone.ID, Draining: true})
@@ -328,7 +328,7 @@
 		})
 		time.Sleep(50 * time.Millisecond)
 		for _, me := range st.fl.LiveAgents() {
-			if me.Engines[0].Ran() > 0 {
+			if me.Engines[0].CallCount() > 0 {
 				me.Kill()
 				continue
 			}
--- a/core/trial/history_test.go
+++ b/core/trial/history_test.go
@@ -41,7 +41,7 @@
 		defer cancel()
 		st := &harness{t: t, audit: &audit.Audit{}, ctx: ctx, counts: map[core.Outcome]int{}}
 		st.fl = &inmem.Fleet{
-			Seed: seed, Routers: 3, Agents: 6, Pool: poolID, Lag: 5 * time.Second,
+			Seed: seed, Routers: 3, Agents: 6, Pool: poolID, VMListLag: 5 * time.Second,
 			Document: document(decl.Limits{FloorWork: 500, Slots: 8, QueueCalls: 16}, 0),
 			Engine: func(int) *inmem.Engine {
 				return &inmem.Engine{
@@ -183,9 +183,9 @@
 		case 2:
 			fl.Store.SetFaults(kvsrv.Faults{Delay: 300 * time.Millisecond})
 		case 3:
-			fl.Net.Lose(0.2)
+			fl.Net.SetReplyLoss(0.2)
 		case 4:
-			fl.Net.Cut(fl.RouterAt(int(ra.Uint64()%3)).ID, one.ID, ra.Uint64()%2 == 0)
+			fl.Net.SetPartition(fl.RouterAt(int(ra.Uint64()%3)).ID, one.ID, ra.Uint64()%2 == 0)
 		case 5:
 			if len(live) > 3 {
 				one.Kill()
@@ -197,17 +197,17 @@
 			if len(live) > 3 {
 				// Marked by the list alone, or leaving with care.
 				if fl.SetState(one, core.VMDraining); round%2 == 0 {
-					fl.Leave(one, 1<<20)
+					fl.Shutdown(one, 1<<20)
 				}
 				fl.AddAgent(fmt.Sprint("joiner-", round), round)
 			}
 		default:
 			fl.Store.SetFaults(kvsrv.Faults{})
-			fl.Net.Lose(0)
+			fl.Net.SetReplyLoss(0)
 		}
 	}
 	fl.Store.SetFaults(kvsrv.Faults{})
-	fl.Net.Lose(0)
+	fl.Net.SetReplyLoss(0)
 }
 
 // Editors send drafts, readers chat, while VMs die, return, leave and join, ways
--- a/core/trial/leave_test.go
+++ b/core/trial/leave_test.go
@@ -40,11 +40,11 @@
 	var own []string
 	for n := range chats {
 		chat := fmt.Sprint("chat-", n)
-		if one.Engines[0].Holds(ring.Key("c", poolID, core.ChatID(chat))) {
+		if one.Engines[0].HasContext(ring.Key("c", poolID, core.ChatID(chat))) {
 			own = append(own, chat)
 		}
 	}
-	st.fl.Leave(one, maxBytes)
+	st.fl.Shutdown(one, maxBytes)
 	time.Sleep(10 * time.Second)
 	for _, chat := range own {
 		if st.cachedTurn(chat, 500) >= 400 {
@@ -83,7 +83,7 @@
 		draining, holder := live[0], live[3]
 		pl := core.Placement{Customer: "c", Pool: poolID, Chat: "chat", VM: holder.ID}
 		draining.Agent.ApplyPlacements([]core.Placement{pl})
-		st.fl.Leave(draining, 1<<20)
+		st.fl.Shutdown(draining, 1<<20)
 		time.Sleep(5 * time.Second)
 		for _, me := range st.fl.LiveAgents() {
 			if vm, known := me.Agent.Book.Pointer(ring.Key("c", poolID, "chat")); known && vm == holder.ID {
@@ -101,13 +101,13 @@
 		st.cachedTurn("chat", 400)
 		var holder *inmem.Member
 		for _, me := range st.fl.LiveAgents() {
-			if me.Engines[0].Holds(ring.Key("c", poolID, "chat")) {
+			if me.Engines[0].HasContext(ring.Key("c", poolID, "chat")) {
 				holder = me
 			}
 		}
 		go st.cachedTurn("chat", 2000)
 		time.Sleep(50 * time.Millisecond)
-		st.fl.Leave(holder, 1<<20)
+		st.fl.Shutdown(holder, 1<<20)
 		time.Sleep(5 * time.Second)
 		if cached := st.cachedTurn("chat", 2100); cached < 2000 {
 			t.Errorf("%d tokens of the context were found", cached)
--- a/core/trial/orders_test.go
+++ b/core/trial/orders_test.go
@@ -44,7 +44,7 @@
 		ro.engines = append(ro.engines, ro.engine())
 	}
 	ro.fl = &inmem.Fleet{
-		Seed: seed, Routers: 3, Agents: agents, Pool: poolID, Lag: 5 * time.Second, Document: ro.document("v1"),
+		Seed: seed, Routers: 3, Agents: agents, Pool: poolID, VMListLag: 5 * time.Second, Document: ro.document("v1"),
 		Engine: func(ix int) *inmem.Engine { return ro.engines[ix] },
 	}
 	if err := ro.fl.Start(ctx); err != nil {
@@ -62,7 +62,7 @@
 	return &inmem.Engine{
 		Clock: clock.Wall{}, Step: 10 * time.Millisecond, PerCall: time.Millisecond,
 		Prefill: 100 * time.Microsecond, CacheTokens: 50_000, Chunk: 5, Audit: ro.audit,
-		Tuning: inmem.Tuning{
+		Orders: inmem.OrderHandling{
 			Loaded:  core.EngineState{Model: modelName, Version: "v1", Role: "Both"},
 			Weights: ro.store,
 		},
@@ -81,7 +81,7 @@
 func (ro *rollout) declare(from int, version string) {
 	ro.t.Helper()
 	me := ro.fl.RouterAt(from)
-	for ; me.KVCut.Load(); from++ {
+	for ; me.KVUnreachable.Load(); from++ {
 		me = ro.fl.RouterAt(from % 3)
 	}
 	if err := me.Log.Refresh(ro.ctx); err != nil {
@@ -107,7 +107,7 @@
 // serving counts the agents whose endpoint takes calls.
 func (ro *rollout) serving() int {
 	count := 0
-	for _, me := range ro.fl.All() {
+	for _, me := range ro.fl.Members() {
 		if me.Agent != nil && !me.Agent.Slots[0].Paused() {
 			count++
 		}
@@ -180,10 +180,10 @@
 		if holder == nil {
 			t.Fatal("nobody holds the lease")
 		}
-		ro.fl.Net.PauseOrders(holder.ID, 3*time.Minute)
+		ro.fl.Net.DelayOrders(holder.ID, 3*time.Minute)
 		ro.declare(1, "v2")
 		time.Sleep(5 * time.Second)
-		holder.KVCut.Store(true)
+		holder.KVUnreachable.Store(true)
 		ro.waitUntil(time.Minute, func() bool { return ro.enginesAt("v2") > 0 })
 		ro.declare(1, "v1")
 		ro.waitUntil(2*time.Minute, func() bool { return ro.enginesAt("v2") == 0 })
@@ -204,7 +204,7 @@
 // restart replaces an agent by a new process beside the same engine.
 func (ro *rollout) restart(ix int) {
 	name := fmt.Sprintf("agent-%04d", ix)
-	ro.fl.AgentAt(core.VMID(name)).Kill()
+	ro.fl.LiveAgent(core.VMID(name)).Kill()
 	ro.fl.AddAgent(name, ix)
 }
 
@@ -220,7 +220,7 @@
 		spending, stop := context.WithCancel(ro.ctx)
 		go func() {
 			for ro.fl.Clock.Sleep(spending, 400*time.Millisecond) == nil {
-				holder.Meter.Spend(ro.fl.Budget / 10)
+				holder.Bucket.Spend(ro.fl.ControlBudget / 10)
 			}
 		}()
 		ro.declare(1, "v2")
@@ -233,11 +233,11 @@
 }
 
 func (ro *rollout) leaseHolder() *inmem.Member {
-	for _, me := range ro.fl.All() {
-		if me.Control == nil {
+	for _, me := range ro.fl.Members() {
+		if me.Controller == nil {
 			continue
 		}
-		if _, held := me.Control.Lease.Fence(); held {
+		if _, held := me.Controller.Lease.Fence(); held {
 			return me
 		}
 	}
@@ -257,7 +257,7 @@
 	const maxCrashes = 3
 	runRollout(t, seed, 8, 2, func(ro *rollout) {
 		for _, en := range ro.engines {
-			en.Crashes.OnVersion, en.Crashes.Loaded, en.Crashes.Away = "bad", loaded, 30*time.Second
+			en.Crashes.OnVersion, en.Crashes.AfterLoading, en.Crashes.Downtime = "bad", loaded, 30*time.Second
 		}
 		ro.declare(0, "bad")
 		time.Sleep(5 * time.Minute)
@@ -325,7 +325,7 @@
 // lease has often lapsed, as it cannot renew it either.
 func (ro *rollout) pause(holder *inmem.Member, d time.Duration, turn int) {
 	ro.resume()
-	ro.fl.Net.PauseOrders(holder.ID, d)
+	ro.fl.Net.DelayOrders(holder.ID, d)
 	for ix := range 3 {
 		if ro.fl.RouterAt(ix) != holder {
 			ro.declare(ix, fmt.Sprint("v", turn))
@@ -333,14 +333,14 @@
 		}
 	}
 	time.Sleep(3 * time.Second)
-	holder.KVCut.Store(true)
+	holder.KVUnreachable.Store(true)
 }
 
 // resume lets all routers go on.
 func (ro *rollout) resume() {
 	for ix := range 3 {
-		ro.fl.Net.PauseOrders(ro.fl.RouterAt(ix).ID, 0)
-		ro.fl.RouterAt(ix).KVCut.Store(false)
+		ro.fl.Net.DelayOrders(ro.fl.RouterAt(ix).ID, 0)
+		ro.fl.RouterAt(ix).KVUnreachable.Store(false)
 	}
 	time.Sleep(time.Second)
 }
@@ -377,5 +377,5 @@
 	b.ReportMetric(float64(counts.Refused)/float64(counts.Fetched), "refused/load")
 	b.ReportMetric(float64(calls.Writes-before.Writes)/took.Seconds(), "KV-writes/s")
 	b.ReportMetric(float64(calls.Reads-before.Reads)/took.Seconds(), "KV-reads/s")
-	b.ReportMetric(float64(controlBytesSent(ro.fl)-start)/took.Seconds()/float64(len(ro.fl.All())), "B/s/node")
+	b.ReportMetric(float64(controlBytesSent(ro.fl)-start)/took.Seconds()/float64(len(ro.fl.Members())), "B/s/node")
 }
--- a/core/trial/policy_test.go
+++ b/core/trial/policy_test.go
@@ -81,7 +81,7 @@
 
 func newFleet(re engineProfile, va variant, seed uint64, customers ...decl.Customer) *inmem.Fleet {
 	return &inmem.Fleet{
-		Seed: seed, Routers: 3, Agents: engineCount, Pool: poolID, Lag: 5 * time.Second,
+		Seed: seed, Routers: 3, Agents: engineCount, Pool: poolID, VMListLag: 5 * time.Second,
 		Document: document(decl.Limits{LoadFactor: va.loadFactor, FloorWork: re.floor, Slots: re.slots, QueueCalls: 2 * re.slots, Headroom: va.headroom}, va.reuseBias, customers...),
 		Engine:   func(int) *inmem.Engine { return re.engine() },
 	}
@@ -181,7 +181,7 @@
 		if handOver {
 			maxBytes = 1 << 40
 		}
-		fl.Leave(fl.LiveAgents()[0], maxBytes)
+		fl.Shutdown(fl.LiveAgents()[0], maxBytes)
 	}
 }
 
--- a/core/trial/work_test.go
+++ b/core/trial/work_test.go
@@ -168,7 +168,7 @@
 
 func (wl *workload) cachedAnywhere(key uint64) bool {
 	for _, me := range wl.fl.LiveAgents() {
-		if me.Engines[0].Holds(key) {
+		if me.Engines[0].HasContext(key) {
 			return true
 		}
 	}
@@ -256,7 +256,7 @@
 // currentLoad gives the baselines better knowledge than they would have: the load as
 // it is now.
 func (wl *workload) currentLoad(vm core.VMID) core.Work {
-	if me := wl.fl.AgentAt(vm); me != nil {
+	if me := wl.fl.LiveAgent(vm); me != nil {
 		return me.Agent.Slots[0].Gate().Load()
 	}
 	return math.MaxInt64
--- a/io/stand/inmem/crash.go
+++ b/io/stand/inmem/crash.go
@@ -11,17 +11,17 @@
 
 // Crashes is the part of an Engine that makes it crash. Set the exported fields before use.
 type Crashes struct {
-	// UnderBody begins the bodies of calls that crash the engine After their prompt is read;
+	// OnBodyPrefix begins the bodies of calls that crash the engine After their prompt is read;
 	// empty for none. OnVersion is a version whose loading crashes it.
-	UnderBody string
-	After     time.Duration
-	OnVersion string
-	// Loaded lets the version be loaded first; the engine crashes a moment later.
-	Loaded bool
-	// Away is how long it is gone; it is back with what it had loaded, its cache empty.
-	Away time.Duration
+	OnBodyPrefix string
+	After        time.Duration
+	OnVersion    string
+	// AfterLoading lets the version be loaded first; the engine crashes a moment later.
+	AfterLoading bool
+	// Downtime is how long it is gone; it is back with what it had loaded, its cache empty.
+	Downtime time.Duration
 
-	away  bool
+	down  bool
 	count int
 	calls map[*core.Call]context.CancelCauseFunc
 }
@@ -39,14 +39,14 @@
 func (en *Engine) Alive(context.Context) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return !en.Crashes.away
+	return !en.Crashes.down
 }
 
-// enter lets a call end when the engine crashes; false if it is away.
-func (en *Engine) enter(ctx context.Context, ca *core.Call) (context.Context, bool) {
+// registerCall lets a call end when the engine crashes; false if it is away.
+func (en *Engine) registerCall(ctx context.Context, ca *core.Call) (context.Context, bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.Crashes.away {
+	if en.Crashes.down {
 		return ctx, false
 	}
 	if en.Crashes.calls == nil {
@@ -57,7 +57,7 @@
 	return ctx, true
 }
 
-func (en *Engine) exit(ca *core.Call) {
+func (en *Engine) unregisterCall(ca *core.Call) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if cancel := en.Crashes.calls[ca]; cancel != nil {
@@ -66,37 +66,37 @@
 	}
 }
 
-// crashesUnder tells whether the call crashes the engine.
-func (en *Engine) crashesUnder(ca *core.Call) bool {
-	under := en.Crashes.UnderBody
-	return under != "" && strings.HasPrefix(string(ca.Body), under)
+// crashesOn tells whether the call crashes the engine.
+func (en *Engine) crashesOn(ca *core.Call) bool {
+	prefix := en.Crashes.OnBodyPrefix
+	return prefix != "" && strings.HasPrefix(string(ca.Body), prefix)
 }
 
 // Crash ends the engine, with all that it runs, for a while.
 func (en *Engine) Crash() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.Crashes.away {
+	if en.Crashes.down {
 		return
 	}
-	en.Crashes.away = true
+	en.Crashes.down = true
 	en.Crashes.count++
 	for _, cancel := range en.Crashes.calls {
 		cancel(errCrashed)
 	}
 	en.cache, en.cached = nil, 0
 	go func() {
-		_ = en.Clock.Sleep(context.Background(), en.Crashes.Away) // only ends early with the program
+		_ = en.Clock.Sleep(context.Background(), en.Crashes.Downtime) // only ends early with the program
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		en.Crashes.away = false
+		en.Crashes.down = false
 	}()
 }
 
-// interrupted tells how a call ended that could not go on.
-func (en *Engine) interrupted(ctx context.Context) error {
+// interruptionError tells how a call ended that could not go on.
+func (en *Engine) interruptionError(ctx context.Context) error {
 	if errors.Is(context.Cause(ctx), errCrashed) {
-		return en.broken(core.Unknown, core.ReasonCutShort)
+		return en.refusal(core.Unknown, core.ReasonCutShort)
 	}
-	return en.broken(core.Unknown, core.ReasonCallerGone)
+	return en.refusal(core.Unknown, core.ReasonCallerGone)
 }
--- a/io/stand/inmem/engine.go
+++ b/io/stand/inmem/engine.go
@@ -31,32 +31,32 @@
 	CutAfter core.Tokens
 	// StallFor, if above 0, holds every call up before its first token.
 	StallFor time.Duration
-	Tuning   Tuning
+	Orders   OrderHandling
 	Crashes  Crashes
 
-	mu      sync.Mutex // guards all below
-	running int
-	cache   *simplelru.LRU[uint64, core.Tokens]
-	cached  core.Tokens
-	events  uint64
-	evicted func(key uint64)
-	ran     int
+	mu        sync.Mutex // guards all below
+	running   int
+	cache     *simplelru.LRU[uint64, core.Tokens]
+	cached    core.Tokens
+	events    uint64
+	onEvict   func(key uint64)
+	callCount int
 }
 
 var _ core.Endpoint = (*Engine)(nil)
 
-// Holds tells whether the chat's context is cached.
-func (en *Engine) Holds(key uint64) bool {
+// HasContext tells whether the chat's context is cached.
+func (en *Engine) HasContext(key uint64) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.cache != nil && en.cache.Contains(key)
 }
 
-// Ran is the number of calls that reached the engine.
-func (en *Engine) Ran() int {
+// CallCount is the number of calls that reached the engine.
+func (en *Engine) CallCount() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.ran
+	return en.callCount
 }
 
 func (en *Engine) nextEvent() uint64 {
@@ -69,26 +69,26 @@
 // Do runs a call. Its body names the request for the audit.
 func (en *Engine) Do(ctx context.Context, ca *core.Call, si core.Sink) (core.Usage, error) {
 	nonce := string(ca.Body)
-	ctx, there := en.enter(ctx, ca)
-	if !there {
-		return core.Usage{}, en.broken(core.NotRun, core.ReasonEndpointDown)
+	ctx, up := en.registerCall(ctx, ca)
+	if !up {
+		return core.Usage{}, en.refusal(core.NotRun, core.ReasonEndpointDown)
 	}
-	defer en.exit(ca)
+	defer en.unregisterCall(ca)
 	if en.Audit != nil {
-		en.Audit.RecordExecution(nonce, idemName(ca))
+		en.Audit.RecordExecution(nonce, executionKey(ca))
 	}
 	key := ring.Key(ca.Customer, ca.Pool, ca.Chat)
-	hit := en.begin(key, ca.Prompt)
-	defer en.finish()
+	hit := en.startPrompt(key, ca.Prompt)
+	defer en.finishCall()
 	wait := en.StallFor + time.Duration(ca.Prompt-hit)*en.Prefill
 	if err := en.Clock.Sleep(ctx, wait); err != nil {
-		return core.Usage{}, en.interrupted(ctx)
+		return core.Usage{}, en.interruptionError(ctx)
 	}
-	if en.crashesUnder(ca) {
+	if en.crashesOn(ca) {
 		if en.Clock.Sleep(ctx, en.Crashes.After) == nil {
 			en.Crash()
 		}
-		return core.Usage{}, en.interrupted(ctx)
+		return core.Usage{}, en.interruptionError(ctx)
 	}
 	us := core.Usage{Prompt: ca.Prompt, Cached: hit, Output: ca.Output}
 	if err := en.decode(ctx, ca, si, nonce); err != nil {
@@ -98,9 +98,9 @@
 	return us, nil
 }
 
-// idemName names work that must not run twice: by its key, or, where the caller
+// executionKey names work that must not run twice: by its key, or, where the caller
 // gave none, by the request.
-func idemName(ca *core.Call) string {
+func executionKey(ca *core.Call) string {
 	switch {
 	case ca.Key != "":
 		return string(ca.Customer) + "/" + string(ca.Key)
@@ -115,11 +115,11 @@
 	pa := core.Part{Attempt: ca.Attempt, Status: 200, Data: []byte(nonce)}
 	for sent := core.Tokens(0); sent < ca.Output; {
 		if en.CutAfter > 0 && sent >= en.CutAfter {
-			return en.broken(core.Failed, core.ReasonCutShort)
+			return en.refusal(core.Failed, core.ReasonCutShort)
 		}
 		step := min(chunk, ca.Output-sent)
 		if en.Clock.Sleep(ctx, time.Duration(step)*en.stepTime()) != nil {
-			return en.interrupted(ctx)
+			return en.interruptionError(ctx)
 		}
 		sent += step
 		pa.Position = int64(sent)
@@ -128,14 +128,14 @@
 			en.Audit.RecordSent(nonce, nonce)
 		}
 		if si.Send(&pa) != nil {
-			return en.broken(core.Unknown, core.ReasonCallerGone)
+			return en.refusal(core.Unknown, core.ReasonCallerGone)
 		}
 		pa.Data = nil
 	}
 	return nil
 }
 
-func (en *Engine) broken(ou core.Outcome, reason core.Reason) error {
+func (en *Engine) refusal(ou core.Outcome, reason core.Reason) error {
 	return &core.Refusal{Outcome: ou, Reason: reason, Step: "endpoint", Peer: "engine", Detail: string(reason)}
 }
 
@@ -145,14 +145,14 @@
 	return en.Step + time.Duration(en.running-1)*en.PerCall
 }
 
-func (en *Engine) begin(key uint64, prompt core.Tokens) core.Tokens {
+func (en *Engine) startPrompt(key uint64, prompt core.Tokens) core.Tokens {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.initCache()
 	en.running++
-	en.ran++
-	held, _ := en.cache.Get(key)
-	return min(held, prompt)
+	en.callCount++
+	cached, _ := en.cache.Get(key)
+	return min(cached, prompt)
 }
 
 func (en *Engine) initCache() {
@@ -161,7 +161,7 @@
 	}
 }
 
-func (en *Engine) finish() {
+func (en *Engine) finishCall() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.running--
@@ -173,16 +173,16 @@
 	old, _ := en.cache.Peek(key)
 	en.cache.Add(key, tokens)
 	en.cached += tokens - old
-	var gone []uint64
+	var victims []uint64
 	for en.CacheTokens > 0 && en.cached > en.CacheTokens && en.cache.Len() > 1 {
 		victim, size, _ := en.cache.RemoveOldest()
 		en.cached -= size
-		gone = append(gone, victim)
+		victims = append(victims, victim)
 	}
 	en.mu.Unlock()
-	for _, victim := range gone {
-		if en.evicted != nil {
-			en.evicted(victim)
+	for _, victim := range victims {
+		if en.onEvict != nil {
+			en.onEvict(victim)
 		}
 	}
 }
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -31,24 +31,24 @@
 
 // Member is one router or agent of the fleet.
 type Member struct {
-	ID       core.VMID
-	VM       core.VM
-	Board    *board.Board
-	Log      *revlog.Log
-	Spreader *syncer.Syncer
-	Meter    *bucket.Bucket
-	Router   *router.Router // nil on agents
-	Ledger   *deny.Tracker  // nil on agents
-	Agent    *agent.Agent   // nil on routers
-	Keeper   *claim.Writer  // nil on routers
-	Keys     *claim.Keys
-	Orders   *order.Executor // nil on routers
-	// Control gives orders; nil on agents.
-	Control *order.Controller
-	Engines []*Engine
+	ID          core.VMID
+	VM          core.VM
+	Board       *board.Board
+	Log         *revlog.Log
+	Syncer      *syncer.Syncer
+	Bucket      *bucket.Bucket
+	Router      *router.Router // nil on agents
+	Tracker     *deny.Tracker  // nil on agents
+	Agent       *agent.Agent   // nil on routers
+	ClaimWriter *claim.Writer  // nil on routers
+	Keys        *claim.Keys
+	Executor    *order.Executor // nil on routers
+	// Controller gives orders; nil on agents.
+	Controller *order.Controller
+	Engines    []*Engine
 
-	// KVCut keeps the member's configuration log and lease from the KV.
-	KVCut atomic.Bool
+	// KVUnreachable keeps the member's configuration log and lease from the KV.
+	KVUnreachable atomic.Bool
 
 	// OrdersRefused counts orders that an agent did not take from this member.
 	OrdersRefused atomic.Int64
@@ -57,18 +57,18 @@
 	adopted []core.Revision
 
 	incarnation core.Incarnation
-	alive       context.Context
+	ctx         context.Context
 	kill        context.CancelFunc
 }
 
-// Adopted are the revisions in the order adopted, for checks.
-func (me *Member) Adopted() []core.Revision {
+// AdoptedRevisions are the revisions in the order adopted, for checks.
+func (me *Member) AdoptedRevisions() []core.Revision {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	return slices.Clone(me.adopted)
 }
 
-func (me *Member) dead() bool { return me.alive.Err() != nil }
+func (me *Member) dead() bool { return me.ctx.Err() != nil }
 
 // Kill ends the member at once, as a VM's loss does.
 func (me *Member) Kill() { me.kill() }
@@ -80,13 +80,13 @@
 	return &core.Digest{From: me.ID, Incarnation: me.incarnation, Revision: me.Log.Revision()}
 }
 
-func (me *Member) exchanged(di *core.Digest) *core.Digest {
-	me.Spreader.NotePeerRevision(di.From, di.Revision)
+func (me *Member) handleExchange(di *core.Digest) *core.Digest {
+	me.Syncer.NotePeerRevision(di.From, di.Revision)
 	own := me.digest()
 	if len(di.Loads) == 0 {
 		own.Loads = nil
 	}
-	me.Meter.Spend(agent.DigestSize(own))
+	me.Bucket.Spend(agent.DigestSize(own))
 	if me.Agent != nil {
 		me.Agent.ApplyDigest(di)
 	}
@@ -105,17 +105,17 @@
 	Engine func(ix int) *Engine
 	// Zones is the number of zones; 0 is 3.
 	Zones int
-	// Lag makes every second process see changes of the VM list that much later.
-	Lag    time.Duration
-	Budget core.Bytes
+	// VMListLag makes every second process see changes of the VM list that much later.
+	VMListLag     time.Duration
+	ControlBudget core.Bytes
 
-	Clock clock.Wall
-	Rand  *clock.Rand
-	Net   *Net
-	Store *kvsrv.Store
-	List  *vmsrv.List
-	late  *vmsrv.List
-	ctx   context.Context
+	Clock       clock.Wall
+	Rand        *clock.Rand
+	Net         *Net
+	Store       *kvsrv.Store
+	List        *vmsrv.List
+	laggingList *vmsrv.List
+	ctx         context.Context
 
 	mu      sync.Mutex // guards members
 	members []*Member
@@ -129,9 +129,9 @@
 	fl.Net = &Net{Clock: fl.Clock, Rand: fl.Rand, Latency: 500 * time.Microsecond}
 	fl.Store = &kvsrv.Store{Clock: fl.Clock, Rand: fl.Rand, Latency: 2 * time.Millisecond}
 	fl.List = &vmsrv.List{Clock: fl.Clock}
-	fl.late = &vmsrv.List{Clock: fl.Clock, Lag: fl.Lag}
-	if fl.Budget == 0 {
-		fl.Budget = 2500
+	fl.laggingList = &vmsrv.List{Clock: fl.Clock, Lag: fl.VMListLag}
+	if fl.ControlBudget == 0 {
+		fl.ControlBudget = 2500
 	}
 	lo := &revlog.Log{KV: fl.Store, Clock: fl.Clock, Rand: fl.Rand}
 	if _, err := lo.Commit(ctx, 0, fl.Document, revlog.Meta{ID: "start", Author: "test"}); err != nil {
@@ -143,12 +143,12 @@
 	for ix := range fl.Routers {
 		fl.AddRouter(fmt.Sprintf("router-%04d", ix), ix)
 	}
-	settle := 3*time.Second + fl.Lag
+	settle := 3*time.Second + fl.VMListLag
 	return fl.Clock.Sleep(ctx, settle)
 }
 
-// All lists the members, dead ones too, in the order in which they were added.
-func (fl *Fleet) All() []*Member {
+// Members lists the members, dead ones too, in the order in which they were added.
+func (fl *Fleet) Members() []*Member {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return slices.Clone(fl.members)
@@ -156,7 +156,7 @@
 
 // RouterAt is the router with that number.
 func (fl *Fleet) RouterAt(ix int) *Member {
-	for _, me := range fl.All() {
+	for _, me := range fl.Members() {
 		if me.Router != nil {
 			if ix == 0 {
 				return me
@@ -167,9 +167,9 @@
 	return nil
 }
 
-// AgentAt finds an agent by name, nil if there is none alive.
-func (fl *Fleet) AgentAt(id core.VMID) *Member {
-	for _, me := range fl.All() {
+// LiveAgent finds an agent by name, nil if there is none alive.
+func (fl *Fleet) LiveAgent(id core.VMID) *Member {
+	for _, me := range fl.Members() {
 		if me.ID == id && me.Agent != nil && !me.dead() {
 			return me
 		}
@@ -179,69 +179,69 @@
 
 // AddAgent starts an agent and lists its VM.
 func (fl *Fleet) AddAgent(name string, ix int) *Member {
-	me := fl.member(name, ix, core.RoleAgent, []core.PoolID{fl.Pool})
+	me := fl.newMember(name, ix, core.RoleAgent, []core.PoolID{fl.Pool})
 	en := fl.Engine(ix)
 	me.Engines = append(me.Engines, en)
 	self := core.Claimant{VM: me.ID, Incarnation: me.incarnation}
-	me.Keeper = &claim.Writer{
+	me.ClaimWriter = &claim.Writer{
 		KV: fl.Store, Clock: fl.Clock, Rand: fl.Rand, Shards: 8, Window: 15 * time.Minute, WriteInterval: 25 * time.Millisecond,
 	}
-	asker := &claim.Dispatcher{
-		Board: me.Board, Peers: port{fl.Net, me.ID}, Clock: fl.Clock, Writer: me.Keeper, Self: self,
+	dispatcher := &claim.Dispatcher{
+		Board: me.Board, Peers: memberPeers{fl.Net, me.ID}, Clock: fl.Clock, Writer: me.ClaimWriter, Self: self,
 	}
 	me.Keys = &claim.Keys{
 		Clock: fl.Clock, Self: self, Window: 15 * time.Minute, MaxBytes: 1 << 20, ClaimTimeout: 3 * time.Second,
-		Ask: asker.Claim, Alive: asker.Alive,
+		Ask: dispatcher.Claim, Alive: dispatcher.Alive,
 	}
 	me.Agent = &agent.Agent{
 		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Self: me.ID, Incarnation: me.incarnation,
 		Slots: []*agent.Slot{{ID: core.EndpointID(name), Pool: fl.Pool, Endpoint: en}},
 		Book:  &ctxdir.Directory{Clock: fl.Clock, MaxCached: 20000, MaxPointers: 20000, TTL: time.Hour},
-		Keys:  me.Keys, Peers: port{fl.Net, me.ID}, AllowSend: me.Meter.Allow, RevisionSeen: me.Spreader.NotePeerRevision,
+		Keys:  me.Keys, Peers: memberPeers{fl.Net, me.ID}, AllowSend: me.Bucket.Allow, RevisionSeen: me.Syncer.NotePeerRevision,
 	}
 	me.Agent.Init()
-	me.Orders = &order.Executor{KV: ownKV{fl.Store, me}, Clock: fl.Clock, Self: me.ID}
+	me.Executor = &order.Executor{KV: memberKV{fl.Store, me}, Clock: fl.Clock, Self: me.ID}
 	for _, sl := range me.Agent.Slots {
-		me.Orders.Endpoints = append(me.Orders.Endpoints, &order.Endpoint{
+		me.Executor.Endpoints = append(me.Executor.Endpoints, &order.Endpoint{
 			ID: sl.ID, Pool: sl.Pool, Engine: en, Drain: sl.Pause, Resume: sl.Resume,
 		})
 	}
-	en.evicted = func(key uint64) { me.Agent.Book.ApplyEviction(core.EndpointID(name), en.nextEvent(), key) }
+	en.onEvict = func(key uint64) { me.Agent.Book.ApplyEviction(core.EndpointID(name), en.nextEvent(), key) }
 	me.Board.Published = me.Agent.Adopt
-	fl.run(me)
-	go func() { _ = me.Agent.Run(me.alive) }()
+	fl.startMember(me)
+	go func() { _ = me.Agent.Run(me.ctx) }()
 	return me
 }
 
 // AddRouter starts a router and lists its VM.
 func (fl *Fleet) AddRouter(name string, ix int) *Member {
-	me := fl.member(name, ix, core.RoleRouter, nil)
+	me := fl.newMember(name, ix, core.RoleRouter, nil)
 	me.Router = &router.Router{
-		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Peers: port{fl.Net, me.ID}, Zone: me.VM.Zone,
-		Budget: &retry.Budget{Ratio: 0.1}, RevisionSeen: me.Spreader.NotePeerRevision,
+		Clock: fl.Clock, Rand: fl.Rand, Board: me.Board, Peers: memberPeers{fl.Net, me.ID}, Zone: me.VM.Zone,
+		Budget: &retry.Budget{Ratio: 0.1}, RevisionSeen: me.Syncer.NotePeerRevision,
 	}
-	store := &deny.KVStore{KV: ownKV{fl.Store, me}}
-	me.Ledger = &deny.Tracker{
-		Peers: &deny.BoardPeers{Board: me.Board, Peers: port{fl.Net, me.ID}, Rand: fl.Rand, BytesSent: me.Meter.Spend, Log: zap.NewNop()},
+	store := &deny.KVStore{KV: memberKV{fl.Store, me}}
+	me.Tracker = &deny.Tracker{
+		Peers: &deny.BoardPeers{Board: me.Board, Peers: memberPeers{fl.Net, me.ID}, Rand: fl.Rand, BytesSent: me.Bucket.Spend, Log: zap.NewNop()},
 		Store: store, Stats: stats.New(), Log: zap.NewNop(),
 	}
-	me.Router.Crashes = me.Ledger
-	me.Control = &order.Controller{
+	me.Router.Crashes = me.Tracker
+	me.Controller = &order.Controller{
 		Lease: &order.Lease{
-			KV: ownKV{fl.Store, me}, Clock: fl.Clock, TTL: order.DefaultTTL,
+			KV: memberKV{fl.Store, me}, Clock: fl.Clock, TTL: order.DefaultTTL,
 			Self: core.Claimant{VM: me.ID, Incarnation: me.incarnation},
 		},
-		Board: me.Board, Peers: port{fl.Net, me.ID}, Clock: fl.Clock, Rand: fl.Rand, AllowSend: me.Meter.Allow,
+		Board: me.Board, Peers: memberPeers{fl.Net, me.ID}, Clock: fl.Clock, Rand: fl.Rand, AllowSend: me.Bucket.Allow,
 		Refused: func(order.Assignment, *core.Refusal) { me.OrdersRefused.Add(1) },
 	}
-	fl.run(me)
-	go func() { _ = me.Control.Run(me.alive) }()
-	go func() { _ = me.Ledger.Run(me.alive) }()
-	go func() { _ = store.Watch(me.alive, me.Ledger, fl.Clock, func() int { return fl.Routers }) }()
+	fl.startMember(me)
+	go func() { _ = me.Controller.Run(me.ctx) }()
+	go func() { _ = me.Tracker.Run(me.ctx) }()
+	go func() { _ = store.Watch(me.ctx, me.Tracker, fl.Clock, func() int { return fl.Routers }) }()
 	return me
 }
 
-func (fl *Fleet) member(name string, ix int, ro core.Role, pools []core.PoolID) *Member {
+func (fl *Fleet) newMember(name string, ix int, ro core.Role, pools []core.PoolID) *Member {
 	zones := fl.Zones
 	if zones == 0 {
 		zones = 3
@@ -251,44 +251,44 @@
 		Role: ro, Pools: pools,
 	}
 	me := &Member{ID: vm.ID, VM: vm, incarnation: core.Incarnation(fl.Rand.Uint64() | 1)}
-	me.alive, me.kill = context.WithCancel(fl.ctx)
-	me.Meter = &bucket.Bucket{Clock: fl.Clock, PerSecond: fl.Budget}
+	me.ctx, me.kill = context.WithCancel(fl.ctx)
+	me.Bucket = &bucket.Bucket{Clock: fl.Clock, PerSecond: fl.ControlBudget}
 	me.Board = &board.Board{Clock: fl.Clock, Rand: fl.Rand, Self: vm}
 	me.Board.Init()
-	me.Log = &revlog.Log{KV: ownKV{fl.Store, me}, Clock: fl.Clock, Rand: fl.Rand, Adopt: func(cfg *decl.Config) {
+	me.Log = &revlog.Log{KV: memberKV{fl.Store, me}, Clock: fl.Clock, Rand: fl.Rand, Adopt: func(cfg *decl.Config) {
 		me.mu.Lock()
 		me.adopted = append(me.adopted, cfg.Revision)
 		me.mu.Unlock()
-		_ = me.Board.Deliver(me.alive, board.ConfigAdopted{Config: cfg})
-		me.Spreader.NoteAdopted()
+		_ = me.Board.Deliver(me.ctx, board.ConfigAdopted{Config: cfg})
+		me.Syncer.NoteAdopted()
 	}}
-	me.Spreader = &syncer.Syncer{
-		Log: me.Log, Board: me.Board, Peers: port{fl.Net, vm.ID}, Clock: fl.Clock, Rand: fl.Rand,
-		Digest: me.digest, AllowSend: me.Meter.Allow,
+	me.Syncer = &syncer.Syncer{
+		Log: me.Log, Board: me.Board, Peers: memberPeers{fl.Net, vm.ID}, Clock: fl.Clock, Rand: fl.Rand,
+		Digest: me.digest, AllowSend: me.Bucket.Allow,
 	}
-	me.Spreader.Init()
+	me.Syncer.Init()
 	return me
 }
 
-// run starts a member's control and makes it known.
-func (fl *Fleet) run(me *Member) {
+// startMember starts a member's control and makes it known.
+func (fl *Fleet) startMember(me *Member) {
 	fl.Net.join(me)
 	fl.mu.Lock()
 	fl.members = append(fl.members, me)
-	late := fl.Lag > 0 && len(fl.members)%2 == 0
+	lagging := fl.VMListLag > 0 && len(fl.members)%2 == 0
 	fl.mu.Unlock()
 	fl.SetState(me, core.VMLive)
 	list := fl.List
-	if late {
-		list = fl.late
+	if lagging {
+		list = fl.laggingList
 	}
 	lister := &board.Lister{Board: me.Board, List: list, Draining: func() {
 		if me.Agent != nil {
 			me.Agent.StopAccepting()
 		}
 	}}
-	for _, loop := range []func(context.Context) error{me.Board.Run, lister.Run, me.Spreader.Run} {
-		go func() { _ = loop(me.alive) }()
+	for _, loop := range []func(context.Context) error{me.Board.Run, lister.Run, me.Syncer.Run} {
+		go func() { _ = loop(me.ctx) }()
 	}
 }
 
@@ -297,16 +297,16 @@
 	vm := me.VM
 	vm.State = st
 	fl.List.Set(vm)
-	fl.late.Set(vm)
+	fl.laggingList.Set(vm)
 }
 
 // PeersOf is a member's own access to the net, for calls past its router.
-func (fl *Fleet) PeersOf(me *Member) core.Peers { return port{fl.Net, me.ID} }
+func (fl *Fleet) PeersOf(me *Member) core.Peers { return memberPeers{fl.Net, me.ID} }
 
 // LiveAgents are the agents that are neither dead nor leaving.
 func (fl *Fleet) LiveAgents() []*Member {
 	var live []*Member
-	for _, me := range fl.All() {
+	for _, me := range fl.Members() {
 		if me.Agent != nil && !me.dead() && !me.Agent.Draining() {
 			live = append(live, me)
 		}
@@ -314,13 +314,13 @@
 	return live
 }
 
-// Leave marks an agent as leaving and lets it leave with care, handing on at most
+// Shutdown marks an agent as leaving and lets it leave with care, handing on at most
 // that many bytes; it is gone once it has.
-func (fl *Fleet) Leave(me *Member, most core.Bytes) {
-	const within = 20 * time.Second
+func (fl *Fleet) Shutdown(me *Member, maxBytes core.Bytes) {
+	const timeout = 20 * time.Second
 	fl.SetState(me, core.VMDraining)
 	go func() {
-		_, _ = me.Agent.Shutdown(me.alive, within, most)
+		_, _ = me.Agent.Shutdown(me.ctx, timeout, maxBytes)
 		fl.SetState(me, core.VMGone)
 		me.Kill()
 	}()
--- a/io/stand/inmem/move.go
+++ b/io/stand/inmem/move.go
@@ -14,8 +14,8 @@
 
 var errNoContext = errors.New("inmem: no such context")
 
-// moveToken is the time that exporting a token takes.
-const moveToken = 10 * time.Microsecond
+// exportTokenTime is the time that exporting a token takes.
+const exportTokenTime = 10 * time.Microsecond
 
 // Export writes a context's size, as there is nothing else to it here.
 func (en *Engine) Export(ctx context.Context, key uint64, wr io.Writer) error {
@@ -26,7 +26,7 @@
 	}
 	tokens, _ := en.cache.Peek(key)
 	en.mu.Unlock()
-	if err := en.Clock.Sleep(ctx, time.Duration(tokens)*moveToken); err != nil {
+	if err := en.Clock.Sleep(ctx, time.Duration(tokens)*exportTokenTime); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(wr, int64(tokens))
--- a/io/stand/inmem/net.go
+++ b/io/stand/inmem/net.go
@@ -33,51 +33,51 @@
 	// Latency is one way's time.
 	Latency time.Duration
 
-	mu      sync.Mutex // guards all below
-	members map[core.VMID]*Member
-	cuts    map[[2]core.VMID]bool
-	lose    float64
-	paused  map[core.VMID]time.Duration
-	calls   int64
-	fetched core.Bytes
+	mu           sync.Mutex // guards all below
+	members      map[core.VMID]*Member
+	partitions   map[[2]core.VMID]bool
+	replyLoss    float64
+	orderDelays  map[core.VMID]time.Duration
+	calls        int64
+	fetchedBytes core.Bytes
 }
 
-var errCut = errors.New("inmem: no way to the peer")
+var errUnreachable = errors.New("inmem: no way to the peer")
 
-// Cut breaks the way between two members, or heals it.
-func (ne *Net) Cut(one, two core.VMID, broken bool) {
+// SetPartition breaks the way between two members, or heals it.
+func (ne *Net) SetPartition(one, two core.VMID, broken bool) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	if ne.cuts == nil {
-		ne.cuts = map[[2]core.VMID]bool{}
+	if ne.partitions == nil {
+		ne.partitions = map[[2]core.VMID]bool{}
 	}
-	ne.cuts[[2]core.VMID{one, two}] = broken
-	ne.cuts[[2]core.VMID{two, one}] = broken
+	ne.partitions[[2]core.VMID{one, two}] = broken
+	ne.partitions[[2]core.VMID{two, one}] = broken
 }
 
-// Lose makes that part of answers be lost after the call has run.
-func (ne *Net) Lose(part float64) {
+// SetReplyLoss makes that part of answers be lost after the call has run.
+func (ne *Net) SetReplyLoss(part float64) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	ne.lose = part
+	ne.replyLoss = part
 }
 
-// PauseOrders makes the orders that a member gives from now on leave that much
+// DelayOrders makes the orders that a member gives from now on leave that much
 // later, whatever becomes of their sender meanwhile, as when a process is paused
 // between deciding and sending.
-func (ne *Net) PauseOrders(vm core.VMID, d time.Duration) {
+func (ne *Net) DelayOrders(vm core.VMID, d time.Duration) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	if ne.paused == nil {
-		ne.paused = map[core.VMID]time.Duration{}
+	if ne.orderDelays == nil {
+		ne.orderDelays = map[core.VMID]time.Duration{}
 	}
-	ne.paused[vm] = d
+	ne.orderDelays[vm] = d
 }
 
-func (ne *Net) pause(from core.VMID) time.Duration {
+func (ne *Net) orderDelay(from core.VMID) time.Duration {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	return ne.paused[from]
+	return ne.orderDelays[from]
 }
 
 func (ne *Net) join(me *Member) {
@@ -89,8 +89,8 @@
 	ne.members[me.ID] = me
 }
 
-// way finds the member that a call from one VM to another reaches.
-func (ne *Net) way(ctx context.Context, from, to core.VMID) (*Member, error) {
+// reach finds the member that a call from one VM to another reaches.
+func (ne *Net) reach(ctx context.Context, from, to core.VMID) (*Member, error) {
 	if err := ne.Clock.Sleep(ctx, ne.Latency); err != nil {
 		return nil, err
 	}
@@ -98,40 +98,40 @@
 	defer ne.mu.Unlock()
 	ne.calls++
 	me := ne.members[to]
-	if me == nil || me.dead() || ne.cuts[[2]core.VMID{from, to}] {
-		return nil, errCut
+	if me == nil || me.dead() || ne.partitions[[2]core.VMID{from, to}] {
+		return nil, errUnreachable
 	}
 	return me, nil
 }
 
-func (ne *Net) lost(from, to core.VMID) bool {
+func (ne *Net) replyLost(from, to core.VMID) bool {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	return ne.cuts[[2]core.VMID{from, to}] || (ne.lose > 0 && ne.Rand.Float64() < ne.lose)
+	return ne.partitions[[2]core.VMID{from, to}] || (ne.replyLoss > 0 && ne.Rand.Float64() < ne.replyLoss)
 }
 
-// port is a member's own access to the net.
-type port struct {
+// memberPeers is a member's own access to the net.
+type memberPeers struct {
 	net  *Net
 	from core.VMID
 }
 
-var _ core.Peers = port{}
+var _ core.Peers = memberPeers{}
 
 // Serve runs a call on another member. A member that dies, or a way that is cut,
 // while the call runs leaves its outcome unknown.
-func (po port) Serve(ctx context.Context, to core.VMID, ca *core.Call, si core.Sink) (*core.Report, error) {
-	me, err := po.net.way(ctx, po.from, to)
+func (po memberPeers) Serve(ctx context.Context, to core.VMID, ca *core.Call, si core.Sink) (*core.Report, error) {
+	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.Agent == nil {
 		return nil, &core.Refusal{
-			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errCut.Error(),
+			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errUnreachable.Error(),
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(me.alive, cancel)()
-	rep, err := me.Agent.Serve(ctx, ca, &dying{sink: si, member: me})
-	if me.dead() || po.net.lost(po.from, to) {
+	defer context.AfterFunc(me.ctx, cancel)()
+	rep, err := me.Agent.Serve(ctx, ca, &liveSink{sink: si, member: me})
+	if me.dead() || po.net.replyLost(po.from, to) {
 		return nil, &core.Refusal{
 			Outcome: core.Unknown, Reason: core.ReasonPeerLost, Step: "serve", Peer: string(to), Detail: "the answer was lost",
 		}
@@ -139,117 +139,117 @@
 	return rep, err
 }
 
-// dying passes parts on while its member lives.
-type dying struct {
+// liveSink passes parts on while its member lives.
+type liveSink struct {
 	sink   core.Sink
 	member *Member
 }
 
 // Send passes a part on.
-func (dy *dying) Send(pa *core.Part) error {
+func (dy *liveSink) Send(pa *core.Part) error {
 	if dy.member.dead() {
-		return errCut
+		return errUnreachable
 	}
 	return dy.sink.Send(pa)
 }
 
 // Exchange swaps digests.
-func (po port) Exchange(ctx context.Context, to core.VMID, di *core.Digest) (*core.Digest, error) {
-	me, err := po.net.way(ctx, po.from, to)
+func (po memberPeers) Exchange(ctx context.Context, to core.VMID, di *core.Digest) (*core.Digest, error) {
+	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil {
 		return nil, err
 	}
-	return me.exchanged(di), nil
+	return me.handleExchange(di), nil
 }
 
 // Claim asks a keeper.
-func (po port) Claim(ctx context.Context, to core.VMID, cl *core.Claim) (*core.ClaimReply, error) {
-	me, err := po.net.way(ctx, po.from, to)
-	if err != nil || me.Keeper == nil {
-		return nil, errCut
+func (po memberPeers) Claim(ctx context.Context, to core.VMID, cl *core.Claim) (*core.ClaimReply, error) {
+	me, err := po.net.reach(ctx, po.from, to)
+	if err != nil || me.ClaimWriter == nil {
+		return nil, errUnreachable
 	}
-	return me.Keeper.Claim(ctx, cl)
+	return me.ClaimWriter.Claim(ctx, cl)
 }
 
 // Fetch asks a peer for configuration.
-func (po port) Fetch(ctx context.Context, to core.VMID, since core.Revision) (*core.Changes, error) {
-	me, err := po.net.way(ctx, po.from, to)
+func (po memberPeers) Fetch(ctx context.Context, to core.VMID, since core.Revision) (*core.Changes, error) {
+	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil {
 		return nil, err
 	}
 	ch, err := me.Log.ChangesSince(since)
 	if err == nil {
-		po.net.countFetch(ch)
+		po.net.addFetched(ch)
 	}
 	return ch, err
 }
 
-// countFetch adds up the configuration that travels between members.
-func (ne *Net) countFetch(ch *core.Changes) {
+// addFetched adds up the configuration that travels between members.
+func (ne *Net) addFetched(ch *core.Changes) {
 	size := len(ch.Snapshot)
 	for _, de := range ch.Deltas {
 		size += len(de)
 	}
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	ne.fetched += core.Bytes(size) + 2*bucket.Overhead
+	ne.fetchedBytes += core.Bytes(size) + 2*bucket.Overhead
 }
 
-// Fetched is the configuration sent between members so far, with its overhead.
-func (ne *Net) Fetched() core.Bytes {
+// FetchedBytes is the configuration sent between members so far, with its overhead.
+func (ne *Net) FetchedBytes() core.Bytes {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
-	return ne.fetched
+	return ne.fetchedBytes
 }
 
 // UpdatePlacements tells a home.
-func (po port) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
-	me, err := po.net.way(ctx, po.from, to)
+func (po memberPeers) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
+	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.Agent == nil {
-		return errCut
+		return errUnreachable
 	}
 	me.Agent.ApplyPlacements(pls)
 	return nil
 }
 
 // NotifyCrash tells another member's router of a request.
-func (po port) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
-	me, err := po.net.way(ctx, po.from, to)
-	if err != nil || me.Ledger == nil {
-		return errCut
+func (po memberPeers) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
+	me, err := po.net.reach(ctx, po.from, to)
+	if err != nil || me.Tracker == nil {
+		return errUnreachable
 	}
-	me.Ledger.ApplyNotice(time.Now(), string(po.from), *no)
+	me.Tracker.ApplyNotice(time.Now(), string(po.from), *no)
 	return nil
 }
 
 // Order hands an order to another member's agent.
-func (po port) Order(ctx context.Context, to core.VMID, or *core.Order) error {
+func (po memberPeers) Order(ctx context.Context, to core.VMID, or *core.Order) error {
 	ctx = context.WithoutCancel(ctx)
-	_ = po.net.Clock.Sleep(ctx, po.net.pause(po.from))
-	me, err := po.net.way(ctx, po.from, to)
-	if err != nil || me.Orders == nil {
+	_ = po.net.Clock.Sleep(ctx, po.net.orderDelay(po.from))
+	me, err := po.net.reach(ctx, po.from, to)
+	if err != nil || me.Executor == nil {
 		return &core.Refusal{
-			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errCut.Error(),
+			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errUnreachable.Error(),
 		}
 	}
-	return me.Orders.Order(ctx, or)
+	return me.Executor.Order(ctx, or)
 }
 
 // Inspect asks another member's agent for its endpoints.
-func (po port) Inspect(ctx context.Context, to core.VMID) ([]core.EndpointState, error) {
-	me, err := po.net.way(ctx, po.from, to)
-	if err != nil || me.Orders == nil {
-		return nil, errCut
+func (po memberPeers) Inspect(ctx context.Context, to core.VMID) ([]core.EndpointState, error) {
+	me, err := po.net.reach(ctx, po.from, to)
+	if err != nil || me.Executor == nil {
+		return nil, errUnreachable
 	}
-	return me.Orders.States(ctx), nil
+	return me.Executor.States(ctx), nil
 }
 
 // HandOver moves a context to another member's agent.
-func (po port) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
-	me, err := po.net.way(ctx, po.from, to)
+func (po memberPeers) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
+	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.Agent == nil {
 		return &core.Refusal{
-			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errCut.Error(),
+			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errUnreachable.Error(),
 		}
 	}
 	return me.Agent.ImportContext(ctx, ha, rd)
--- a/io/stand/inmem/ownkv.go
+++ b/io/stand/inmem/ownkv.go
@@ -8,72 +8,72 @@
 	"almondrill/io/stand/kvsrv"
 )
 
-// ownKV is the KV as one member reaches it.
-type ownKV struct {
+// memberKV is the KV as one member reaches it.
+type memberKV struct {
 	kv     *kvsrv.Store
 	member *Member
 }
 
-var _ core.KV = ownKV{}
+var _ core.KV = memberKV{}
 
-func (ow ownKV) cut() error {
-	if ow.member.KVCut.Load() || ow.member.dead() {
+func (ow memberKV) check() error {
+	if ow.member.KVUnreachable.Load() || ow.member.dead() {
 		return kvsrv.ErrUnavailable
 	}
 	return nil
 }
 
 // Get reads an entry.
-func (ow ownKV) Get(ctx context.Context, key string) (core.Entry, error) {
-	if err := ow.cut(); err != nil {
+func (ow memberKV) Get(ctx context.Context, key string) (core.Entry, error) {
+	if err := ow.check(); err != nil {
 		return core.Entry{}, err
 	}
 	return ow.kv.Get(ctx, key)
 }
 
 // Put writes an entry.
-func (ow ownKV) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
-	if err := ow.cut(); err != nil {
+func (ow memberKV) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
+	if err := ow.check(); err != nil {
 		return 0, err
 	}
 	return ow.kv.Put(ctx, key, value, expect, le)
 }
 
 // Delete removes an entry.
-func (ow ownKV) Delete(ctx context.Context, key string, expect core.Version) error {
-	if err := ow.cut(); err != nil {
+func (ow memberKV) Delete(ctx context.Context, key string, expect core.Version) error {
+	if err := ow.check(); err != nil {
 		return err
 	}
 	return ow.kv.Delete(ctx, key, expect)
 }
 
 // List reads a range.
-func (ow ownKV) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
-	if err := ow.cut(); err != nil {
+func (ow memberKV) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
+	if err := ow.check(); err != nil {
 		return nil, err
 	}
 	return ow.kv.List(ctx, from, to, limit)
 }
 
 // Grant creates a lease.
-func (ow ownKV) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
-	if err := ow.cut(); err != nil {
+func (ow memberKV) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
+	if err := ow.check(); err != nil {
 		return 0, err
 	}
 	return ow.kv.Grant(ctx, ttl)
 }
 
 // Renew prolongs a lease.
-func (ow ownKV) Renew(ctx context.Context, le core.LeaseID) error {
-	if err := ow.cut(); err != nil {
+func (ow memberKV) Renew(ctx context.Context, le core.LeaseID) error {
+	if err := ow.check(); err != nil {
 		return err
 	}
 	return ow.kv.Renew(ctx, le)
 }
 
 // Watch waits for a newer entry.
-func (ow ownKV) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
-	if err := ow.cut(); err != nil {
+func (ow memberKV) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
+	if err := ow.check(); err != nil {
 		return core.Entry{}, err
 	}
 	return ow.kv.Watch(ctx, prefix, after)
--- a/io/stand/inmem/tune.go
+++ b/io/stand/inmem/tune.go
@@ -8,9 +8,9 @@
 	"almondrill/io/stand/wstore"
 )
 
-// Tuning is the part of an Engine that takes orders. Set the exported fields
+// OrderHandling is the part of an Engine that takes orders. Set the exported fields
 // before use.
-type Tuning struct {
+type OrderHandling struct {
 	// Loaded is what the engine has loaded; guarded by the engine's lock.
 	Loaded core.EngineState
 	// ChecksFence makes it refuse orders with an old number.
@@ -29,41 +29,41 @@
 func (en *Engine) State(context.Context) (*core.EngineState, error) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.Crashes.away {
-		return nil, en.broken(core.NotRun, core.ReasonEndpointDown)
+	if en.Crashes.down {
+		return nil, en.refusal(core.NotRun, core.ReasonEndpointDown)
 	}
-	st := en.Tuning.Loaded
+	st := en.Orders.Loaded
 	st.Adapters = slices.Clone(st.Adapters)
 	return &st, nil
 }
 
 // Order carries an order out.
 func (en *Engine) Order(ctx context.Context, or *core.Order) error {
-	if !en.takes(or) {
-		return en.broken(core.NotRun, core.ReasonOldFence)
+	if !en.acceptOrder(or) {
+		return en.refusal(core.NotRun, core.ReasonOldFence)
 	}
-	if or.Kind == core.OrderLoadModel && en.Tuning.Weights != nil {
-		if en.Tuning.Weights.BeginFetch() != nil {
-			return en.broken(core.Failed, core.ReasonWeightsBusy)
+	if or.Kind == core.OrderLoadModel && en.Orders.Weights != nil {
+		if en.Orders.Weights.BeginFetch() != nil {
+			return en.refusal(core.Failed, core.ReasonWeightsBusy)
 		}
-		defer en.Tuning.Weights.EndFetch()
-		if en.Clock.Sleep(ctx, en.Tuning.Weights.FetchTime) != nil {
-			return en.broken(core.Unknown, core.ReasonStalled)
+		defer en.Orders.Weights.EndFetch()
+		if en.Clock.Sleep(ctx, en.Orders.Weights.FetchTime) != nil {
+			return en.refusal(core.Unknown, core.ReasonStalled)
 		}
 	}
 	if or.Kind == core.OrderLoadModel && or.Version != "" && or.Version == en.Crashes.OnVersion {
 		en.Crash()
-		if en.Crashes.Loaded {
+		if en.Crashes.AfterLoading {
 			return nil
 		}
-		return en.broken(core.Unknown, core.ReasonPeerLost)
+		return en.refusal(core.Unknown, core.ReasonPeerLost)
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	lo := &en.Tuning.Loaded
+	lo := &en.Orders.Loaded
 	switch or.Kind {
 	case core.OrderLoadModel:
-		en.Tuning.Interrupted += en.running
+		en.Orders.Interrupted += en.running
 		*lo = core.EngineState{Model: or.Name, Version: or.Version, Role: lo.Role}
 	case core.OrderChangeRole:
 		lo.Role = or.Name
@@ -75,15 +75,15 @@
 	return nil
 }
 
-// takes notes the order's number.
-func (en *Engine) takes(or *core.Order) bool {
+// acceptOrder notes the order's number.
+func (en *Engine) acceptOrder(or *core.Order) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	last := len(en.Tuning.Fences) - 1
-	if en.Tuning.ChecksFence && last >= 0 && or.Fence < en.Tuning.Fences[last] {
+	last := len(en.Orders.Fences) - 1
+	if en.Orders.ChecksFence && last >= 0 && or.Fence < en.Orders.Fences[last] {
 		return false
 	}
-	en.Tuning.Fences = append(en.Tuning.Fences, or.Fence)
+	en.Orders.Fences = append(en.Orders.Fences, or.Fence)
 	return true
 }
 
@@ -92,5 +92,5 @@
 func (en *Engine) Fences() (fences []core.Fence, interrupted int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return slices.Clone(en.Tuning.Fences), en.Tuning.Interrupted
+	return slices.Clone(en.Orders.Fences), en.Orders.Interrupted
 }
