--- a/cmd/almondrill/standin.go
+++ b/cmd/almondrill/standin.go
@@ -21,7 +21,7 @@
 	"almondrill/io/stand/engine"
 	"almondrill/io/stand/kvsrv"
 	"almondrill/io/stand/plain"
-	"almondrill/io/stand/vmsrv"
+	"almondrill/io/stand/vmlist"
 	"almondrill/io/stand/wstore"
 	"almondrill/io/vmnet"
 )
@@ -104,7 +104,7 @@
 	case "weights":
 		stop = serveHTTP(li, (&wstore.Store{Clock: clock.Wall{}, FetchTime: sc.load, MaxFetches: sc.atOnce}).Handler())
 	case "vms":
-		list := &vmsrv.List{Clock: clock.Wall{}, Lag: sc.lag}
+		list := &vmlist.List{Clock: clock.Wall{}, Lag: sc.lag}
 		if err = sc.readList(list); err != nil {
 			return failure(err)
 		}
@@ -128,7 +128,7 @@
 	return func() { _ = server.Close() }
 }
 
-func (sc *standinCommand) readList(list *vmsrv.List) error {
+func (sc *standinCommand) readList(list *vmlist.List) error {
 	data, err := os.ReadFile(sc.file)
 	if err != nil {
 		return fmt.Errorf("read the list of VMs: %w", err)
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (sc *standinCommand) rereadList(list *vmsrv.List) {
+func (sc *standinCommand) rereadList(list *vmlist.List) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	for range hangups {
--- a/io/demo/fleet.go
+++ b/io/demo/fleet.go
@@ -39,7 +39,7 @@
 	"almondrill/io/stand/engine"
 	"almondrill/io/stand/kvsrv"
 	"almondrill/io/stand/plain"
-	"almondrill/io/stand/vmsrv"
+	"almondrill/io/stand/vmlist"
 	"almondrill/io/vmnet"
 )
 
@@ -68,7 +68,7 @@
 	CallersAddr string
 
 	Store       *kvsrv.Store
-	List        *vmsrv.List
+	List        *vmlist.List
 	Audit       *audit.Audit
 	Standins    []*engine.Engine
 	Plain       []*plain.Service
@@ -131,7 +131,7 @@
 	}
 	fl.Audit = &audit.Audit{}
 	fl.Store = &kvsrv.Store{Clock: fl.clock, Rand: clock.NewRand(1), WritesPerSecond: 300, ReadsPerSecond: 2000}
-	fl.List = &vmsrv.List{Clock: fl.clock}
+	fl.List = &vmlist.List{Clock: fl.clock}
 }
 
 // startPlatform starts the stand-ins for the KV and the VM list.
--- a/io/stand/inmem/fleet.go
+++ b/io/stand/inmem/fleet.go
@@ -25,7 +25,7 @@
 	"almondrill/io/clock"
 	"almondrill/io/deny"
 	"almondrill/io/stand/kvsrv"
-	"almondrill/io/stand/vmsrv"
+	"almondrill/io/stand/vmlist"
 	"almondrill/io/stats"
 )
 
@@ -113,8 +113,8 @@
 	Rand        *clock.Rand
 	Net         *Net
 	Store       *kvsrv.Store
-	List        *vmsrv.List
-	laggingList *vmsrv.List
+	List        *vmlist.List
+	laggingList *vmlist.List
 	ctx         context.Context
 
 	mu      sync.Mutex // guards members
@@ -128,8 +128,8 @@
 	fl.Rand = clock.NewRand(fl.Seed)
 	fl.Net = &Net{Clock: fl.Clock, Rand: fl.Rand, Latency: 500 * time.Microsecond}
 	fl.Store = &kvsrv.Store{Clock: fl.Clock, Rand: fl.Rand, Latency: 2 * time.Millisecond}
-	fl.List = &vmsrv.List{Clock: fl.Clock}
-	fl.laggingList = &vmsrv.List{Clock: fl.Clock, Lag: fl.VMListLag}
+	fl.List = &vmlist.List{Clock: fl.Clock}
+	fl.laggingList = &vmlist.List{Clock: fl.Clock, Lag: fl.VMListLag}
 	if fl.ControlBudget == 0 {
 		fl.ControlBudget = 2500
 	}
--- a/io/stand/vmsrv/vmsrv.go
+++ b/io/stand/vmlist/vmsrv.go
@@ -1,4 +1,4 @@
-// Package vmsrv is a small stand-in for the platform's lagging list of VMs.
+// Package vmlist is a small stand-in for the platform's lagging list of VMs.
 //
 // # Concepts
 //
@@ -9,7 +9,7 @@
 //
 //	li := &vmsrv.List{Clock: clock, Lag: 2 * time.Second}
 //	li.Set(core.VM{ID: "agent-1", State: core.VMLeaving})
-package vmsrv
+package vmlist
 
 import (
 	"context"
