--- a/cmd/almondrill/processes_test.go
+++ b/cmd/almondrill/processes_test.go
@@ -16,7 +16,7 @@
 
 	"almondrill/core"
 	"almondrill/io/client"
-	"almondrill/io/stand/local"
+	"almondrill/io/fakes/local"
 )
 
 // fleet is a fleet of separate processes of the built program.
--- a/cmd/almondrill/standin.go
+++ b/cmd/almondrill/standin.go
@@ -17,12 +17,12 @@
 
 	"almondrill/core"
 	"almondrill/io/clock"
+	"almondrill/io/fakes/engine"
+	"almondrill/io/fakes/kvsrv"
+	"almondrill/io/fakes/plain"
+	"almondrill/io/fakes/vmlist"
+	"almondrill/io/fakes/wstore"
 	"almondrill/io/kvrpc"
-	"almondrill/io/stand/engine"
-	"almondrill/io/stand/kvsrv"
-	"almondrill/io/stand/plain"
-	"almondrill/io/stand/vmlist"
-	"almondrill/io/stand/wstore"
 	"almondrill/io/vmnet"
 )
 
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -12,7 +12,7 @@
 	"almondrill/core"
 	"almondrill/core/claim"
 	"almondrill/io/clock"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/kvsrv"
 )
 
 func ask(key string, vm core.VMID, in core.Incarnation) *core.Claim {
--- a/core/claim/history_test.go
+++ b/core/claim/history_test.go
@@ -14,7 +14,7 @@
 	"almondrill/core"
 	"almondrill/core/claim"
 	"almondrill/io/clock"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/kvsrv"
 )
 
 // explore runs histories of new seeds, such as -explore 1000.
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -15,8 +15,8 @@
 	"almondrill/core/decl"
 	"almondrill/core/order"
 	"almondrill/io/clock"
-	"almondrill/io/stand/inmem"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/inmem"
+	"almondrill/io/fakes/kvsrv"
 )
 
 func newStore() *kvsrv.Store {
--- a/core/revlog/revlog_test.go
+++ b/core/revlog/revlog_test.go
@@ -16,7 +16,7 @@
 	"almondrill/core/decl"
 	"almondrill/core/revlog"
 	"almondrill/io/clock"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/kvsrv"
 )
 
 // explore runs histories of new seeds, such as -explore 1000.
--- a/core/trial/config_test.go
+++ b/core/trial/config_test.go
@@ -8,8 +8,8 @@
 	"almondrill/core"
 	"almondrill/core/decl"
 	"almondrill/core/revlog"
-	"almondrill/io/stand/inmem"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/inmem"
+	"almondrill/io/fakes/kvsrv"
 )
 
 // commitCustomer has one more customer accepted through a member.
--- a/core/trial/control_test.go
+++ b/core/trial/control_test.go
@@ -10,8 +10,8 @@
 	"almondrill/core"
 	"almondrill/core/decl"
 	"almondrill/core/revlog"
-	"almondrill/io/stand/inmem"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/inmem"
+	"almondrill/io/fakes/kvsrv"
 )
 
 var fleetSizes = []int{50, 150, 500}
--- a/core/trial/failure_test.go
+++ b/core/trial/failure_test.go
@@ -9,8 +9,8 @@
 
 	"almondrill/core"
 	"almondrill/core/board"
-	"almondrill/io/stand/inmem"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/inmem"
+	"almondrill/io/fakes/kvsrv"
 )
 
 func (st *harness) executions() int {
--- a/core/trial/history_test.go
+++ b/core/trial/history_test.go
@@ -14,9 +14,9 @@
 	"almondrill/core/decl"
 	"almondrill/core/router"
 	"almondrill/io/clock"
-	"almondrill/io/stand/audit"
-	"almondrill/io/stand/inmem"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/audit"
+	"almondrill/io/fakes/inmem"
+	"almondrill/io/fakes/kvsrv"
 )
 
 // explore runs histories of new seeds, such as -explore 100.
--- a/core/trial/leave_test.go
+++ b/core/trial/leave_test.go
@@ -8,7 +8,7 @@
 	"almondrill/core"
 	"almondrill/core/ring"
 	"almondrill/core/router"
-	"almondrill/io/stand/inmem"
+	"almondrill/io/fakes/inmem"
 )
 
 // cachedTurn sends a turn of a chat and returns how many tokens were cached.
--- a/core/trial/orders_test.go
+++ b/core/trial/orders_test.go
@@ -12,10 +12,10 @@
 	"almondrill/core/decl"
 	"almondrill/core/revlog"
 	"almondrill/io/clock"
-	"almondrill/io/stand/audit"
-	"almondrill/io/stand/inmem"
-	"almondrill/io/stand/kvsrv"
-	"almondrill/io/stand/wstore"
+	"almondrill/io/fakes/audit"
+	"almondrill/io/fakes/inmem"
+	"almondrill/io/fakes/kvsrv"
+	"almondrill/io/fakes/wstore"
 )
 
 // rollout is a fleet whose pool declares a version, and its weight store.
--- a/core/trial/policy_test.go
+++ b/core/trial/policy_test.go
@@ -10,7 +10,7 @@
 	"almondrill/core"
 	"almondrill/core/decl"
 	"almondrill/io/clock"
-	"almondrill/io/stand/inmem"
+	"almondrill/io/fakes/inmem"
 )
 
 // engineProfile is a size of engines and of the answers they give.
--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -18,7 +18,7 @@
 	"almondrill/core/pick"
 	"almondrill/core/ring"
 	"almondrill/io/clock"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/kvsrv"
 )
 
 // bigSnapshot is a fleet of 2,100 agents in 14 pools of 150, as a router sees it.
--- a/core/trial/work_test.go
+++ b/core/trial/work_test.go
@@ -15,7 +15,7 @@
 	"almondrill/core/decl"
 	"almondrill/core/ring"
 	"almondrill/core/router"
-	"almondrill/io/stand/inmem"
+	"almondrill/io/fakes/inmem"
 )
 
 const poolID core.PoolID = "chat"
--- a/io/back/follow_test.go
+++ b/io/back/follow_test.go
@@ -16,7 +16,7 @@
 	"almondrill/core/loads"
 	"almondrill/io/back"
 	"almondrill/io/clock"
-	"almondrill/io/stand/engine"
+	"almondrill/io/fakes/engine"
 )
 
 // manualClock is a clock that stands until it is moved; who sleeps, sleeps until the
--- a/io/demo/crash_test.go
+++ b/io/demo/crash_test.go
@@ -8,7 +8,7 @@
 	"almondrill/core"
 	"almondrill/io/client"
 	"almondrill/io/demo"
-	"almondrill/io/stand/engine"
+	"almondrill/io/fakes/engine"
 )
 
 // A chat's turn crashes the engine that runs it, at its second token. The caller comes back
--- a/io/demo/leave_test.go
+++ b/io/demo/leave_test.go
@@ -8,7 +8,7 @@
 	"almondrill/core"
 	"almondrill/io/client"
 	"almondrill/io/demo"
-	"almondrill/io/stand/engine"
+	"almondrill/io/fakes/engine"
 )
 
 // imports has chats served, stops the agent of the first engine, and returns how
--- a/io/demo/path_test.go
+++ b/io/demo/path_test.go
@@ -15,10 +15,10 @@
 	"almondrill/io/client"
 	"almondrill/io/conf"
 	"almondrill/io/demo"
+	"almondrill/io/fakes/engine"
 	"almondrill/io/load"
 	"almondrill/io/logs"
 	"almondrill/io/node"
-	"almondrill/io/stand/engine"
 	"almondrill/io/stats"
 )
 
--- a/io/deny/guard_test.go
+++ b/io/deny/guard_test.go
@@ -16,7 +16,7 @@
 	"almondrill/io/clock"
 	"almondrill/io/conns"
 	"almondrill/io/deny"
-	"almondrill/io/stand/local"
+	"almondrill/io/fakes/local"
 	"almondrill/io/stats"
 )
 
--- a/io/deny/kvstore_test.go
+++ b/io/deny/kvstore_test.go
@@ -12,7 +12,7 @@
 	"almondrill/core"
 	"almondrill/io/clock"
 	"almondrill/io/deny"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/kvsrv"
 	"almondrill/io/stats"
 )
 
--- a/io/entry/view_test.go
+++ b/io/entry/view_test.go
@@ -12,9 +12,9 @@
 	"almondrill/core/route"
 	"almondrill/io/conf"
 	"almondrill/io/entry"
+	"almondrill/io/fakes/local"
 	"almondrill/io/logs"
 	"almondrill/io/relay"
-	"almondrill/io/stand/local"
 	"almondrill/io/stats"
 )
 
--- a/io/stand/engine/engine.go
+++ b/io/fakes/engine/engine.go
@@ -33,7 +33,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
 	"almondrill/core"
-	"almondrill/io/stand/audit"
+	"almondrill/io/fakes/audit"
 )
 
 // Faults orders failures. The zero value is a healthy engine.
--- a/io/stand/inmem/engine.go
+++ b/io/fakes/inmem/engine.go
@@ -9,7 +9,7 @@
 
 	"almondrill/core"
 	"almondrill/core/ring"
-	"almondrill/io/stand/audit"
+	"almondrill/io/fakes/audit"
 )
 
 // Engine is a fake endpoint on virtual time: a batch of running calls shares it,
--- a/io/stand/inmem/fleet.go
+++ b/io/fakes/inmem/fleet.go
@@ -24,8 +24,8 @@
 	"almondrill/core/syncer"
 	"almondrill/io/clock"
 	"almondrill/io/deny"
-	"almondrill/io/stand/kvsrv"
-	"almondrill/io/stand/vmlist"
+	"almondrill/io/fakes/kvsrv"
+	"almondrill/io/fakes/vmlist"
 	"almondrill/io/stats"
 )
 
--- a/io/stand/inmem/ownkv.go
+++ b/io/fakes/inmem/ownkv.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/io/stand/kvsrv"
+	"almondrill/io/fakes/kvsrv"
 )
 
 // memberKV is the KV as one member reaches it.
--- a/io/stand/inmem/tune.go
+++ b/io/fakes/inmem/tune.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"almondrill/core"
-	"almondrill/io/stand/wstore"
+	"almondrill/io/fakes/wstore"
 )
 
 // OrderHandling is the part of an Engine that takes orders. Set the exported fields
--- a/io/stand/local/local_test.go
+++ b/io/fakes/local/local_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"almondrill/io/stand/local"
+	"almondrill/io/fakes/local"
 )
 
 // Two test programs run at once and take addresses for servers that are not up yet. If
--- a/io/stand/plain/plain.go
+++ b/io/fakes/plain/plain.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"almondrill/core"
-	"almondrill/io/stand/audit"
+	"almondrill/io/fakes/audit"
 )
 
 // Faults orders failures. The zero value is a healthy service.
--- a/io/relay/counts_test.go
+++ b/io/relay/counts_test.go
@@ -9,7 +9,7 @@
 
 	"almondrill/core/place"
 	"almondrill/core/route"
-	"almondrill/io/stand/local"
+	"almondrill/io/fakes/local"
 )
 
 // fakeCounts returns the same count for each endpoint, and records what is reported to it.
--- a/io/relay/harness_test.go
+++ b/io/relay/harness_test.go
@@ -22,8 +22,8 @@
 	"almondrill/core/route"
 	"almondrill/io/clock"
 	"almondrill/io/conns"
+	"almondrill/io/fakes/local"
 	"almondrill/io/relay"
-	"almondrill/io/stand/local"
 	"almondrill/io/stats"
 )
 
