--- a/cmd/almondrill/check.go
+++ b/cmd/almondrill/check.go
@@ -36,19 +36,19 @@
 
 func (cc *checkCommand) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() != 1 {
-		return usage(fs, "exactly one FILE is needed")
+		return usageError(fs, "exactly one FILE is needed")
 	}
 	role, known := roles[cc.role]
 	switch {
 	case cc.role != "" && cc.deploy:
-		return usage(fs, "-role and -deploy exclude each other")
+		return usageError(fs, "-role and -deploy exclude each other")
 	case cc.role != "" && !known && cc.role != relayRole:
-		return usage(fs, "-role is router, agent or relay")
+		return usageError(fs, "-role is router, agent or relay")
 	}
 	file := fs.Arg(0)
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	switch {
 	case cc.deploy:
@@ -61,7 +61,7 @@
 		_, err = conf.ReadDeclarations(file, data)
 	}
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	fmt.Println(file + ": right")
 	return subcommands.ExitSuccess
--- a/cmd/almondrill/demo.go
+++ b/cmd/almondrill/demo.go
@@ -44,21 +44,21 @@
 
 func (dc *demoCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 || dc.requests < 0 {
-		return usage(fs, "takes no arguments, and -requests is not negative")
+		return usageError(fs, "takes no arguments, and -requests is not negative")
 	}
 	fl := &demo.Fleet{Logs: logs.New(os.Stderr, dc.level), CallersAddr: dc.addr}
 	if dc.requests > 0 {
 		fl.CallersAddr = ""
 	}
 	if err := fl.Start(ctx); err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	if dc.requests == 0 {
-		return stayUp(fl)
+		return serveUntilSignal(fl)
 	}
 	rep := fl.Drive(ctx, demo.Drive{Requests: dc.requests, Seed: dc.seed})
 	if err := fl.Stop(); err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	line, _ := json.Marshal(rep)
 	fmt.Println(string(line))
@@ -68,7 +68,7 @@
 	return subcommands.ExitSuccess
 }
 
-func stayUp(fl *demo.Fleet) subcommands.ExitStatus {
+func serveUntilSignal(fl *demo.Fleet) subcommands.ExitStatus {
 	fmt.Printf(`The fleet is up. Try:
 
 curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{"model":"%s","stream":true,"max_tokens":12,"messages":[{"role":"user","content":"Hello"}]}'
@@ -81,7 +81,7 @@
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
 	<-stop
 	if err := fl.Stop(); err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	return subcommands.ExitSuccess
 }
--- a/cmd/almondrill/explain.go
+++ b/cmd/almondrill/explain.go
@@ -43,22 +43,22 @@
 }
 
 func (ec *explainCommand) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	tell, what := ec.teller()
-	if tell == nil {
-		return usage(fs, what)
+	pick, subject := ec.selector()
+	if pick == nil {
+		return usageError(fs, subject)
 	}
 	rd, err := inputs(fs.Args())
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	lines, skipped, err := trace.Read(rd)
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
-	found := tell(lines)
+	found := pick(lines)
 	for _, li := range found {
 		if err = ec.print(li); err != nil {
-			return failure(err)
+			return fail(err)
 		}
 	}
 	if skipped.NoLog > 0 {
@@ -66,14 +66,14 @@
 	}
 	if len(found) == 0 {
 		fmt.Fprintf(os.Stderr, "almondrill: nothing about %s in %d lines. Requests that end well are logged by sample "+
-			"beyond 50 a second, and lines are dropped where the output is slow: see LogLinesSampled and LogLinesDropped.\n", what, len(lines))
+			"beyond 50 a second, and lines are dropped where the output is slow: see LogLinesSampled and LogLinesDropped.\n", subject, len(lines))
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-// teller is what picks the lines, with what they are about; nil with what is wrong.
-func (ec *explainCommand) teller() (func([]trace.Line) []trace.Line, string) {
+// selector is what picks the lines, with what they are about; nil with what is wrong.
+func (ec *explainCommand) selector() (func([]trace.Line) []trace.Line, string) {
 	switch {
 	case ec.request != "" && ec.endpoint == "" && ec.from == "":
 		return func(lines []trace.Line) []trace.Line { return trace.ForRequest(lines, ec.request) }, "request " + ec.request
--- a/cmd/almondrill/load.go
+++ b/cmd/almondrill/load.go
@@ -45,7 +45,7 @@
 
 func (lc *loadCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 || lc.plan.Rate <= 0 || lc.plan.Duration <= 0 {
-		return usage(fs, "takes no arguments; -rate and -duration are above 0")
+		return usageError(fs, "takes no arguments; -rate and -duration are above 0")
 	}
 	rep := load.Run(ctx, lc.plan)
 	if lc.asJSON {
--- a/cmd/almondrill/operator.go
+++ b/cmd/almondrill/operator.go
@@ -46,18 +46,18 @@
 func (of *operatorFlags) call(ctx context.Context, fn func(context.Context, opsrpc.OperatorsClient) error) subcommands.ExitStatus {
 	client, closeConn, err := oper.Dial(of.router, of.key)
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	defer func() { _ = closeConn() }()
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	if err = fn(ctx, client); err != nil {
-		return rpcFailure(of.router, err)
+		return failRPC(of.router, err)
 	}
 	return subcommands.ExitSuccess
 }
 
-func rpcFailure(router string, err error) subcommands.ExitStatus {
+func failRPC(router string, err error) subcommands.ExitStatus {
 	fa := oper.FailureOf(err)
 	if fa.Peer == "" {
 		fa.Peer = router
@@ -73,9 +73,9 @@
 }
 
 // print writes value as JSON if asked for, else calls people.
-func (of *operatorFlags) print(value any, people func()) {
+func (of *operatorFlags) print(value any, printText func()) {
 	if !of.asJSON {
-		people()
+		printText()
 		return
 	}
 	text, _ := json.MarshalIndent(value, "", "  ")
@@ -108,11 +108,11 @@
 
 func (pc *planCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() != 1 {
-		return usage(fs, "exactly one FILE is needed")
+		return usageError(fs, "exactly one FILE is needed")
 	}
 	doc, err := readDocument(fs.Arg(0))
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	changed := false
 	code := pc.call(ctx, func(ctx context.Context, client opsrpc.OperatorsClient) error {
@@ -166,11 +166,11 @@
 
 func (ac *applyCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() != 1 {
-		return usage(fs, "exactly one FILE is needed")
+		return usageError(fs, "exactly one FILE is needed")
 	}
 	doc, err := readDocument(fs.Arg(0))
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	if ac.id == "" {
 		ac.id = changeID(doc, ac.planned, ac.source)
@@ -226,7 +226,7 @@
 
 func (rc *rollbackCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 || rc.to == 0 || rc.planned == 0 {
-		return usage(fs, "-to and -planned are needed, and nothing else")
+		return usageError(fs, "-to and -planned are needed, and nothing else")
 	}
 	note := fmt.Sprintf("rollback to %d", rc.to)
 	return rc.apply(ctx, &opsrpc.ApplyCall{
@@ -254,7 +254,7 @@
 
 func (gc *getCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 {
-		return usage(fs, "takes no arguments")
+		return usageError(fs, "takes no arguments")
 	}
 	return gc.call(ctx, func(ctx context.Context, client opsrpc.OperatorsClient) error {
 		re, err := client.Get(ctx, &opsrpc.GetCall{Revision: gc.revision})
@@ -275,7 +275,7 @@
 
 type historyCommand struct {
 	operatorFlags
-	most int
+	limit int
 }
 
 func (*historyCommand) Name() string     { return "history" }
@@ -289,15 +289,15 @@
 
 func (hc *historyCommand) SetFlags(fs *flag.FlagSet) {
 	hc.operatorFlags.SetFlags(fs)
-	fs.IntVar(&hc.most, "most", 20, "how many changes")
+	fs.IntVar(&hc.limit, "most", 20, "how many changes")
 }
 
 func (hc *historyCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if fs.NArg() > 0 || hc.most < 1 {
-		return usage(fs, "takes no arguments, and -most is at least 1")
+	if fs.NArg() > 0 || hc.limit < 1 {
+		return usageError(fs, "takes no arguments, and -most is at least 1")
 	}
 	return hc.call(ctx, func(ctx context.Context, client opsrpc.OperatorsClient) error {
-		re, err := client.History(ctx, &opsrpc.HistoryCall{Most: int32(hc.most)})
+		re, err := client.History(ctx, &opsrpc.HistoryCall{Most: int32(hc.limit)})
 		if err != nil {
 			return err
 		}
--- a/cmd/almondrill/process.go
+++ b/cmd/almondrill/process.go
@@ -18,8 +18,8 @@
 
 // processCommand is "router" or "agent".
 type processCommand struct {
-	role string
-	file string
+	role         string
+	settingsFile string
 }
 
 var roles = map[string]core.Role{"router": core.RoleRouter, "agent": core.RoleAgent}
@@ -35,36 +35,36 @@
 }
 
 func (pc *processCommand) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&pc.file, "settings", "", "the YAML file with the process's settings")
+	fs.StringVar(&pc.settingsFile, "settings", "", "the YAML file with the process's settings")
 }
 
 func (pc *processCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if pc.file == "" || fs.NArg() > 0 {
-		return usage(fs, "-settings FILE is needed, and nothing else")
+	if pc.settingsFile == "" || fs.NArg() > 0 {
+		return usageError(fs, "-settings FILE is needed, and nothing else")
 	}
-	data, err := os.ReadFile(pc.file)
+	data, err := os.ReadFile(pc.settingsFile)
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
-	se, err := conf.ReadSettings(pc.file, data, roles[pc.role])
+	se, err := conf.ReadSettings(pc.settingsFile, data, roles[pc.role])
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	pr := &node.Process{Role: roles[pc.role], Settings: se, Logs: logs.New(os.Stderr, se.LogLevel), Signals: true}
 	if err = pr.Run(ctx); err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	return subcommands.ExitSuccess
 }
 
-// usage tells what was wrong with the command line; it exits with 2.
-func usage(fs *flag.FlagSet, what string) subcommands.ExitStatus {
-	fmt.Fprintf(os.Stderr, "almondrill %s: %s\nRun: almondrill help %s\n", fs.Name(), what, fs.Name())
+// usageError tells what was wrong with the command line; it exits with 2.
+func usageError(fs *flag.FlagSet, problem string) subcommands.ExitStatus {
+	fmt.Fprintf(os.Stderr, "almondrill %s: %s\nRun: almondrill help %s\n", fs.Name(), problem, fs.Name())
 	return subcommands.ExitUsageError
 }
 
-// failure tells what failed, with its step and peer; it exits with 1.
-func failure(err error) subcommands.ExitStatus {
+// fail tells what failed, with its step and peer; it exits with 1.
+func fail(err error) subcommands.ExitStatus {
 	var oo oops.OopsError
 	if errors.As(err, &oo) {
 		fmt.Fprintf(os.Stderr, "almondrill: %s %v: %v\n", oo.Domain(), oo.Context()["peer"], err)
--- a/cmd/almondrill/processes_test.go
+++ b/cmd/almondrill/processes_test.go
@@ -21,12 +21,12 @@
 
 // fleet is a fleet of separate processes of the built program.
 type fleet struct {
-	t      *testing.T
-	binary string
-	dir    string
-	kv     string
-	vms    string
-	list   []core.VM
+	t       *testing.T
+	binary  string
+	dir     string
+	kvAddr  string
+	vmsAddr string
+	vms     []core.VM
 }
 
 // start runs the program; it is ended with the test, by its own process id.
@@ -48,7 +48,7 @@
 	return cmd
 }
 
-func (fl *fleet) file(name, text string) string {
+func (fl *fleet) writeFile(name, text string) string {
 	path := filepath.Join(fl.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		fl.t.Fatal(err)
@@ -56,21 +56,21 @@
 	return path
 }
 
-func hash(key string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(key))) }
+func keyHash(key string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(key))) }
 
-// process starts a router or agent and returns it with its peers' and callers'
+// startProcess starts a router or agent and returns it with its peers' and callers'
 // addresses.
-func (fl *fleet) process(role, name, more string, pools ...core.PoolID) (*exec.Cmd, string, string) {
+func (fl *fleet) startProcess(role, name, extra string, pools ...core.PoolID) (*exec.Cmd, string, string) {
 	peers, callers := local.Addr(fl.t), local.Addr(fl.t)
 	text := fmt.Sprintf("Name: %s\nZone: a\nRegion: north\nPeersAddr: %s\nAdminAddr: %s\nKVAddr: %s\nVMsAddr: %s\nDrainDelay: 100ms\n%s",
-		name, peers, local.Addr(fl.t), fl.kv, fl.vms, more)
+		name, peers, local.Addr(fl.t), fl.kvAddr, fl.vmsAddr, extra)
 	vm := core.VM{ID: core.VMID(name), Addr: peers, Zone: "a", Region: "north", Role: core.RoleAgent, Pools: pools}
 	if role == "router" {
-		text += "CallersAddr: " + callers + "\nOperators: [{Name: me, KeyHash: " + hash("operator") + "}]\n"
+		text += "CallersAddr: " + callers + "\nOperators: [{Name: me, KeyHash: " + keyHash("operator") + "}]\n"
 		vm.Role = core.RoleRouter
 	}
-	fl.list = append(fl.list, vm)
-	return fl.start(role, "-settings", fl.file(name+".yaml", text)), peers, callers
+	fl.vms = append(fl.vms, vm)
+	return fl.start(role, "-settings", fl.writeFile(name+".yaml", text)), peers, callers
 }
 
 func (fl *fleet) run(args ...string) (string, error) {
@@ -110,18 +110,18 @@
 	if out, err := exec.Command("go", "build", "-o", fl.binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	fl.kv, fl.vms = local.Addr(fl.t), local.Addr(fl.t)
-	fl.start("standin", "-addr", fl.kv, "kv")
+	fl.kvAddr, fl.vmsAddr = local.Addr(fl.t), local.Addr(fl.t)
+	fl.start("standin", "-addr", fl.kvAddr, "kv")
 	engine := local.Addr(fl.t)
 	fl.start("standin", "-addr", engine, "-token", "20ms", "engine")
 	endpoints := "Endpoints: [{Name: e, Pool: chat, Kind: Engine, URL: http://" + engine + "}]\n"
-	agent, _, _ := fl.process("agent", "agent-1", endpoints, "chat")
-	leaving, _, first := fl.process("router", "router-1", "")
-	_, peers, second := fl.process("router", "router-2", "")
-	list, _ := json.Marshal(fl.list)
-	fl.start("standin", "-addr", fl.vms, "-lag", "0s", "-file", fl.file("vms.json", string(list)), "vms")
+	agent, _, _ := fl.startProcess("agent", "agent-1", endpoints, "chat")
+	leaving, _, first := fl.startProcess("router", "router-1", "")
+	_, peers, second := fl.startProcess("router", "router-2", "")
+	list, _ := json.Marshal(fl.vms)
+	fl.start("standin", "-addr", fl.vmsAddr, "-lag", "0s", "-file", fl.writeFile("vms.json", string(list)), "vms")
 
-	file := fl.file("fleet.yaml", fmt.Sprintf(declarations, hash("key")))
+	file := fl.writeFile("fleet.yaml", fmt.Sprintf(declarations, keyHash("key")))
 	operator := []string{"-router", peers, "-key", "operator"}
 	fl.eventually("apply", func() bool {
 		_, err := fl.run(append(append([]string{"apply", "-planned", "0", "-source", "abc"}, operator...), file)...)
--- a/cmd/almondrill/quarantine.go
+++ b/cmd/almondrill/quarantine.go
@@ -44,24 +44,24 @@
 
 func (qc *quarantineCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if qc.router == "" || fs.NArg() > 0 {
-		return usage(fs, "-router is needed, and no arguments")
+		return usageError(fs, "-router is needed, and no arguments")
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	if qc.lift != "" {
 		if _, err := qc.call(ctx, http.MethodDelete, deny.Path+"/"+qc.lift); err != nil {
-			return failure(err)
+			return fail(err)
 		}
 		fmt.Println("lifted", qc.lift)
 		return subcommands.ExitSuccess
 	}
 	data, err := qc.call(ctx, http.MethodGet, deny.Path)
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	var all []deny.Quarantined
 	if err = json.Unmarshal(data, &all); err != nil {
-		return failure(oops.In("read the answer").With("peer", qc.router).Wrap(err))
+		return fail(oops.In("read the answer").With("peer", qc.router).Wrap(err))
 	}
 	for _, qu := range all {
 		fmt.Printf("%s  for %s, %d crashes, %d trials, stored %v\n",
--- a/cmd/almondrill/relay.go
+++ b/cmd/almondrill/relay.go
@@ -20,7 +20,7 @@
 
 // relayCommand runs a router that calls endpoints itself.
 type relayCommand struct {
-	file string
+	settingsFile string
 }
 
 func (*relayCommand) Name() string     { return "relay" }
@@ -35,38 +35,38 @@
 }
 
 func (rc *relayCommand) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&rc.file, "settings", "", "the YAML file with the process's settings")
+	fs.StringVar(&rc.settingsFile, "settings", "", "the YAML file with the process's settings")
 }
 
 const (
-	// heapPart is the part of the process's memory that the runtime may use; the
+	// heapFraction is the part of the process's memory that the runtime may use; the
 	// rest is for buffers of the system and the program itself.
-	heapPart = 0.6
-	// collectAfter is how much the heap may grow, in % of what is in use, until what is not is
+	heapFraction = 0.6
+	// gcPercent is how much the heap may grow, in % of what is in use, until what is not is
 	// collected: memory is dearer to routers than the processor's time.
-	collectAfter = 50
+	gcPercent = 50
 	// logTimeout bounds the writing of the last lines.
 	logTimeout = 100 * time.Millisecond
 )
 
 func (rc *relayCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if rc.file == "" {
-		rc.file = platform.SettingsFile()
+	if rc.settingsFile == "" {
+		rc.settingsFile = platform.SettingsFile()
 	}
-	if rc.file == "" || fs.NArg() > 0 {
-		return usage(fs, "-settings FILE is needed where the platform names none, and nothing else")
+	if rc.settingsFile == "" || fs.NArg() > 0 {
+		return usageError(fs, "-settings FILE is needed where the platform names none, and nothing else")
 	}
-	se, err := rc.read()
+	se, err := rc.readSettings()
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
-	debug.SetGCPercent(collectAfter)
+	debug.SetGCPercent(gcPercent)
 	if se.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapPart * float64(se.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(se.MemoryMB) * (1 << 20)))
 	}
 	level, err := zapcore.ParseLevel(se.LogLevel)
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	set := stats.New()
 	ring := logs.NewAsyncWriter(os.Stdout)
@@ -74,18 +74,18 @@
 	pr := &entry.Process{
 		Settings: se, Platform: &platform.Platform{Store: platform.Store{Addr: se.KVAddr}},
 		Logs:    logs.NewJSON(ring, level, func() { set.Add(stats.LogLinesSampled, 1) }).With(zap.String("VM", string(se.Name))),
-		Dropped: ring.Dropped, Reload: rc.read, Stats: set,
+		Dropped: ring.Dropped, Reload: rc.readSettings, Stats: set,
 	}
 	if err = pr.Run(ctx); err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	return subcommands.ExitSuccess
 }
 
-func (rc *relayCommand) read() (*conf.RelaySettings, error) {
-	data, err := os.ReadFile(rc.file)
+func (rc *relayCommand) readSettings() (*conf.RelaySettings, error) {
+	data, err := os.ReadFile(rc.settingsFile)
 	if err != nil {
 		return nil, err
 	}
-	return conf.ReadRelaySettings(rc.file, data)
+	return conf.ReadRelaySettings(rc.settingsFile, data)
 }
--- a/cmd/almondrill/standin.go
+++ b/cmd/almondrill/standin.go
@@ -27,21 +27,21 @@
 )
 
 type standinCommand struct {
-	addr        string
-	model       string
-	token       time.Duration
-	perRequest  time.Duration
-	prefill     time.Duration
-	cacheTokens int
-	lag         time.Duration
-	writes      int
-	reads       int
-	file        string
-	version     string
-	load        time.Duration
-	weights     string
-	atOnce      int
-	checks      bool
+	addr            string
+	model           string
+	tokenTime       time.Duration
+	perRequest      time.Duration
+	prefillTime     time.Duration
+	cacheTokens     int
+	lag             time.Duration
+	writesPerSecond int
+	readsPerSecond  int
+	file            string
+	version         string
+	loadTime        time.Duration
+	weights         string
+	maxFetches      int
+	checksFence     bool
 }
 
 func (*standinCommand) Name() string     { return "standin" }
@@ -60,59 +60,59 @@
 func (sc *standinCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&sc.addr, "addr", "127.0.0.1:0", "where to listen")
 	fs.StringVar(&sc.model, "model", "demo-model", "engine: its model")
-	fs.DurationVar(&sc.token, "token", 10*time.Millisecond, "engine: time of a token; service: time of a call")
+	fs.DurationVar(&sc.tokenTime, "token", 10*time.Millisecond, "engine: time of a token; service: time of a call")
 	fs.DurationVar(&sc.perRequest, "per-request", 0, "engine: added to it for each further request")
-	fs.DurationVar(&sc.prefill, "prefill", 0, "engine: time of an uncached prompt token")
+	fs.DurationVar(&sc.prefillTime, "prefill", 0, "engine: time of an uncached prompt token")
 	fs.IntVar(&sc.cacheTokens, "cache", 100_000, "engine: size of its cache in tokens")
 	fs.DurationVar(&sc.lag, "lag", time.Second, "engine: age of its load report; vms: delay of changes")
-	fs.IntVar(&sc.writes, "writes", 300, "kv: writes a second")
-	fs.IntVar(&sc.reads, "reads", 2000, "kv: reads a second")
+	fs.IntVar(&sc.writesPerSecond, "writes", 300, "kv: writes a second")
+	fs.IntVar(&sc.readsPerSecond, "reads", 2000, "kv: reads a second")
 	fs.StringVar(&sc.file, "file", "", "vms: the list")
 	fs.StringVar(&sc.version, "version", "", "engine: its model's version at the start")
-	fs.DurationVar(&sc.load, "load", time.Second, "engine: time of loading; weights: time of a fetch")
+	fs.DurationVar(&sc.loadTime, "load", time.Second, "engine: time of loading; weights: time of a fetch")
 	fs.StringVar(&sc.weights, "weights", "", "engine: URL of the weight store that loads fetch from")
-	fs.BoolVar(&sc.checks, "checks-fence", false, "engine: refuse orders with an old fencing number")
-	fs.IntVar(&sc.atOnce, "at-once", 2, "weights: fetches at a time; more are refused")
+	fs.BoolVar(&sc.checksFence, "checks-fence", false, "engine: refuse orders with an old fencing number")
+	fs.IntVar(&sc.maxFetches, "at-once", 2, "weights: fetches at a time; more are refused")
 }
 
 func (sc *standinCommand) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() != 1 {
-		return usage(fs, "name one of engine, service, kv, vms, weights")
+		return usageError(fs, "name one of engine, service, kv, vms, weights")
 	}
 	li, err := net.Listen("tcp", sc.addr)
 	if err != nil {
-		return failure(err)
+		return fail(err)
 	}
 	var stop func()
 	switch kind := fs.Arg(0); kind {
 	case "engine":
 		en := &engine.Engine{
-			Clock: clock.Wall{}, Model: sc.model, TokenEvery: sc.token, PerRequest: sc.perRequest,
-			PrefillEvery: sc.prefill, CacheTokens: sc.cacheTokens, ReportLag: sc.lag,
-			Version: sc.version, LoadTime: sc.load, Weights: sc.weights, ChecksFence: sc.checks,
+			Clock: clock.Wall{}, Model: sc.model, TokenEvery: sc.tokenTime, PerRequest: sc.perRequest,
+			PrefillEvery: sc.prefillTime, CacheTokens: sc.cacheTokens, ReportLag: sc.lag,
+			Version: sc.version, LoadTime: sc.loadTime, Weights: sc.weights, ChecksFence: sc.checksFence,
 		}
 		stop = serveHTTP(li, en.Handler())
 	case "service":
-		stop = serveHTTP(li, &plain.Service{Clock: clock.Wall{}, Takes: sc.token})
+		stop = serveHTTP(li, &plain.Service{Clock: clock.Wall{}, Takes: sc.tokenTime})
 	case "kv":
 		server := grpc.NewServer()
 		kvrpc.Serve(server, &kvsrv.Store{
-			Clock: clock.Wall{}, Rand: clock.NewRand(clock.RandomSeed()), WritesPerSecond: sc.writes, ReadsPerSecond: sc.reads,
+			Clock: clock.Wall{}, Rand: clock.NewRand(clock.RandomSeed()), WritesPerSecond: sc.writesPerSecond, ReadsPerSecond: sc.readsPerSecond,
 		})
 		go func() { _ = server.Serve(li) }()
 		stop = server.Stop
 	case "weights":
-		stop = serveHTTP(li, (&wstore.Store{Clock: clock.Wall{}, FetchTime: sc.load, MaxFetches: sc.atOnce}).Handler())
+		stop = serveHTTP(li, (&wstore.Store{Clock: clock.Wall{}, FetchTime: sc.loadTime, MaxFetches: sc.maxFetches}).Handler())
 	case "vms":
 		list := &vmlist.List{Clock: clock.Wall{}, Lag: sc.lag}
 		if err = sc.readList(list); err != nil {
-			return failure(err)
+			return fail(err)
 		}
-		go sc.rereadList(list)
+		go sc.reloadOnHangup(list)
 		stop = serveHTTP(li, vmnet.Handler(list))
 	default:
 		_ = li.Close()
-		return usage(fs, "no stand-in is named "+kind)
+		return usageError(fs, "no stand-in is named "+kind)
 	}
 	fmt.Println("listening on", li.Addr())
 	signals := make(chan os.Signal, 1)
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (sc *standinCommand) rereadList(list *vmlist.List) {
+func (sc *standinCommand) reloadOnHangup(list *vmlist.List) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	for range hangups {
--- a/cmd/almondrill/status.go
+++ b/cmd/almondrill/status.go
@@ -25,7 +25,7 @@
 
 func (sc *statusCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 {
-		return usage(fs, "takes no arguments")
+		return usageError(fs, "takes no arguments")
 	}
 	behind := 0
 	code := sc.call(ctx, func(ctx context.Context, client opsrpc.OperatorsClient) error {
@@ -41,7 +41,7 @@
 		}
 		changing := 0
 		for _, es := range re.Endpoints {
-			if !asDeclared(es) {
+			if !matchesDeclaration(es) {
 				changing++
 			}
 		}
@@ -55,12 +55,12 @@
 	return code
 }
 
-// asDeclared tells whether an endpoint needs no order.
-func asDeclared(es *opsrpc.EndpointStatus) bool {
+// matchesDeclaration tells whether an endpoint needs no order.
+func matchesDeclaration(es *opsrpc.EndpointStatus) bool {
 	return es.Wanted == "" && es.Phase != string(core.PhaseOrdered) && es.Phase != string(core.PhaseUnreachable)
 }
 
-func printStatus(re *opsrpc.StatusReply, late, changing int) {
+func printStatus(re *opsrpc.StatusReply, behind, changing int) {
 	for _, ps := range re.Processes {
 		fmt.Printf("%-24s %-8s revision %d %s%s%s\n",
 			ps.VM, ps.Role, ps.Revision, lagText(ps.LagMillis), drainingText(ps.Draining), ps.Problem)
@@ -68,7 +68,7 @@
 	for _, es := range re.Endpoints {
 		fmt.Printf("%-24s %-8s %s %s %s%s\n", es.Endpoint, es.Phase, es.Model, es.Version, wantedText(es.Wanted), es.Problem)
 	}
-	fmt.Printf("newest revision %d; %d of %d processes are behind or do not answer\n", re.Newest, late, len(re.Processes))
+	fmt.Printf("newest revision %d; %d of %d processes are behind or do not answer\n", re.Newest, behind, len(re.Processes))
 	if len(re.Endpoints) > 0 {
 		fmt.Printf("%d of %d endpoints are not yet as declared\n", changing, len(re.Endpoints))
 	}
--- a/cmd/almondrill/version.go
+++ b/cmd/almondrill/version.go
@@ -23,7 +23,7 @@
 
 func (*versionCommand) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 {
-		return usage(fs, "takes no arguments")
+		return usageError(fs, "takes no arguments")
 	}
 	goVersion := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
