--- a/cmd/almondrill/demo.go
+++ b/cmd/almondrill/demo.go
@@ -56,13 +56,13 @@
 	if dc.requests == 0 {
 		return serveUntilSignal(fl)
 	}
-	rep := fl.Drive(ctx, demo.Drive{Requests: dc.requests, Seed: dc.seed})
+	rep := fl.Drive(ctx, demo.Workload{Requests: dc.requests, Seed: dc.seed})
 	if err := fl.Stop(); err != nil {
 		return fail(err)
 	}
 	line, _ := json.Marshal(rep)
 	fmt.Println(string(line))
-	if !rep.Kept() {
+	if !rep.Passed() {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/io/demo/crash_test.go
+++ b/io/demo/crash_test.go
@@ -16,28 +16,28 @@
 // the routers tell each other over their own protocol, and the turn is refused everywhere from
 // the third crash on, while others are served.
 func TestTurnThatCrashesItsEnginesIsRefused(t *testing.T) {
-	const returns, most = 15, 6
+	const attempts, maxExecutions = 15, 6
 	fl := startFleet(t)
-	for _, en := range fl.Standins {
+	for _, en := range fl.FakeEngines {
 		en.SetFaults(engine.Faults{CrashOn: "crash", CrashAt: 1})
 	}
 	turn := chat(true)
 	turn.Messages[0].Content = "crash"
 	cl := &client.Client{Key: demo.Key}
 	refused := 0
-	for ix := range returns {
+	for ix := range attempts {
 		rs := cl.Chat(context.Background(), fl.RouterAddrs()[ix%2], turn)
 		if rs.Reason == core.ReasonQuarantined {
 			refused++
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	asked := 0
-	for _, en := range fl.Standins {
-		asked += en.Stats().Requests
+	executions := 0
+	for _, en := range fl.FakeEngines {
+		executions += en.Stats().Requests
 	}
-	if asked > most || refused < returns-2*most {
-		t.Errorf("engines were asked %d times, at most %d allowed; refused %d of %d times", asked, most, refused, returns)
+	if executions > maxExecutions || refused < attempts-2*maxExecutions {
+		t.Errorf("engines were asked %d times, at most %d allowed; refused %d of %d times", executions, maxExecutions, refused, attempts)
 	}
 	time.Sleep(time.Second)
 	for _, addr := range fl.RouterAddrs() {
--- a/io/demo/demo_test.go
+++ b/io/demo/demo_test.go
@@ -32,7 +32,7 @@
 }
 
 // A chat, streamed or not, comes back whole through router and agent.
-func TestChatThroughTheWholePath(t *testing.T) {
+func TestChatThroughRouterAndAgent(t *testing.T) {
 	fl := startFleet(t)
 	cl := &client.Client{Key: demo.Key}
 	for _, stream := range []bool{false, true} {
--- a/io/demo/drive.go
+++ b/io/demo/drive.go
@@ -13,8 +13,8 @@
 	"almondrill/io/clock"
 )
 
-// Drive says what to send.
-type Drive struct {
+// Workload says what to send.
+type Workload struct {
 	Requests int
 	Seed     uint64
 	// Parallel is how many callers there are; 0 means 16.
@@ -37,9 +37,9 @@
 	ControlBytesPerSecondPerNode float64
 }
 
-// Kept tells whether every promise held: all answered whole, none doubled,
+// Passed tells whether every promise held: all answered whole, none doubled,
 // crossed or cut.
-func (re *Report) Kept() bool {
+func (re *Report) Passed() bool {
 	return re.Whole == re.Requests && re.Doubled == 0 && re.Crossed == 0 && re.CutShort == 0 && re.FalseNotRun == 0
 }
 
@@ -52,12 +52,12 @@
 	mu        sync.Mutex // guards all below
 	rep       Report
 	returning int
-	found     int
+	reused    int
 }
 
 // Drive sends mixed requests: returning chats, streamed and whole, lookups, and
 // drafts that must not repeat, each draft through two routers at once.
-func (fl *Fleet) Drive(ctx context.Context, dr Drive) *Report {
+func (fl *Fleet) Drive(ctx context.Context, dr Workload) *Report {
 	if dr.Parallel == 0 {
 		dr.Parallel = 16
 	}
@@ -65,7 +65,7 @@
 	before, start := fl.controlBytes(), time.Now()
 	stop := make(chan struct{})
 	peak := make(chan float64, 1)
-	go func() { peak <- fl.watchSkew(stop) }()
+	go func() { peak <- fl.peakSkew(stop) }()
 	dv.run(ctx, dr)
 	close(stop)
 	dv.rep.MaxOverMean = <-peak
@@ -73,7 +73,7 @@
 	dv.rep.Doubled, dv.rep.Crossed = counts.Duplicates, counts.Crossed
 	dv.rep.CutShort, dv.rep.FalseNotRun = counts.CutShort, counts.FalseNotRun
 	if dv.returning > 0 {
-		dv.rep.ReuseRatio = float64(dv.found) / float64(dv.returning)
+		dv.rep.ReuseRatio = float64(dv.reused) / float64(dv.returning)
 	}
 	sent := float64(fl.controlBytes() - before)
 	dv.rep.ControlBytesPerSecondPerNode = sent / time.Since(start).Seconds() / float64(len(fl.Processes))
@@ -85,7 +85,7 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 }
 
-func (dv *driver) run(ctx context.Context, dr Drive) {
+func (dv *driver) run(ctx context.Context, dr Workload) {
 	var callers sync.WaitGroup
 	for worker := range dr.Parallel {
 		share := dr.Requests / dr.Parallel
@@ -99,9 +99,9 @@
 
 // Parts of a hundred requests.
 const (
-	lookupPart = 20
-	draftPart  = 30
-	chatTurns  = 4
+	lookupsBelow = 20
+	draftsBelow  = 30
+	turnsPerChat = 4
 )
 
 // caller sends count requests, chats in turns of a conversation each.
@@ -111,12 +111,12 @@
 		name := fmt.Sprintf("c%d-r%d", worker, number)
 		addr := dv.addrs[ra.Uint64()%uint64(len(dv.addrs))]
 		switch draw := ra.Uint64() % 100; {
-		case draw < lookupPart:
+		case draw < lookupsBelow:
 			dv.lookup(ctx, addr, name)
-		case draw < draftPart:
+		case draw < draftsBelow:
 			dv.draft(ctx, name)
 		default:
-			if chat == nil || chat.turns >= chatTurns {
+			if chat == nil || chat.turns >= turnsPerChat {
 				chat = &conversation{id: core.ChatID("chat-" + name)}
 			}
 			dv.turn(ctx, addr, name, chat, ra)
@@ -126,7 +126,7 @@
 
 func (dv *driver) lookup(ctx context.Context, addr, name string) {
 	rs := dv.client.Service(ctx, addr, http.MethodGet, Lookups, "entry/"+name, "", "")
-	dv.note("/entry/"+name+"|", rs)
+	dv.record("/entry/"+name+"|", rs)
 }
 
 // draft sends the same non-idempotent call through two routers at once, as a
@@ -141,7 +141,7 @@
 		})
 	}
 	both.Wait()
-	dv.note("/drafts|draft "+name, results...)
+	dv.record("/drafts|draft "+name, results...)
 }
 
 type conversation struct {
@@ -160,7 +160,7 @@
 		ch.Hint = co.hint
 	}
 	rs := dv.client.Chat(ctx, addr, ch)
-	dv.note("question of "+name, rs)
+	dv.record("question of "+name, rs)
 	dv.reuse(co, rs)
 	co.hint = rs.Hint
 	co.turns++
@@ -175,13 +175,13 @@
 	defer dv.mu.Unlock()
 	dv.returning++
 	if rs.Cached > 0 {
-		dv.found++
+		dv.reused++
 	}
 }
 
-// note counts one request's end and tells the audit. Where it was sent more than
+// record counts one request's end and tells the audit. Where it was sent more than
 // once, it counts as one request, as its worst outcome.
-func (dv *driver) note(nonce string, results ...*client.Result) {
+func (dv *driver) record(nonce string, results ...*client.Result) {
 	worst := core.Whole
 	for _, rs := range results {
 		switch rs.Outcome {
@@ -217,10 +217,10 @@
 	return sum
 }
 
-// watchSkew samples how far the busiest engine stands above the mean of its
+// peakSkew samples how far the busiest engine stands above the mean of its
 // pool, while the mean is above FloorWork, under which the cap is not applied,
 // until stop is closed; 0 if the load never gets there.
-func (fl *Fleet) watchSkew(stop chan struct{}) float64 {
+func (fl *Fleet) peakSkew(stop chan struct{}) float64 {
 	peak := 0.0
 	for {
 		select {
@@ -233,7 +233,7 @@
 }
 
 func (fl *Fleet) skew() float64 {
-	var sum, most float64
+	var sum, highest float64
 	count := 0
 	for _, pr := range fl.Processes {
 		if pr.Agent() == nil || pr.Agent().Slots[0].Pool != chatPool {
@@ -241,11 +241,11 @@
 		}
 		load := float64(pr.Agent().Slots[0].Gate().Load())
 		sum += load
-		most = max(most, load)
+		highest = max(highest, load)
 		count++
 	}
 	if sum < float64(decl.DefaultFloorWork)*float64(count) {
 		return 0
 	}
-	return most / (sum / float64(count))
+	return highest / (sum / float64(count))
 }
--- a/io/demo/fleet.go
+++ b/io/demo/fleet.go
@@ -67,21 +67,21 @@
 	// CallersAddr is the first router's address for callers; "" picks a port.
 	CallersAddr string
 
-	Store       *kvsrv.Store
-	List        *vmlist.List
-	Audit       *audit.Audit
-	Standins    []*engine.Engine
-	Plain       []*plain.Service
-	Processes   []*node.Process
-	engineAddrs []string
-	kvAddr      string
-	vmsAddr     string
-	running     sync.WaitGroup
-	mu          sync.Mutex // guards failed
-	failed      error
-	closers     []func()
-	vms         []core.VM
-	clock       clock.Wall
+	Store        *kvsrv.Store
+	VMList       *vmlist.List
+	Audit        *audit.Audit
+	FakeEngines  []*engine.Engine
+	FakeServices []*plain.Service
+	Processes    []*node.Process
+	engineAddrs  []string
+	kvAddr       string
+	vmsAddr      string
+	running      sync.WaitGroup
+	mu           sync.Mutex // guards failed
+	err          error
+	closers      []func()
+	vms          []core.VM
+	clock        clock.Wall
 }
 
 // Start brings the fleet up and waits until the configuration is in force on
@@ -91,7 +91,7 @@
 	if err := fl.startPlatform(); err != nil {
 		return err
 	}
-	if err := fl.declare(ctx); err != nil {
+	if err := fl.commitConfig(ctx); err != nil {
 		return err
 	}
 	for ix := range fl.Engines {
@@ -109,7 +109,7 @@
 			return err
 		}
 	}
-	fl.List.Set(fl.vms...)
+	fl.VMList.Set(fl.vms...)
 	for _, pr := range fl.Processes {
 		fl.launch(pr)
 	}
@@ -131,7 +131,7 @@
 	}
 	fl.Audit = &audit.Audit{}
 	fl.Store = &kvsrv.Store{Clock: fl.clock, Rand: clock.NewRand(1), WritesPerSecond: 300, ReadsPerSecond: 2000}
-	fl.List = &vmlist.List{Clock: fl.clock}
+	fl.VMList = &vmlist.List{Clock: fl.clock}
 }
 
 // startPlatform starts the stand-ins for the KV and the VM list.
@@ -145,12 +145,12 @@
 	kvrpc.Serve(server, fl.Store)
 	go func() { _ = server.Serve(li) }()
 	fl.closers = append(fl.closers, server.Stop)
-	fl.vmsAddr, err = fl.serve(vmnet.Handler(fl.List))
+	fl.vmsAddr, err = fl.serve(vmnet.Handler(fl.VMList))
 	return err
 }
 
-// declare accepts the demo's configuration as revision 1.
-func (fl *Fleet) declare(ctx context.Context) error {
+// commitConfig accepts the demo's configuration as revision 1.
+func (fl *Fleet) commitConfig(ctx context.Context) error {
 	lo := &revlog.Log{KV: fl.Store, Clock: fl.clock, Rand: clock.NewRand(2)}
 	doc := Document()
 	doc.Pools[0].Slots = fl.Slots
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	fl.Standins = append(fl.Standins, en)
+	fl.FakeEngines = append(fl.FakeEngines, en)
 	fl.engineAddrs = append(fl.engineAddrs, addr)
 	return fl.addAgent(fmt.Sprintf("engine-%02d", ix), ix, chatPool, conf.KindEngine, addr)
 }
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	fl.Plain = append(fl.Plain, se)
+	fl.FakeServices = append(fl.FakeServices, se)
 	return fl.addAgent(fmt.Sprintf("lookup-%02d", ix), ix, Lookups, conf.KindService, addr)
 }
 
@@ -200,7 +200,7 @@
 	se.Endpoints = []conf.EndpointSetting{{
 		Name: core.EndpointID(name), Pool: po, Kind: kind, URL: "http://" + addr,
 	}}
-	return fl.add(core.RoleAgent, se, []core.PoolID{po})
+	return fl.addProcess(core.RoleAgent, se, []core.PoolID{po})
 }
 
 func (fl *Fleet) addRouter(ix int) error {
@@ -211,7 +211,7 @@
 	}
 	sum := sha256.Sum256([]byte(OperatorKey))
 	se.Operators = []conf.OperatorSetting{{Name: "demo", KeyHash: hex.EncodeToString(sum[:])}}
-	return fl.add(core.RoleRouter, se, nil)
+	return fl.addProcess(core.RoleRouter, se, nil)
 }
 
 func (fl *Fleet) settings(name string, ix int) *conf.Settings {
@@ -222,8 +222,8 @@
 	}
 }
 
-// add makes a process and notes its VM; launch runs it.
-func (fl *Fleet) add(ro core.Role, se *conf.Settings, pools []core.PoolID) error {
+// addProcess makes a process and notes its VM; launch runs it.
+func (fl *Fleet) addProcess(ro core.Role, se *conf.Settings, pools []core.PoolID) error {
 	pr := &node.Process{Role: ro, Settings: se, Logs: fl.Logs}
 	if err := pr.Listen(); err != nil {
 		return err
@@ -250,18 +250,18 @@
 func (fl *Fleet) fail(err error) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.failed = err
+	fl.err = err
 }
 
-// readyWithin bounds the wait for the configuration to be in force everywhere.
-const readyWithin = 15 * time.Second
+// readyTimeout bounds the wait for the configuration to be in force everywhere.
+const readyTimeout = 15 * time.Second
 
 func (fl *Fleet) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for !fl.ready() {
 		if err := fl.clock.Sleep(ctx, 10*time.Millisecond); err != nil {
-			return oops.In("start").Errorf("the fleet was not ready within %s", readyWithin)
+			return oops.In("start").Errorf("the fleet was not ready within %s", readyTimeout)
 		}
 	}
 	return nil
@@ -317,7 +317,7 @@
 	}
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return fl.failed
+	return fl.err
 }
 
 func (fl *Fleet) listen() (net.Listener, error) {
@@ -328,8 +328,8 @@
 	return li, nil
 }
 
-// crashedFor is how long an engine that crashes is away.
-const crashedFor = 500 * time.Millisecond
+// crashDowntime is how long an engine that crashes is away.
+const crashDowntime = 500 * time.Millisecond
 
 // serveEngine serves an engine that may crash: its connections end, and it is back at the
 // same address a moment later.
@@ -341,11 +341,11 @@
 	addr := li.Addr().String()
 	var mu sync.Mutex // guards all below
 	var server *http.Server
-	ended := false
-	begin := func(li net.Listener) {
+	stopped := false
+	serve := func(li net.Listener) {
 		mu.Lock()
 		defer mu.Unlock()
-		if ended {
+		if stopped {
 			_ = li.Close()
 			return
 		}
@@ -356,20 +356,20 @@
 		mu.Lock()
 		defer mu.Unlock()
 		_ = server.Close()
-		time.AfterFunc(crashedFor, func() {
-			back, err := net.Listen("tcp", addr)
+		time.AfterFunc(crashDowntime, func() {
+			listener, err := net.Listen("tcp", addr)
 			if err != nil {
 				fl.fail(oops.In("restart an engine").With("peer", addr).Wrap(err))
 				return
 			}
-			begin(back)
+			serve(listener)
 		})
 	}
-	begin(li)
+	serve(li)
 	fl.closers = append(fl.closers, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		ended = true
+		stopped = true
 		_ = server.Close()
 	})
 	return addr, nil
--- a/io/demo/hop_test.go
+++ b/io/demo/hop_test.go
@@ -24,18 +24,18 @@
 	allocs uint64
 }
 
-func costOf(work func()) cost {
+func measure(work func()) cost {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	start := processorTime()
+	start := cpuTime()
 	work()
-	took := processorTime() - start
+	took := cpuTime() - start
 	runtime.ReadMemStats(&after)
 	return cost{took, after.Mallocs - before.Mallocs}
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &ru) != nil {
 		return 0
@@ -43,7 +43,7 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-func hopFleet(b *testing.B, every time.Duration) *demo.Fleet {
+func startHopFleet(b *testing.B, every time.Duration) *demo.Fleet {
 	b.Helper()
 	fl := &demo.Fleet{Logs: logs.Discard(), Routers: 1, Engines: 1, Services: 1, TokenEvery: every, Slots: 512}
 	if err := fl.Start(context.Background()); err != nil {
@@ -53,8 +53,8 @@
 	return fl
 }
 
-// streams runs that many streamed chats side by side and returns their tokens.
-func streams(b *testing.B, addr string, count, tokens int) int {
+// runStreams runs that many streamed chats side by side and returns their tokens.
+func runStreams(b *testing.B, addr string, count, tokens int) int {
 	cl := &client.Client{Key: demo.Key, HTTP: demo.NewHTTP()}
 	var all sync.WaitGroup
 	for n := range count {
@@ -80,11 +80,11 @@
 	for _, count := range []int{50, 100, 200} {
 		b.Run(fmt.Sprint("streams=", count), func(b *testing.B) {
 			const tokens, hops = 200, 2
-			fl := hopFleet(b, 20*time.Millisecond)
-			streams(b, fl.RouterAddrs()[0], count, 10)
+			fl := startHopFleet(b, 20*time.Millisecond)
+			runStreams(b, fl.RouterAddrs()[0], count, 10)
 			for b.Loop() {
-				direct := costOf(func() { streams(b, fl.EngineAddrs()[0], count, tokens) })
-				through := costOf(func() { streams(b, fl.RouterAddrs()[0], count, tokens) })
+				direct := measure(func() { runStreams(b, fl.EngineAddrs()[0], count, tokens) })
+				through := measure(func() { runStreams(b, fl.RouterAddrs()[0], count, tokens) })
 				all := float64(count * tokens * hops)
 				b.ReportMetric(float64((through.cpu-direct.cpu).Nanoseconds())/all, "ns/token")
 				b.ReportMetric(float64(int64(through.allocs)-int64(direct.allocs))/all, "allocs/token")
@@ -98,18 +98,18 @@
 	for _, count := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprint("requests=", count), func(b *testing.B) {
 			const hops, parallel = 2, 50
-			fl := hopFleet(b, 200*time.Microsecond)
+			fl := startHopFleet(b, 200*time.Microsecond)
 			run := func(addr string) func() {
 				return func() {
 					for range count / parallel {
-						streams(b, addr, parallel, 1)
+						runStreams(b, addr, parallel, 1)
 					}
 				}
 			}
 			run(fl.RouterAddrs()[0])()
 			for b.Loop() {
-				direct := costOf(run(fl.EngineAddrs()[0]))
-				through := costOf(run(fl.RouterAddrs()[0]))
+				direct := measure(run(fl.EngineAddrs()[0]))
+				through := measure(run(fl.RouterAddrs()[0]))
 				all := float64(count * hops)
 				b.ReportMetric(float64((through.cpu-direct.cpu).Nanoseconds())/all, "ns/request")
 				b.ReportMetric(float64(int64(through.allocs)-int64(direct.allocs))/all, "allocs/request")
@@ -206,7 +206,7 @@
 			time.Sleep(2 * time.Second)
 			for b.Loop() {
 				const seconds = 5
-				took := costOf(func() { time.Sleep(seconds * time.Second) })
+				took := measure(func() { time.Sleep(seconds * time.Second) })
 				processes := float64(len(fl.Processes))
 				b.ReportMetric(100*took.cpu.Seconds()/seconds/processes, "core-%")
 				b.ReportMetric((memoryInUse()-before)/processes, "B/process")
--- a/io/demo/leave_test.go
+++ b/io/demo/leave_test.go
@@ -11,9 +11,9 @@
 	"almondrill/io/fakes/engine"
 )
 
-// imports has chats served, stops the agent of the first engine, and returns how
+// stopFirstAgent has chats served, stops the agent of the first engine, and returns how
 // many contexts that engine held and how many the others took in.
-func imports(t *testing.T, fl *demo.Fleet, fa engine.Faults) (held int64, taken int) {
+func stopFirstAgent(t *testing.T, fl *demo.Fleet, fa engine.Faults) (cached int64, imported int) {
 	t.Helper()
 	cl := &client.Client{Key: demo.Key}
 	for n := range 30 {
@@ -23,32 +23,32 @@
 			t.Fatal(rs.Outcome, rs.Reason, rs.Err)
 		}
 	}
-	leaver := fl.Process("engine-00")
-	holdings := leaver.Agent().Book.Cached(100)
-	fl.Standins[0].SetFaults(fa)
-	if err := leaver.Stop(); err != nil {
+	stopping := fl.Process("engine-00")
+	contexts := stopping.Agent().Book.Cached(100)
+	fl.FakeEngines[0].SetFaults(fa)
+	if err := stopping.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	for _, en := range fl.Standins {
-		taken += en.Stats().Imports
+	for _, en := range fl.FakeEngines {
+		imported += en.Stats().Imports
 	}
-	return int64(len(holdings)), taken
+	return int64(len(contexts)), imported
 }
 
 // An agent gets SIGTERM. The contexts of its engine are streamed through both
 // agents to the engines that its chats will go to next.
-func TestContextsMoveWhenAnAgentStops(t *testing.T) {
+func TestContextsAreHandedOverWhenAnAgentStops(t *testing.T) {
 	fl := startFleet(t)
-	if held, taken := imports(t, fl, engine.Faults{}); held == 0 || int64(taken) != held {
+	if held, taken := stopFirstAgent(t, fl, engine.Faults{}); held == 0 || int64(taken) != held {
 		t.Errorf("%d of %d contexts were taken in", taken, held)
 	}
 }
 
 // An engine breaks off while it exports. What came is only half a context, and no
 // engine may keep it.
-func TestHalfContextIsNotKept(t *testing.T) {
+func TestTruncatedContextIsNotKept(t *testing.T) {
 	fl := startFleet(t)
-	if held, taken := imports(t, fl, engine.Faults{CutAfter: 1}); held == 0 || taken != 0 {
+	if held, taken := stopFirstAgent(t, fl, engine.Faults{CutAfter: 1}); held == 0 || taken != 0 {
 		t.Errorf("%d of %d contexts were taken in", taken, held)
 	}
 }
--- a/io/demo/orders_test.go
+++ b/io/demo/orders_test.go
@@ -41,7 +41,7 @@
 	}
 	close(stop)
 	chats.Wait()
-	for ix, en := range fl.Standins {
+	for ix, en := range fl.FakeEngines {
 		if st := en.State(); st.Version != "2" || len(st.Adapters) != 1 || en.Stats().Interrupted > 0 {
 			t.Errorf("engine %d: %+v, interrupted %d", ix, st, en.Stats().Interrupted)
 		}
--- a/io/demo/path_test.go
+++ b/io/demo/path_test.go
@@ -44,7 +44,7 @@
 }
 
 // A caller's mistake gets a clear answer, with the reason, and is counted by it.
-func TestMistakesAreAnsweredAndCounted(t *testing.T) {
+func TestBadRequestsAreRefusedAndCounted(t *testing.T) {
 	fl := startFleet(t)
 	const chatPath = "/v1/chat/completions"
 	good := `{"model":"demo-model","messages":[{"role":"user","content":"x"}]}`
@@ -95,9 +95,9 @@
 
 // An engine stops in the middle of an answer. The stream ends with an error event
 // and a plain answer breaks off; neither looks whole to the caller.
-func TestCutAnswersNeverLookWhole(t *testing.T) {
+func TestTruncatedResponsesNeverLookWhole(t *testing.T) {
 	fl := startFleet(t)
-	for _, en := range fl.Standins {
+	for _, en := range fl.FakeEngines {
 		en.SetFaults(engine.Faults{CutAfter: 3})
 	}
 	cl := &client.Client{Key: demo.Key}
@@ -113,9 +113,9 @@
 // An engine's answers belong to other attempts. They reach nobody: a chat may
 // repeat and is answered by another engine while the retry budget lasts; beyond
 // it the caller is told.
-func TestCrossedReplyIsDropped(t *testing.T) {
+func TestReplyToAnotherAttemptIsDropped(t *testing.T) {
 	fl := startFleet(t)
-	fl.Standins[0].SetFaults(engine.Faults{Crossed: true})
+	fl.FakeEngines[0].SetFaults(engine.Faults{Crossed: true})
 	cl := &client.Client{Key: demo.Key}
 	crossed := int64(0)
 	for n := range 30 {
@@ -136,7 +136,7 @@
 
 // A router and an agent are shut down under load. No answer is cut off: what they
 // have begun ends whole, and new work goes to the others.
-func TestShutdownUnderLoadCutsNothing(t *testing.T) {
+func TestShutdownUnderLoadTruncatesNothing(t *testing.T) {
 	fl := startFleet(t)
 	var all sync.WaitGroup
 	reports := make([]*load.Report, 2)
@@ -163,7 +163,7 @@
 
 // A router starts while the KV cannot be reached and no peer is known. It says so
 // on /readyz and refuses requests as not run.
-func TestStartWithoutKVRefusesClearly(t *testing.T) {
+func TestStartWithoutKVRefusesRequests(t *testing.T) {
 	pr := &node.Process{Role: core.RoleRouter, Logs: logs.Discard(), Settings: &conf.Settings{
 		Name: "alone", Zone: "a", Region: "north", PeersAddr: "127.0.0.1:0", CallersAddr: "127.0.0.1:0", AdminAddr: "127.0.0.1:0",
 		KVAddr: "127.0.0.1:1", VMsAddr: "127.0.0.1:1", DrainDelay: time.Millisecond,
