--- a/cmd/capac/main.go
+++ b/cmd/capac/main.go
@@ -24,7 +24,7 @@
 func run(docs string, figures bool) error {
 	file := filepath.Join(docs, "capacity.json")
 	if figures {
-		fi, err := capac.Read(os.Stdin)
+		fi, err := capac.ParseBenchmarks(os.Stdin)
 		if err != nil {
 			return err
 		}
@@ -36,20 +36,20 @@
 	if err != nil {
 		return err
 	}
-	words, err := os.ReadFile(filepath.Join(docs, "capacity.tmpl"))
+	text, err := os.ReadFile(filepath.Join(docs, "capacity.tmpl"))
 	if err != nil {
 		return err
 	}
-	page, err := capac.Page(fi, string(words))
+	page, err := capac.Page(fi, string(text))
 	if err != nil {
 		return err
 	}
 	if err = os.WriteFile(filepath.Join(docs, "CAPACITY-AGENTS.md"), []byte(page), 0o644); err != nil {
 		return err
 	}
-	picture, err := capac.Picture(fi)
+	chart, err := capac.Chart(fi)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(docs, "capacity.svg"), picture, 0o644)
+	return os.WriteFile(filepath.Join(docs, "capacity.svg"), chart, 0o644)
 }
--- a/io/capac/capac.go
+++ b/io/capac/capac.go
@@ -44,9 +44,9 @@
 	Go        string
 }
 
-// Read takes in the output of go test -bench. The same benchmark run several
+// ParseBenchmarks takes in the output of go test -bench. The same benchmark run several
 // times counts as its median.
-func Read(in io.Reader) (*Figures, error) {
+func ParseBenchmarks(in io.Reader) (*Figures, error) {
 	all := map[string]map[string][]float64{}
 	fi := &Figures{
 		Machine: Machine{Cores: runtime.NumCPU(), OS: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()},
--- a/io/capac/capac_test.go
+++ b/io/capac/capac_test.go
@@ -18,11 +18,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	words, err := os.ReadFile(filepath.Join(docs, "capacity.tmpl"))
+	text, err := os.ReadFile(filepath.Join(docs, "capacity.tmpl"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := capac.Page(fi, string(words))
+	want, err := capac.Page(fi, string(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	if string(page) != want {
 		t.Error("docs/CAPACITY-AGENTS.md is stale; run: go run ./cmd/capac")
 	}
-	if _, err = capac.Picture(fi); err != nil {
+	if _, err = capac.Chart(fi); err != nil {
 		t.Error(err)
 	}
 }
@@ -64,7 +64,7 @@
 // Benchmark output is read by name and unit, and repeated runs count once.
 func TestReadBenchmarks(t *testing.T) {
 	in := "cpu: test\nBenchmarkX/n=1-8 1 5 ns/op 7 B/s/node\nBenchmarkX/n=1-8 1 5 ns/op 9 B/s/node\nBenchmarkX/n=1-8 1 5 ns/op 8 B/s/node\n"
-	fi, err := capac.Read(strings.NewReader(in))
+	fi, err := capac.ParseBenchmarks(strings.NewReader(in))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/io/capac/page.go
+++ b/io/capac/page.go
@@ -14,30 +14,30 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// worked is a Row with its figures.
-type worked struct {
+// evaluated is a Row with its figures.
+type evaluated struct {
 	Row
 	points []point
 	fit    line
 	figure float64
 }
 
-// near is the part of a budget from which a figure counts as near the line.
-const near = 0.6
+// nearBudget is the part of a budget from which a figure counts as near the line.
+const nearBudget = 0.6
 
-func work(fi *Figures, ro Row) worked {
-	wo := worked{Row: ro, points: fi.points(ro.Prefix, ro.Suffix, ro.Metric)}
+func evaluate(fi *Figures, ro Row) evaluated {
+	wo := evaluated{Row: ro, points: fi.points(ro.Prefix, ro.Suffix, ro.Metric)}
 	if units, whole := fi.Results[ro.Prefix]; whole {
 		wo.points = append(wo.points, point{1, units[ro.Metric]})
 	}
 	wo.fit = fit(wo.points)
-	wo.figure = wo.value() * ro.Times
+	wo.figure = wo.value() * ro.Scale
 	return wo
 }
 
 // value is the figure at the target in the benchmark's own unit. A size that was
 // measured itself needs no line.
-func (wo *worked) value() float64 {
+func (wo *evaluated) value() float64 {
 	if len(wo.points) == 0 {
 		return math.NaN()
 	}
@@ -49,21 +49,21 @@
 		return sum / float64(len(wo.points))
 	}
 	for _, pt := range wo.points {
-		if pt.size == wo.At {
+		if pt.size == wo.TargetSize {
 			return pt.value
 		}
 	}
-	return wo.fit.at(wo.At)
+	return wo.fit.at(wo.TargetSize)
 }
 
-func (wo *worked) ratio() float64 {
+func (wo *evaluated) ratio() float64 {
 	if wo.Budget == 0 {
 		return math.NaN()
 	}
 	return wo.figure / wo.Budget
 }
 
-func (wo *worked) verdict() string {
+func (wo *evaluated) verdict() string {
 	ratio := wo.ratio()
 	switch {
 	case math.IsNaN(wo.figure):
@@ -72,19 +72,19 @@
 		return "no budget"
 	case ratio > 1:
 		return "**over**"
-	case ratio > near:
+	case ratio > nearBudget:
 		return "near the line"
 	}
 	return "fits"
 }
 
-func (wo *worked) slope() string {
+func (wo *evaluated) measurements() string {
 	var parts []string
 	for _, pt := range wo.points {
 		if len(wo.points) == 1 {
-			return number(pt.value)
+			return formatNumber(pt.value)
 		}
-		parts = append(parts, fmt.Sprintf("%s at %s", number(pt.value), number(pt.size)))
+		parts = append(parts, fmt.Sprintf("%s at %s", formatNumber(pt.value), formatNumber(pt.size)))
 	}
 	text := strings.Join(parts, ", ")
 	switch {
@@ -93,10 +93,10 @@
 	case wo.Mean:
 		return text + "; mean"
 	}
-	return fmt.Sprintf("%s; %s + %s a unit, off by at most %.0f %%", text, number(wo.fit.base), number(wo.fit.slope), 100*wo.fit.residual)
+	return fmt.Sprintf("%s; %s + %s a unit, off by at most %.0f %%", text, formatNumber(wo.fit.base), formatNumber(wo.fit.slope), 100*wo.fit.residual)
 }
 
-func number(value float64) string {
+func formatNumber(value float64) string {
 	switch size := math.Abs(value); {
 	case math.IsNaN(value):
 		return "–"
@@ -109,26 +109,26 @@
 }
 
 // Page makes the page's tables, to stand between its words.
-func Page(fi *Figures, words string) (string, error) {
-	tm, err := template.New("page").Parse(words)
+func Page(fi *Figures, text string) (string, error) {
+	tm, err := template.New("page").Parse(text)
 	if err != nil {
 		return "", fmt.Errorf("read the page's words: %w", err)
 	}
 	var out bytes.Buffer
 	err = tm.Execute(&out, map[string]string{
 		"Machine": fmt.Sprintf("%s, %d cores, %s, %s", fi.Machine.Processor, fi.Machine.Cores, fi.Machine.OS, fi.Machine.Go),
-		"Over":    overs(fi),
+		"Over":    overBudget(fi),
 		"Table":   table(fi),
 	})
 	return out.String(), err
 }
 
-func overs(fi *Figures) string {
+func overBudget(fi *Figures) string {
 	var out strings.Builder
 	for _, ro := range Rows {
-		wo := work(fi, ro)
-		if ratio := wo.ratio(); ratio > near || math.IsNaN(wo.figure) {
-			fmt.Fprintf(&out, "- %s, %s: %s %s of %s (%s)\n", ro.Role, ro.What, number(wo.figure), ro.Unit, number(ro.Budget), wo.verdict())
+		wo := evaluate(fi, ro)
+		if ratio := wo.ratio(); ratio > nearBudget || math.IsNaN(wo.figure) {
+			fmt.Fprintf(&out, "- %s, %s: %s %s of %s (%s)\n", ro.Role, ro.What, formatNumber(wo.figure), ro.Unit, formatNumber(ro.Budget), wo.verdict())
 		}
 	}
 	return strings.TrimSpace(out.String())
@@ -139,9 +139,9 @@
 	out.WriteString("| role | what | measured | at the target | budget | ratio | verdict | mechanism | benchmark | notes |\n")
 	out.WriteString("|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, ro := range Rows {
-		wo := work(fi, ro)
+		wo := evaluate(fi, ro)
 		fmt.Fprintf(&out, "| %s | %s | %s %s | %s %s | %s | %s | %s | `%s` | `%s` | %s |\n",
-			ro.Role, ro.What, wo.slope(), ro.Metric, number(wo.figure), ro.Unit, budgetText(ro), number(wo.ratio()),
+			ro.Role, ro.What, wo.measurements(), ro.Metric, formatNumber(wo.figure), ro.Unit, budgetText(ro), formatNumber(wo.ratio()),
 			wo.verdict(), ro.Mechanism, ro.Prefix+"*"+ro.Suffix, ro.Note)
 	}
 	return strings.TrimSpace(out.String())
@@ -151,15 +151,15 @@
 	if ro.Budget == 0 {
 		return "–"
 	}
-	return number(ro.Budget) + " " + ro.Unit
+	return formatNumber(ro.Budget) + " " + ro.Unit
 }
 
-// Picture plots each figure against its budget, on a scale of parts of it.
-func Picture(fi *Figures) ([]byte, error) {
+// Chart plots each figure against its budget, on a scale of parts of it.
+func Chart(fi *Figures) ([]byte, error) {
 	var values plotter.Values
 	var names []string
 	for _, ro := range Rows {
-		wo := work(fi, ro)
+		wo := evaluate(fi, ro)
 		if ratio := wo.ratio(); !math.IsNaN(ratio) {
 			values = append(values, ratio)
 			names = append(names, ro.Role+": "+ro.What)
--- a/io/capac/rows.go
+++ b/io/capac/rows.go
@@ -2,15 +2,15 @@
 
 // The target of the users' letter 1.
 const (
-	routers         = 420
-	workers         = 2100
-	processes       = routers + workers
-	requestsASecond = 25_000
-	tokensASecond   = 7_000_000
-	chatsKept       = 2_200_000
-	customers       = 1600
-	keyWindow       = 900 // seconds; the default of the KeyWindow setting
-	claimShards     = 64
+	routers           = 420
+	agents            = 2100
+	processes         = routers + agents
+	requestsPerSecond = 25_000
+	tokensPerSecond   = 7_000_000
+	rememberedChats   = 2_200_000
+	customers         = 1600
+	keyWindow         = 900 // seconds; the default of the KeyWindow setting
+	claimShards       = 64
 
 	megabyte = 1 << 20
 )
@@ -20,13 +20,13 @@
 	Role, What, Mechanism string
 	// Prefix and Suffix name the benchmark around its size; Metric is its unit.
 	Prefix, Suffix, Metric string
-	// At is the size at the target.
-	At float64
+	// TargetSize is the size at the target.
+	TargetSize float64
 	// Mean takes the mean of the sizes instead of the line's value: for a figure
 	// per unit that does not depend on the size measured.
 	Mean bool
-	// Times turns the figure into that of the budget.
-	Times  float64
+	// Scale turns the figure into that of the budget.
+	Scale  float64
 	Unit   string
 	Budget float64
 	// Note says how Times comes about, or what else matters.
@@ -45,118 +45,118 @@
 var Rows = []Row{
 	{
 		Role: roleRouter, What: "view of all agents", Mechanism: "core/board", Prefix: "Memory/agents/count=", Metric: "heap-B",
-		At: processes, Times: 1.0 / megabyte, Unit: "MB", Budget: 32, Note: "part of the 32 MB for control",
+		TargetSize: processes, Scale: 1.0 / megabyte, Unit: "MB", Budget: 32, Note: "part of the 32 MB for control",
 	},
 	{
 		Role: roleRouter, What: "compiled configuration", Mechanism: "core/decl", Prefix: "Memory/customers/count=", Metric: "heap-B",
-		At: customers, Times: 1.0 / megabyte, Unit: "MB", Budget: 32, Note: "part of the 32 MB for control",
+		TargetSize: customers, Scale: 1.0 / megabyte, Unit: "MB", Budget: 32, Note: "part of the 32 MB for control",
 	},
 	{
 		Role: "every process", What: "all memory when idle", Mechanism: "io/node", Prefix: "Idle/processes=", Metric: "B/process",
-		At: 41, Times: 1.0 / megabyte, Unit: "MB", Budget: 32, Note: "in a fleet of 41; heap and stacks, without the program itself",
+		TargetSize: 41, Scale: 1.0 / megabyte, Unit: "MB", Budget: 32, Note: "in a fleet of 41; heap and stacks, without the program itself",
 	},
 	{
 		Role: "every process", What: "control messages sent", Mechanism: "core/meter, core/agent/control.go", Prefix: "Control/own/nodes=", Metric: "B/s/node",
-		At: processes, Times: 1.0 / 1000, Unit: "KB/s", Budget: 5, Note: "held to 2.5 KB/s by the meter whatever the size",
+		TargetSize: processes, Scale: 1.0 / 1000, Unit: "KB/s", Budget: 5, Note: "held to 2.5 KB/s by the meter whatever the size",
 	},
 	{
 		Role: "every process", What: "configuration sent", Mechanism: "core/spread", Prefix: "Config/own/nodes=", Metric: "config-B/s/node",
-		At: processes, Times: 1.0 / 1000, Unit: "KB/s", Budget: 0.3, Note: "3,800 changes a day; aim 300 B/s",
+		TargetSize: processes, Scale: 1.0 / 1000, Unit: "KB/s", Budget: 0.3, Note: "3,800 changes a day; aim 300 B/s",
 	},
 	{
 		Role: "every process", What: "processor time of control", Mechanism: "core/agent/control.go, core/spread", Prefix: "Idle/processes=", Metric: "core-%",
-		At: 41, Mean: true, Times: 1, Unit: "% of a core", Budget: 1.4, Note: "does not grow with the fleet in the range measured; the share of larger digests and views is not measured",
+		TargetSize: 41, Mean: true, Scale: 1, Unit: "% of a core", Budget: 1.4, Note: "does not grow with the fleet in the range measured; the share of larger digests and views is not measured",
 	},
 	{
 		Role: roleRouter, What: "streamed tokens", Mechanism: "io/rpc, io/front", Prefix: "TokenHop/streams=", Metric: "ns/token",
-		Mean: true, Times: tokensASecond / routers / 1e9, Unit: "cores", Budget: 0, Note: "16,667 tokens/s a router, each its own part; no budget given",
+		Mean: true, Scale: tokensPerSecond / routers / 1e9, Unit: "cores", Budget: 0, Note: "16,667 tokens/s a router, each its own part; no budget given",
 	},
 	{
 		Role: roleRouter, What: "requests", Mechanism: "core/router, io/front", Prefix: "RequestHop/requests=", Metric: "ns/request",
-		Mean: true, Times: requestsASecond / float64(routers) / 1e9, Unit: "cores", Note: "60 requests/s a router",
+		Mean: true, Scale: requestsPerSecond / float64(routers) / 1e9, Unit: "cores", Note: "60 requests/s a router",
 	},
 	{
 		Role: roleRouter, What: "connections to agents", Mechanism: "io/rpc/client.go", Prefix: "Connection/count=", Metric: "B/conn",
-		Mean: true, Times: 512.0 / megabyte, Unit: "MB", Note: "bounded at 512 by MaxConnections; both ends of each",
+		Mean: true, Scale: 512.0 / megabyte, Unit: "MB", Note: "bounded at 512 by MaxConnections; both ends of each",
 	},
 	{
 		Role: roleAgent, What: "chats remembered", Mechanism: "core/chats", Prefix: "Memory/chats/count=", Metric: "B/each",
-		Mean: true, Times: chatsKept / float64(workers) / megabyte, Unit: "MB", Budget: 32, Note: "1,048 chats an agent; pointers to chats elsewhere cost less each",
+		Mean: true, Scale: rememberedChats / float64(agents) / megabyte, Unit: "MB", Budget: 32, Note: "1,048 chats an agent; pointers to chats elsewhere cost less each",
 	},
 	{
 		Role: roleAgent, What: "streamed tokens", Mechanism: "io/back, io/rpc", Prefix: "TokenHop/streams=", Metric: "ns/token",
-		Mean: true, Times: tokensASecond / float64(workers) / 1e9, Unit: "cores", Note: "3,333 tokens/s an agent",
+		Mean: true, Scale: tokensPerSecond / float64(agents) / 1e9, Unit: "cores", Note: "3,333 tokens/s an agent",
 	},
 	{
 		Role: roleAgent, What: "claims kept by one of 64 keepers, 5 % once-only", Mechanism: "core/claim/keeper.go", Prefix: "Memory/keys/count=", Metric: "B/each",
-		Mean: true, Times: requestsASecond * 0.05 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "17,578 claims a keeper over the window of 15 min; up to twice that between turns",
+		Mean: true, Scale: requestsPerSecond * 0.05 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "17,578 claims a keeper over the window of 15 min; up to twice that between turns",
 	},
 	{
 		Role: roleAgent, What: "claims kept by one of 64 keepers, 20 % once-only", Mechanism: "core/claim/keeper.go", Prefix: "Memory/keys/count=", Metric: "B/each",
-		Mean: true, Times: requestsASecond * 0.2 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "70,313 claims a keeper",
+		Mean: true, Scale: requestsPerSecond * 0.2 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "70,313 claims a keeper",
 	},
 	{
 		Role: roleKV, What: "configuration polls", Mechanism: "core/spread", Prefix: "Config/own/nodes=", Metric: "kv-calls/s",
-		At: processes, Times: 1, Unit: "calls/s", Budget: 150, Note: "the whole fleet's pace is fixed at 60 a second",
+		TargetSize: processes, Scale: 1, Unit: "calls/s", Budget: 150, Note: "the whole fleet's pace is fixed at 60 a second",
 	},
 	{
 		Role: roleKV, What: "claim writes, 1 % once-only", Mechanism: "core/claim", Prefix: "Claims/own/offered=", Suffix: "", Metric: "writes/s",
-		At: 250, Times: 1, Unit: "writes/s", Budget: 300, Note: "not linear: bounded by 64 shards x their pace",
+		TargetSize: 250, Scale: 1, Unit: "writes/s", Budget: 300, Note: "not linear: bounded by 64 shards x their pace",
 	},
 	{
 		Role: roleKV, What: "claim writes, 5 % once-only", Mechanism: "core/claim", Prefix: "Claims/own/offered=", Metric: "writes/s",
-		At: 1250, Times: 1, Unit: "writes/s", Budget: 300, Note: "as above",
+		TargetSize: 1250, Scale: 1, Unit: "writes/s", Budget: 300, Note: "as above",
 	},
 	{
 		Role: roleKV, What: "claim writes, 20 % once-only", Mechanism: "core/claim", Prefix: "Claims/own/offered=", Metric: "writes/s",
-		At: 5000, Times: 1, Unit: "writes/s", Budget: 300, Note: "as above",
+		TargetSize: 5000, Scale: 1, Unit: "writes/s", Budget: 300, Note: "as above",
 	},
 	{
 		Role: roleKV, What: "claims stored, 5 % once-only", Mechanism: "core/claim/chain.go", Prefix: "Claims/own/offered=", Metric: "kv-B/claim",
-		At: 1250, Times: requestsASecond * 0.05 * keyWindow / megabyte, Unit: "MB", Note: "1.1 million claims over the window; entries of about 2 KB",
+		TargetSize: 1250, Scale: requestsPerSecond * 0.05 * keyWindow / megabyte, Unit: "MB", Note: "1.1 million claims over the window; entries of about 2 KB",
 	},
 	{
 		Role: roleKV, What: "claims stored, 20 % once-only", Mechanism: "core/claim/chain.go", Prefix: "Claims/own/offered=", Metric: "kv-B/claim",
-		At: 5000, Times: requestsASecond * 0.2 * keyWindow / megabyte, Unit: "MB", Note: "4.5 million claims over the window",
+		TargetSize: 5000, Scale: requestsPerSecond * 0.2 * keyWindow / megabyte, Unit: "MB", Note: "4.5 million claims over the window",
 	},
 	{
 		Role: roleOperator, What: "in force everywhere, p99", Mechanism: "core/spread", Prefix: "InForce/own/nodes=", Suffix: "/kv-lost=false", Metric: "p99-s",
-		At: processes, Times: 1, Unit: "s", Budget: 9, Note: "a line through 50 to 500 processes; spreading grows with the logarithm, so this is high",
+		TargetSize: processes, Scale: 1, Unit: "s", Budget: 9, Note: "a line through 50 to 500 processes; spreading grows with the logarithm, so this is high",
 	},
 	{
 		Role: roleOperator, What: "in force everywhere, KV lost, p99", Mechanism: "core/spread", Prefix: "InForce/own/nodes=", Suffix: "/kv-lost=true", Metric: "p99-s",
-		At: processes, Times: 1, Unit: "s", Budget: 9, Note: "as above",
+		TargetSize: processes, Scale: 1, Unit: "s", Budget: 9, Note: "as above",
 	},
 	{
 		Role: roleKV, What: "lease of orders, while a version rolls", Mechanism: "core/order/lease.go", Prefix: "Roll/own/engines=", Metric: "KV-writes/s",
-		At: workers, Times: 1, Unit: "writes/s", Budget: 30, Note: "one holder's renewals, whatever the fleet; an order costs two reads",
+		TargetSize: agents, Scale: 1, Unit: "writes/s", Budget: 30, Note: "one holder's renewals, whatever the fleet; an order costs two reads",
 	},
 	{
 		Role: roleOperator, What: "rolling a version, against the weight store's own time", Mechanism: "core/order/pace.go", Prefix: "Roll/own/engines=", Metric: "time/needed",
-		Mean: true, Times: 1, Unit: "times", Note: "not linear; a store that bears two loads of 20 s",
+		Mean: true, Scale: 1, Unit: "times", Note: "not linear; a store that bears two loads of 20 s",
 	},
 	{
 		Role: roleOperator, What: "start from a snapshot", Mechanism: "core/revlog", Prefix: "SnapshotStart", Metric: "ns/op",
-		Mean: true, Times: 1e-9, Unit: "s", Budget: 9, Note: "1,600 customers, decoding and compiling",
+		Mean: true, Scale: 1e-9, Unit: "s", Budget: 9, Note: "1,600 customers, decoding and compiling",
 	},
 	{
 		Role: rolePath, What: "choice of an agent", Mechanism: "core/pick", Prefix: "Pick/own", Metric: "ns/op",
-		Mean: true, Times: 1e-3, Unit: "µs", Budget: 1, Note: "pool of 150 in a fleet of 2,100",
+		Mean: true, Scale: 1e-3, Unit: "µs", Budget: 1, Note: "pool of 150 in a fleet of 2,100",
 	},
 	{
 		Role: rolePath, What: "admission at an agent", Mechanism: "core/admit", Prefix: "Admit/own", Metric: "ns/op",
-		Mean: true, Times: 1e-3, Unit: "µs", Budget: 1, Note: "1,600 customers, 149 peers",
+		Mean: true, Scale: 1e-3, Unit: "µs", Budget: 1, Note: "1,600 customers, 149 peers",
 	},
 	{
 		Role: rolePath, What: "added to a whole answer, p50", Mechanism: "io/front, io/rpc, io/back", Prefix: "Added/rate=", Metric: "added-p50-ms",
-		At: 1000, Times: 1, Unit: "ms", Budget: 0.5, Note: "at 1,000 requests/s; callers, router, agent and engine share one program on this machine",
+		TargetSize: 1000, Scale: 1, Unit: "ms", Budget: 0.5, Note: "at 1,000 requests/s; callers, router, agent and engine share one program on this machine",
 	},
 	{
 		Role: rolePath, What: "added to a whole answer, p99", Mechanism: "io/front, io/rpc, io/back", Prefix: "Added/rate=", Metric: "added-p99-ms",
-		At: 1000, Times: 1, Unit: "ms", Budget: 2, Note: "as above; of the 480 ms to a first token",
+		TargetSize: 1000, Scale: 1, Unit: "ms", Budget: 2, Note: "as above; of the 480 ms to a first token",
 	},
 	{
 		Role: rolePath, What: "added by a claim, p99, 5 % once-only", Mechanism: "core/claim", Prefix: "Claims/own/offered=", Metric: "p99-added-ms",
-		At: 1250, Times: 1, Unit: "ms", Budget: 480, Note: "once-only requests; the KV answers in 3 ms",
+		TargetSize: 1250, Scale: 1, Unit: "ms", Budget: 480, Note: "once-only requests; the KV answers in 3 ms",
 	},
 }
