--- a/io/vmnet/vmnet.go
+++ b/io/vmnet/vmnet.go
@@ -19,12 +19,12 @@
 	"almondrill/core"
 )
 
-type answer struct {
+type changesReply struct {
 	Mark uint64
 	VMs  []core.VM
 }
 
-const timeout = 3 * time.Second
+const requestTimeout = 3 * time.Second
 
 // Client reads the list at an address.
 type Client struct {
@@ -35,7 +35,7 @@
 
 // Changes returns what changed after mark.
 func (cl *Client) Changes(ctx context.Context, mark uint64) ([]core.VM, uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	oo := oops.In("list vms").With("peer", cl.Addr)
 	url := "http://" + cl.Addr + "/vms?after=" + strconv.FormatUint(mark, 10)
@@ -51,11 +51,11 @@
 	if rs.StatusCode != http.StatusOK {
 		return nil, mark, oo.Errorf("status %s", rs.Status)
 	}
-	var an answer
-	if err = json.NewDecoder(rs.Body).Decode(&an); err != nil {
+	var reply changesReply
+	if err = json.NewDecoder(rs.Body).Decode(&reply); err != nil {
 		return nil, mark, oo.Wrap(err)
 	}
-	return an.VMs, an.Mark, nil
+	return reply.VMs, reply.Mark, nil
 }
 
 // Handler serves a list.
@@ -72,6 +72,6 @@
 			return
 		}
 		wr.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(wr).Encode(answer{Mark: next, VMs: vms})
+		_ = json.NewEncoder(wr).Encode(changesReply{Mark: next, VMs: vms})
 	})
 }
