--- a/io/back/answer.go
+++ b/io/back/answer.go
@@ -12,7 +12,7 @@
 	"almondrill/core"
 )
 
-// forwarder passes one response's body on.
+// forwarder forwards the body of one response to a sink.
 type forwarder struct {
 	ep    *Endpoint
 	ca    *core.Call
@@ -21,12 +21,12 @@
 	stall *stallTimer
 	part  core.Part
 	usage core.Usage
-	// buffered is what was read of an event, or of a whole JSON answer, so far.
+	// buffered is the incomplete last event of a stream, or the part of a plain response read so far.
 	buffered []byte
 	sawDone  bool
 }
 
-// maxBuffered bounds an event, and a whole answer that is looked at for its usage.
+// maxBuffered bounds the size of an event, and of a plain response that is parsed for its usage.
 const maxBuffered = 1 << 20
 
 var (
@@ -47,7 +47,7 @@
 	return fw.forwardPlain(ctx)
 }
 
-// forwardPlain passes a plain body on.
+// forwardPlain forwards a body that is not an event stream.
 func (fw *forwarder) forwardPlain(ctx context.Context) error {
 	if fw.rs.ContentLength < 0 && len(fw.rs.TransferEncoding) == 0 && fw.rs.ProtoMajor == 1 {
 		return fw.ep.refusal(core.Unknown, core.ReasonCutShort, errUnframedBody)
@@ -57,7 +57,7 @@
 		if fw.ep.Engine && len(fw.buffered)+len(data) <= maxBuffered {
 			fw.buffered = append(fw.buffered, data...)
 		}
-		// With the length known, the last piece carries the end mark itself.
+		// If the length is known, the last part carries the end mark itself.
 		left -= int64(len(data))
 		fw.part.End = left == 0
 		return fw.send(data, 0)
@@ -69,10 +69,9 @@
 	return fw.finish()
 }
 
-// forwardStream passes events on, as many at a time as have arrived whole. An event
-// ends with an empty line; nothing else of the format matters here, and it is
-// the place where every token passes, so no event is parsed or copied but the
-// one that carries the usage.
+// forwardStream forwards an event stream, sending all events that have arrived completely as one
+// part. An event ends with an empty line. Every token passes through here, so only the event that
+// carries the usage is parsed, and only incomplete events are copied.
 func (fw *forwarder) forwardStream(ctx context.Context) error {
 	err := fw.readBody(ctx, func(data []byte) error {
 		if len(fw.buffered) > 0 {
@@ -100,7 +99,7 @@
 	return fw.finish()
 }
 
-// completeLen is the index behind the last whole event in data.
+// completeLen returns the length of the complete events at the start of data.
 func completeLen(data []byte) int {
 	cut := 0
 	if at := bytes.LastIndex(data, eventEnd); at >= 0 {
@@ -112,7 +111,7 @@
 	return cut
 }
 
-// sendEvents passes whole events on.
+// sendEvents sends complete events to the sink.
 func (fw *forwarder) sendEvents(data []byte) error {
 	count := bytes.Count(data, eventEnd) + bytes.Count(data, eventEndCR)
 	tail := bytes.TrimRight(data, "\r\n")
@@ -124,7 +123,7 @@
 	return fw.send(data, int64(count))
 }
 
-// eventDataAt is the JSON of the event that holds index at.
+// eventDataAt returns the JSON data of the event that contains index at.
 func eventDataAt(data []byte, at int) []byte {
 	from := bytes.LastIndex(data[:at], dataField)
 	if from < 0 {
@@ -160,7 +159,7 @@
 	}
 }
 
-// readBody hands the body's data to take until its end. An error of take ends it.
+// readBody calls handle with each piece of the body, until the body ends or handle fails.
 func (fw *forwarder) readBody(ctx context.Context, handle func(data []byte) error) error {
 	buffer := buffers.Get().(*[readSize]byte)
 	defer buffers.Put(buffer)
@@ -181,7 +180,7 @@
 	}
 }
 
-// sendError keeps a refusal as it is; any other error is the caller's leaving.
+// sendError returns a refusal unchanged. Any other error means that the caller disconnected.
 func (fw *forwarder) sendError(err error) error {
 	var re *core.Refusal
 	if errors.As(err, &re) {
@@ -190,7 +189,8 @@
 	return fw.ep.refusal(core.Unknown, core.ReasonCallerGone, err)
 }
 
-// readError tells of a body that ended before its end. It ran, and failed.
+// readError returns the refusal for a body that ended early. If the call was not cancelled, the
+// request was executed and failed.
 func (fw *forwarder) readError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return fw.ep.interrupted(ctx, core.ReasonCutShort, err)
@@ -207,8 +207,8 @@
 	return err
 }
 
-// finish sends the end mark, with the head if the body was empty, unless the last
-// piece carried it.
+// finish sends the end mark, unless the last part carried it. If the body was empty, status and
+// content type go with it.
 func (fw *forwarder) finish() error {
 	if fw.part.End {
 		return nil
--- a/io/back/back.go
+++ b/io/back/back.go
@@ -1,18 +1,18 @@
-// Package back calls the endpoints beside an agent over HTTP: engines by the
-// OpenAI-style protocol, services by plain HTTP.
+// Package back calls the endpoints on an agent's VM over HTTP: engines with the OpenAI-style
+// protocol, services with plain HTTP.
 //
 // # Concepts
 //
-// The answer is passed on as it comes, without delay and without being taken
-// apart: a stream is only cut between events, so that positions count whole
-// events, and several events that have already arrived travel as one part.
+// A response is forwarded as it arrives, without delay and without being parsed. A stream is split
+// only between events, so that positions count whole events. Events that have arrived together are
+// forwarded as one part.
 //
 // # Invariants
 //
-//   - NotRun is returned only if no connection could be made.
-//   - A body without a length or chunks is never whole: its end cannot be told
-//     from a broken connection.
-//   - No request is sent twice by the HTTP library, see newRequest.
+//   - Do reports NotRun only if the request could not be built or no connection could be made.
+//   - A body without a length or chunks is never treated as complete: its end cannot be told from
+//     a broken connection.
+//   - The HTTP library sends no non-idempotent request twice, see newRequest.
 //
 // # Usage
 //
@@ -41,14 +41,14 @@
 )
 
 const (
-	// DefaultStallTimeout is how long an endpoint may send nothing.
+	// DefaultStallTimeout is how long an endpoint may send nothing before the call fails.
 	DefaultStallTimeout = 30 * time.Second
 	dialTimeout         = time.Second
 	readSize            = 16 << 10
 	maxIdleConns        = 256
 )
 
-// Headers between agent and endpoint.
+// Headers that an agent sends to endpoints. An endpoint may echo headerAttempt.
 const (
 	headerAttempt  = "X-Request-Id"
 	headerCacheKey = "X-Cache-Key"
@@ -56,17 +56,18 @@
 	headerIdemKey  = "Idempotency-Key"
 )
 
-// Endpoint is one endpoint. Set the exported fields before use.
+// Endpoint is a client of one endpoint. Set the exported fields before use.
 type Endpoint struct {
 	ID  core.EndpointID
 	URL string
-	// Engine tells an engine from a service.
+	// Engine is true for an engine, false for a service.
 	Engine bool
-	// StallTimeout bounds the silence between two pieces of an answer; 0 is DefaultStall.
+	// StallTimeout bounds the time until the first data of a response and between later data;
+	// 0 means DefaultStallTimeout.
 	StallTimeout time.Duration
-	// EchoesAttempt tells whether answers must carry the attempt id; nil is no.
+	// EchoesAttempt reports whether responses must carry the attempt id; nil means they need not.
 	EchoesAttempt func() bool
-	// Crossed, if set, counts answers that were for another attempt.
+	// Crossed, if set, is called for each response that belongs to another attempt.
 	Crossed func()
 }
 
@@ -75,10 +76,10 @@
 	_ core.LivenessProber = (*Endpoint)(nil)
 )
 
-// client keeps connections per endpoint. onceClient opens one for each call: on
-// a kept connection that the endpoint is just closing, a request can be lost so
-// that nobody can tell whether it ran; on a new one, either the connection is
-// refused, and it did not, or the endpoint has it.
+// client keeps idle connections. freshClient opens a new connection for each call, for requests
+// that must not be executed twice: if the endpoint closes an idle connection just as a request is
+// sent on it, nobody can tell whether the request was executed. A new connection is either refused,
+// and the request was not executed, or the endpoint receives the request.
 var (
 	client      = newClient(false)
 	freshClient = newClient(true)
@@ -97,7 +98,7 @@
 	}
 }
 
-// Alive implements core.Liveness: a process that is there accepts a connection.
+// Alive implements core.LivenessProber. Only a refused connection shows that the process is gone.
 func (ep *Endpoint) Alive(ctx context.Context) bool {
 	at, err := url.Parse(ep.URL)
 	if err != nil {
@@ -105,15 +106,16 @@
 	}
 	co, err := (&net.Dialer{}).DialContext(ctx, "tcp", at.Host)
 	if err == nil {
-		_ = co.Close() // nothing was sent on it
+		_ = co.Close() // nothing was sent, so nothing is lost
 	}
 	return !errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// CacheKey is the name under which engines keep a chat's context.
+// CacheKey returns the name under which engines cache a chat's context.
 func CacheKey(key uint64) string { return strconv.FormatUint(key, 16) }
 
-// Do runs a call.
+// Do sends a call to the endpoint and forwards the response to the sink. An error is a
+// *core.Refusal.
 func (ep *Endpoint) Do(ctx context.Context, ca *core.Call, si core.Sink) (core.Usage, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -153,11 +155,10 @@
 	return DefaultStallTimeout
 }
 
-// oneShotReader hides everything but Read from the HTTP library. The library sends a
-// request again by itself when a kept connection breaks, if it can rewind the
-// body or there is none and the request looks idempotent, for which an
-// Idempotency-Key header is enough. The endpoint would then run a draft twice.
-// A body of unknown length that cannot be rewound rules that out.
+// oneShotReader hides all methods but Read from the HTTP library. When an idle connection breaks,
+// the library resends a request that looks idempotent, for which an Idempotency-Key header is
+// enough, if the request has no body or one that can be rewound. The endpoint would then execute a
+// non-idempotent request twice. A body that cannot be rewound prevents this.
 type oneShotReader struct{ io.Reader }
 
 func (ep *Endpoint) newRequest(ctx context.Context, ca *core.Call) (*http.Request, error) {
@@ -186,7 +187,7 @@
 	return rq, nil
 }
 
-// checkHeader looks at the answer's status and whose it is.
+// checkHeader checks that the response belongs to this attempt and has a status below 500.
 func (ep *Endpoint) checkHeader(ca *core.Call, rs *http.Response) error {
 	echoed := rs.Header.Get(headerAttempt)
 	mustEcho := ep.EchoesAttempt != nil && ep.EchoesAttempt()
@@ -205,11 +206,11 @@
 	return nil
 }
 
-// sendFailed tells what is known of a request that got no answer.
+// sendFailed returns the refusal for a request that got no response.
 func (ep *Endpoint) sendFailed(ctx context.Context, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		// Callers read the detail: it names no address of the inside.
+		// Callers see the detail, so it must not contain an internal address.
 		re := ep.refusal(core.NotRun, core.ReasonEndpointDown, errNoConnection)
 		re.RetryAfter = time.Second
 		return re
@@ -217,7 +218,8 @@
 	return ep.interrupted(ctx, core.ReasonEndpointDown, err)
 }
 
-// interrupted tells of a request that may have run.
+// interrupted returns the refusal for a request that may have been executed. What ended ctx, if
+// anything, decides the reason.
 func (ep *Endpoint) interrupted(ctx context.Context, reason core.Reason, err error) error {
 	switch {
 	case errors.Is(context.Cause(ctx), errStalled):
@@ -238,8 +240,8 @@
 
 var errStalled = errors.New("the endpoint sent nothing for too long")
 
-// stallTimer ends a call whose endpoint falls silent: the connection may stay up for
-// ever while the engine behind it hangs.
+// stallTimer cancels a call whose endpoint sends nothing for too long: the connection may stay up
+// indefinitely while the engine behind it hangs.
 type stallTimer struct {
 	timer   *time.Timer
 	timeout time.Duration
--- a/io/back/back_test.go
+++ b/io/back/back_test.go
@@ -11,8 +11,8 @@
 	"almondrill/io/back"
 )
 
-// An engine is not there when a chat comes. The caller is told that it was not
-// run and when to come back, in words that name no address of the inside.
+// The engine refuses the connection. The refusal says that the chat was not executed and when to
+// retry, and its detail, which callers see, contains no internal address.
 func TestUnreachableEngineHidesItsAddress(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
--- a/io/back/cache.go
+++ b/io/back/cache.go
@@ -17,7 +17,7 @@
 	importPath = "/cache/import?key="
 )
 
-// Export writes a chat's context as the engine gives it.
+// Export writes a chat's context to wr, in the engine's own format.
 func (ep *Endpoint) Export(ctx context.Context, key uint64, wr io.Writer) error {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, ep.URL+exportPath+CacheKey(key), nil)
 	if err != nil {
@@ -31,8 +31,7 @@
 	if rs.StatusCode != http.StatusOK {
 		return oops.In("export").With("peer", ep.ID).Errorf("status %d", rs.StatusCode)
 	}
-	// A body without a length or chunks ends the same way whether it is whole or
-	// broken off.
+	// A body without a length or chunks ends the same way whether it is complete or truncated.
 	if rs.ContentLength < 0 && len(rs.TransferEncoding) == 0 {
 		return oops.In("export").With("peer", ep.ID).Errorf("the context's end cannot be told")
 	}
@@ -40,8 +39,8 @@
 	return oops.In("export").With("peer", ep.ID).Wrap(err)
 }
 
-// Import has the engine keep a context. Where reading it fails, the request is
-// broken off, and the engine does not see its end.
+// Import sends a context to the engine, which adds it to its cache. If reading rd fails, the
+// request is aborted, and the engine sees that the context is incomplete.
 func (ep *Endpoint) Import(ctx context.Context, key uint64, rd io.Reader) error {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPut, ep.URL+importPath+CacheKey(key), oneShotReader{rd})
 	if err != nil {
--- a/io/back/follow.go
+++ b/io/back/follow.go
@@ -18,19 +18,18 @@
 const (
 	pollInterval = time.Second
 	pollTimeout  = 2 * time.Second
-	// maxLoadSamples is how many of the gate's own past loads a lagging report is
-	// compared with: its figure may be as old as that many rounds.
+	// maxLoadSamples is how many past loads of the gate a load report is compared with: reports
+	// lag, by up to that many poll intervals.
 	maxLoadSamples = 5
 )
 
-// Poller follows an engine's cache events and load reports. Set the exported
-// fields before Run.
+// Poller polls an engine for cache events and load reports. Set the exported fields before Run.
 type Poller struct {
 	Endpoint *Endpoint
 	Clock    core.Clock
 	Book     *ctxdir.Directory
 	Gate     *admit.Gate
-	// Failed, if set, is told when the engine stops answering, once each time.
+	// Failed, if set, is called with the first error after a successful poll, or of the first poll.
 	Failed func(err error)
 
 	seq     uint64
@@ -39,7 +38,7 @@
 	failing bool
 }
 
-// Run follows until ctx ends.
+// Run polls the engine until ctx ends.
 func (po *Poller) Run(ctx context.Context) error {
 	for po.Clock.Sleep(ctx, pollInterval) == nil {
 		err := po.Poll(ctx)
@@ -51,7 +50,7 @@
 	return nil
 }
 
-// Poll takes in what is new once.
+// Poll applies the engine's new cache events and its load report.
 func (po *Poller) Poll(ctx context.Context) error {
 	if err := po.pollEvents(ctx); err != nil {
 		return err
@@ -65,8 +64,8 @@
 	Key  string
 }
 
-// pollEvents applies new cache events, and a whole listing after a gap: events that
-// were lost may have been evictions, and the chats would be sent here in vain.
+// pollEvents applies new cache events. After a gap it applies a complete listing: the lost events
+// may have been evictions, and chats would be sent here although their context is gone.
 func (po *Poller) pollEvents(ctx context.Context) error {
 	if !po.synced {
 		return po.resync(ctx)
@@ -108,8 +107,8 @@
 	return nil
 }
 
-// pollLoad compares the engine's report with the most that the gate has had inside
-// lately, since the report lags: only what is beyond that came past the gate.
+// pollLoad compares the engine's load report with the highest recent load of the gate, since the
+// report lags. Only load beyond that has reached the engine by other ways than the gate.
 func (po *Poller) pollLoad(ctx context.Context) error {
 	po.samples = append(po.samples, po.Gate.TrackedLoad())
 	if len(po.samples) > maxLoadSamples {
--- a/io/back/follow_test.go
+++ b/io/back/follow_test.go
@@ -19,21 +19,20 @@
 	"almondrill/io/stand/engine"
 )
 
-// manualClock is a clock that stands until it is moved; who sleeps, sleeps until the
-// context ends.
+// manualClock is a clock that a test advances. Sleep ends only with the context.
 type manualClock struct {
 	mu  sync.Mutex // guards now
 	now time.Time
 }
 
-// Now is the time it was moved to.
+// Now implements core.Clock.
 func (ma *manualClock) Now() time.Time {
 	ma.mu.Lock()
 	defer ma.mu.Unlock()
 	return ma.now
 }
 
-// Sleep waits for ctx.
+// Sleep implements core.Clock.
 func (ma *manualClock) Sleep(ctx context.Context, _ time.Duration) error {
 	<-ctx.Done()
 	return ctx.Err()
@@ -47,7 +46,7 @@
 
 const reportLag = 3 * time.Second
 
-// polledEngine is an engine whose reports lag, with the gate before it.
+// polledEngine is a fake engine whose load reports lag, with the gate in front of it and its poller.
 type polledEngine struct {
 	clock  *manualClock
 	engine *engine.Engine
@@ -72,7 +71,7 @@
 	}}
 }
 
-// startChat starts a chat at the engine that lasts until the test ends, past the gate.
+// startChat sends a chat directly to the engine, bypassing the gate. It lasts until ctx ends.
 func (pe *polledEngine) startChat(ctx context.Context, t *testing.T) {
 	body := `{"model":"m","max_tokens":40,"messages":[{"role":"user","content":"x"}]}`
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, pe.url+"/v1/chat/completions", strings.NewReader(body))
@@ -86,7 +85,7 @@
 	}()
 }
 
-// poll moves the clock by a second and follows the engine once.
+// poll advances the clock by a second and polls the engine once.
 func (pe *polledEngine) poll(t *testing.T) {
 	t.Helper()
 	pe.clock.advance(time.Second)
@@ -95,8 +94,8 @@
 	}
 }
 
-// An engine also serves somebody past its agent. Its report, three seconds late,
-// shows more work than the agent gave it, and the cap counts the rest as load.
+// An engine also serves a chat that bypasses its agent. Its load report, three seconds late, shows
+// more work than the agent sent it. The excess counts as load of the gate, but not as tracked load.
 func TestUntrackedLoadCounts(t *testing.T) {
 	pe := newPolledEngine(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -105,18 +104,18 @@
 	const maxRounds = 1000
 	for n := 0; pe.gate.Load() == 0; n++ {
 		if n == maxRounds {
-			t.Fatal("the work never showed in the gate's load")
+			t.Fatal("the untracked work never appeared in the gate's load")
 		}
 		pe.poll(t)
 	}
 	if pe.gate.TrackedLoad() != 0 {
-		t.Errorf("%d counted as given", pe.gate.TrackedLoad())
+		t.Errorf("tracked load %d, want 0", pe.gate.TrackedLoad())
 	}
 }
 
-// An answer has ended, but the engine's report still shows it for three seconds.
-// The agent knows that this work was its own: it is not counted as somebody
-// else's, or the endpoint would refuse calls that it has room for.
+// A chat has ended, but the engine's load report shows it for three more seconds. This work came
+// through the gate, so it must not count as untracked load: the endpoint would refuse calls for
+// which it has capacity.
 func TestLateReportIsNotCountedTwice(t *testing.T) {
 	pe := newPolledEngine(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -133,7 +132,7 @@
 		pe.poll(t)
 	}
 	if pe.gate.Load() != ti.Work {
-		t.Errorf("load %d while it runs, of %d", pe.gate.Load(), ti.Work)
+		t.Errorf("load %d while the chat runs, want %d", pe.gate.Load(), ti.Work)
 	}
 	pe.gate.Release(ti)
 	cancel()
@@ -143,7 +142,7 @@
 	for late := range 5 {
 		pe.poll(t)
 		if pe.gate.Load() != 0 {
-			t.Errorf("load %d, %d s after the end", pe.gate.Load(), late+1)
+			t.Errorf("load %d, want 0, %d s after the chat ended", pe.gate.Load(), late+1)
 		}
 	}
 }
--- a/io/back/order.go
+++ b/io/back/order.go
@@ -19,11 +19,11 @@
 
 const (
 	ordersPath = "/orders"
-	// maxErrorText bounds what is kept of an engine's own error text.
+	// maxErrorText bounds how many bytes of an engine's error text are kept.
 	maxErrorText = 512
 )
 
-// State asks the engine what it has loaded. One without the path takes no orders.
+// State returns what the engine has loaded. An engine without the path does not support orders.
 func (ep *Endpoint) State(ctx context.Context) (*core.EngineState, error) {
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, ep.URL+ordersPath, nil)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return &st, nil
 }
 
-// Order has the engine carry an order out and waits until it is done. Engines
-// that check fencing numbers find it in the body.
+// Order sends an order to the engine and waits until it is carried out. The body contains the
+// fencing number, for engines that check it.
 func (ep *Endpoint) Order(ctx context.Context, or *core.Order) error {
 	body, err := json.Marshal(struct {
 		Fence         core.Fence
@@ -75,7 +75,7 @@
 	return ep.orderError(rs)
 }
 
-// orderError reads why the engine did not carry an order out.
+// orderError returns the refusal for an order that the engine did not carry out.
 func (ep *Endpoint) orderError(rs *http.Response) *core.Refusal {
 	text, _ := io.ReadAll(io.LimitReader(rs.Body, maxErrorText))
 	re := &core.Refusal{
