--- a/io/deny/fleet.go
+++ b/io/deny/fleet.go
@@ -16,28 +16,29 @@
 const (
 	// ownerCount is how many routers count the crashes of a request.
 	ownerCount = 2
-	// maxNotified bounds the routers that are told at once; the others read the store.
-	maxNotified = 64
-	// notifyTimeout bounds telling one.
+	// maxNotified bounds the routers to which a notice is sent. The others learn of a quarantine
+	// from the store.
+	maxNotified   = 64
 	notifyTimeout = 2 * time.Second
-	// noticeSize is about what a note takes on the wire.
+	// noticeSize is the approximate size of a notice on the wire.
 	noticeSize core.Bytes = 96
 )
 
-// BoardPeers is the other routers before agents, as a router's board knows them. Set the exported
-// fields before use.
+// BoardPeers implements Peers for routers that use agents: it sends notices to the other routers on
+// the board. Set the exported fields before use.
 type BoardPeers struct {
 	Board *board.Board
 	Peers core.Peers
 	Rand  core.Rand
-	// BytesSent is told of what was sent.
+	// BytesSent is called with the size of each notice before it is sent.
 	BytesSent func(size core.Bytes)
 	Log       *zap.Logger
 }
 
 var _ Peers = (*BoardPeers)(nil)
 
-// NotifyOwners implements Peers: keepers are those of the highest rank by rendezvous hashing.
+// NotifyOwners implements Peers. The owners of a request are the routers that rendezvous hashing
+// ranks highest for it.
 func (bp *BoardPeers) NotifyOwners(_ time.Time, no core.CrashNotice) {
 	key := binary.BigEndian.Uint64(no.Request[:])
 	self := bp.Board.Self.ID
@@ -61,7 +62,7 @@
 	}
 }
 
-// NotifyAll implements Peers.
+// NotifyAll implements Peers. It notifies at most maxNotified routers, chosen at random.
 func (bp *BoardPeers) NotifyAll(_ time.Time, no core.CrashNotice) {
 	all := bp.others()
 	for ix := range min(maxNotified, len(all)) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// others are the other routers.
+// others returns all routers but this one.
 func (bp *BoardPeers) others() []core.VMID {
 	var all []core.VMID
 	for _, vm := range bp.Board.Snapshot().Routers {
@@ -82,14 +83,14 @@
 	return all
 }
 
-// notify sends a note without waiting for it.
+// notify sends a notice in the background.
 func (bp *BoardPeers) notify(to core.VMID, no core.CrashNotice) {
 	bp.BytesSent(noticeSize)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		if err := bp.Peers.NotifyCrash(ctx, to, &no); err != nil {
-			bp.Log.Debug("Telling a peer of a request failed.", zap.String("Peer", string(to)), zap.Error(err))
+			bp.Log.Debug("Sending a crash notice to a peer failed.", zap.String("Peer", string(to)), zap.Error(err))
 		}
 	}()
 }
--- a/io/deny/guard.go
+++ b/io/deny/guard.go
@@ -1,28 +1,28 @@
-// Package deny keeps requests that crash endpoints from being sent on, for one router.
+// Package deny keeps one router from sending requests that crash endpoints.
 //
 // # Concepts
 //
-// A router asks its Ledger before it sends a request, and tells it how attempts end and which
-// endpoints crashed. What follows is decided in core/blame; the Ledger tells peers, and keeps
-// quarantines in the platform's store, so that they outlive all routers.
+// A router asks its Tracker before it sends a request, and reports to it which attempts succeeded
+// and which endpoints crashed. Package core/crash decides what follows. The Tracker notifies peers,
+// and writes quarantines to the platform's store, so that they survive the restart of all routers.
 //
-// A router that calls endpoints itself has a Controller, which finds crashes: where an attempt
-// broke off it connects to the endpoint, and one that refuses has crashed while it ran all
-// that broke off there. Before agents, these tell.
+// A router that calls endpoints itself uses a Detector, which detects crashes: after an attempt was
+// interrupted, it connects to the endpoint. One that refuses the connection has crashed while it
+// executed all attempts that were interrupted there. A router that uses agents learns of crashes
+// from them.
 //
 // # Invariants
 //
-//   - No request waits for what the Controller finds out, but for a trial, which one router
-//     wins in the store.
-//   - At most one connection at a time is made to an endpoint to find out about it.
-//   - The store is called for a quarantine that begins, ends, is tried or renewed, and never
-//     for a suspect.
+//   - A request waits only for the store's answer to the claim of a trial, never for a Detector.
+//   - A Detector makes at most one connection at a time to an endpoint.
+//   - The store is written when a quarantine begins, ends, is tried or renewed, and never for a
+//     suspect.
 //
 // # Usage
 //
-//	le := &guard.Ledger{Peers: gr, Store: pf, Stats: st, Log: lo}
-//	go le.Run(ctx)
-//	relay.Blame = &guard.Controller{Ledger: le, Conns: po, Placer: pl}
+//	tr := &deny.Tracker{Peers: gr, Store: pf, Stats: st, Log: lo}
+//	go tr.Run(ctx)
+//	relay.Crashes = &deny.Detector{Tracker: tr, Conns: po, Placer: pl}
 package deny
 
 import (
@@ -41,14 +41,15 @@
 )
 
 const (
-	// secondProbeDelay is when an endpoint is looked at again that took a connection right after an
-	// attempt had broken off there: the parts of a process do not all end at once.
+	// secondProbeDelay is the time between the two probes of an endpoint. A crashing process may
+	// still accept a connection just after it interrupted an attempt: its parts do not all end at
+	// once.
 	secondProbeDelay = 250 * time.Millisecond
-	// probeTimeout bounds a connection that is made to find out about an endpoint.
+	// probeTimeout bounds both probes of an endpoint together.
 	probeTimeout = time.Second
 )
 
-// Detector finds crashes for the Ledger of a router that calls endpoints itself. Set the
+// Detector detects crashes for the Tracker of a router that calls endpoints itself. Set the
 // exported fields before use.
 type Detector struct {
 	*Tracker
@@ -63,10 +64,10 @@
 
 var _ core.CrashDetector = (*Detector)(nil)
 
-// Interrupted implements core.CrashWatch.
+// Interrupted implements core.CrashDetector.
 func (de *Detector) Interrupted(en core.EndpointRef, began time.Time, fp core.Fingerprint) {
 	if de.Placer.Draining(en.Hash) {
-		return // it ends as planned
+		return // a planned shutdown, not a crash
 	}
 	now := time.Now()
 	if de.interruptions.Add(now, crash.Attempt{Endpoint: en.Hash, Request: fp, StartedAt: began}) {
@@ -78,11 +79,11 @@
 	}
 }
 
-// ConnRefused implements core.CrashWatch.
+// ConnRefused implements core.CrashDetector.
 func (de *Detector) ConnRefused(en core.EndpointRef) { de.endpointGone(en, crash.Refused) }
 
-// Replaced tells that another process has registered in the place of an endpoint that did
-// not drain.
+// Replaced records that another process has registered in place of an endpoint that was not
+// draining.
 func (de *Detector) Replaced(en core.EndpointRef) { de.endpointGone(en, crash.Replaced) }
 
 func (de *Detector) endpointGone(en core.EndpointRef, ev crash.Evidence) {
@@ -98,8 +99,8 @@
 	de.Tracker.crashed(now, en.Hash, requests)
 }
 
-// probe finds out whether an endpoint is gone at which an attempt broke off. A connection that
-// is made in vain is kept for the next request.
+// probe checks by connecting whether an endpoint where an attempt was interrupted has crashed. If
+// it has not, the connection stays in the pool for the next request.
 func (de *Detector) probe(en core.EndpointRef) {
 	defer de.endProbe(en.Hash)
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -120,7 +121,7 @@
 	}
 }
 
-// beginProbe is false if somebody looks already.
+// beginProbe reports whether a probe may begin, which is not so while one is running.
 func (de *Detector) beginProbe(endpoint uint64) bool {
 	de.probeMu.Lock()
 	defer de.probeMu.Unlock()
--- a/io/deny/guard_test.go
+++ b/io/deny/guard_test.go
@@ -20,7 +20,7 @@
 	"almondrill/io/stats"
 )
 
-// store is the platform's, as far as quarantines go.
+// store is a fake of the platform's store that holds quarantines only.
 type store struct {
 	mu    sync.Mutex // guards all below
 	rev   core.Version
@@ -65,7 +65,7 @@
 	return qu, found
 }
 
-// group passes notes on to other routers' controllers.
+// group delivers notices to other routers' detectors directly.
 type group struct{ others []*deny.Detector }
 
 func (gr *group) NotifyOwners(now time.Time, no core.CrashNotice) { gr.NotifyAll(now, no) }
@@ -86,7 +86,8 @@
 	}
 }
 
-// waitForCrashedUnder waits until that many requests are known to have run when endpoints crashed.
+// waitForCrashedUnder waits until the counter of requests that were running at an endpoint when it
+// crashed reaches want.
 func waitForCrashedUnder(t *testing.T, de *deny.Detector, want int64) {
 	t.Helper()
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -97,8 +98,8 @@
 	t.Errorf("crashed under %d requests, want %d", de.Stats.Value(stats.CrashedUnder), want)
 }
 
-// Two answers break off. One endpoint takes connections as before: an answer was lost. The
-// other refuses them, and is known to have crashed although no request is sent to it.
+// Two attempts are interrupted. One endpoint still accepts connections, so only a response was
+// lost. The other refuses them, which shows its crash although no further request is sent to it.
 func TestInterruptionIsACrashOnlyIfTheEndpointIsGone(t *testing.T) {
 	de := newDetector()
 	alive, dead := local.Listen(t), local.Listen(t)
@@ -110,7 +111,7 @@
 	waitForCrashedUnder(t, de, 1)
 }
 
-// An endpoint drains and ends with a request that takes too long: that is no crash.
+// A draining endpoint shuts down while a request is still running there, which is not a crash.
 func TestEndOfADrainingEndpointIsNoCrash(t *testing.T) {
 	de := newDetector()
 	dead := local.Listen(t)
@@ -122,7 +123,7 @@
 	waitForCrashedUnder(t, de, 0)
 }
 
-// crashThreeEndpoints has a request run at three endpoints when they crash.
+// crashThreeEndpoints reports three endpoints as crashed while they executed the request.
 func crashThreeEndpoints(de *deny.Detector, fp core.Fingerprint) {
 	for ix := range uint64(3) {
 		en := core.EndpointRef{ID: "e", Addr: "127.0.0.1:1", Hash: 100 + ix}
@@ -132,9 +133,9 @@
 	}
 }
 
-// Two routers refuse a request that crashed three endpoints. Its callers come back all the
-// time, through both, and once the pause is over one of them is let through, once, whichever
-// of many it is. When it crashes an endpoint again, the next waits two minutes.
+// Two routers refuse a request that crashed three endpoints, while its callers keep retrying
+// through both. Once the time until the first trial is over, exactly one of many concurrent
+// attempts is allowed as the trial. The next trial is two minutes later.
 func TestOneRouterWinsTheTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &store{}
@@ -149,7 +150,7 @@
 		time.Sleep(time.Second)
 		en, found := st.get(fp)
 		if !found || en.Crashes != 3 {
-			t.Fatalf("the store has %+v", en)
+			t.Fatalf("the store holds %+v, want an entry with 3 crashes", en)
 		}
 		two.EntryStored(en)
 		var allowedCount atomic.Int64
@@ -159,7 +160,7 @@
 					if allowed, after := de.Allowed(ctx, fp); allowed {
 						allowedCount.Add(1)
 					} else if after < 0 || after > 2*time.Minute {
-						t.Errorf("may return after %s", after)
+						t.Errorf("told to retry after %s, want 0 to 2 min", after)
 					}
 				}()
 			}
@@ -170,7 +171,7 @@
 			time.Sleep(time.Second)
 		}
 		if allowedCount.Load() != 0 {
-			t.Errorf("%d let through before the pause is over", allowedCount.Load())
+			t.Errorf("%d attempts allowed before the first trial is due", allowedCount.Load())
 		}
 		for range 30 {
 			sendAll()
@@ -180,13 +181,14 @@
 			time.Sleep(time.Second)
 		}
 		if allowedCount.Load() != 1 {
-			t.Errorf("%d let through as a trial, want one", allowedCount.Load())
+			t.Errorf("%d attempts allowed as the trial, want 1", allowedCount.Load())
 		}
 	})
 }
 
-// The store fails while a request crashes three endpoints: it is refused all the same, and
-// written once the store is back. It is not tried meanwhile, as nobody could win the trial.
+// The store fails while a request crashes three endpoints. The request is refused all the same, and
+// its entry is written once the store works again. Until then there is no trial, since no router
+// can claim it.
 func TestQuarantineIsWrittenOnceTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &store{fail: errors.New("away")}
@@ -198,32 +200,32 @@
 		crashThreeEndpoints(de, fp)
 		for range 60 {
 			if allowed, after := de.Allowed(ctx, fp); allowed || after < time.Second {
-				t.Errorf("let through: %v, or told to return after %s, while the store is away", allowed, after)
+				t.Errorf("allowed: %v, retry after %s, while the store fails; want refused, retry after 1 s or more", allowed, after)
 			}
 			time.Sleep(time.Second)
 		}
 		st.mu.Lock()
 		if st.puts < 50 || st.puts > 80 {
-			t.Errorf("written %d times in a minute, want once a second", st.puts)
+			t.Errorf("%d writes in a minute, want about one a second", st.puts)
 		}
 		st.fail = nil
 		st.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		if _, found := st.get(fp); !found {
-			t.Error("the store does not have it once it is back")
+			t.Error("the store has no entry 2 s after it works again")
 		}
-		de.Succeeded(fp) // an attempt that was under way ends well
+		de.Succeeded(fp) // an attempt that was already running
 		synctest.Wait()
 		if _, found := st.get(fp); found {
-			t.Error("the entry of a request that ended well stays")
+			t.Error("the entry stays after an attempt succeeded")
 		}
 		if allowed, _ := de.Allowed(ctx, fp); !allowed {
-			t.Error("a request that ended well is refused")
+			t.Error("the request is refused after an attempt succeeded")
 		}
 	})
 }
 
-// silentStore takes a call's whole time and fails, as one that is silent.
+// silentStore is a store that never answers: each write blocks until its context ends.
 type silentStore struct{ store }
 
 func (*silentStore) PutQuarantine(ctx context.Context, _ core.Quarantine) (core.Version, error) {
@@ -231,14 +233,14 @@
 	return 0, ctx.Err()
 }
 
-// noOwners is a group in which the teller counts by itself.
+// noOwners is a group in which the router that reports a crash is the only one that counts it.
 type noOwners struct{ group }
 
 func (*noOwners) NotifyOwners(time.Time, core.CrashNotice) {}
 
-// The store is silent while forty requests are quarantined, one after the other. The router that
-// decided it goes on telling its peers of each: one that hears nothing of a quarantine for 30 s
-// forgets it, and would send the request on.
+// The store does not answer while forty requests are quarantined. The router that decided this must
+// keep sending notices of each to its peers: a peer that receives none for 30 s forgets the
+// quarantine, and would send the request to endpoints again.
 func TestAllQuarantinesAreSentWhileTheStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, two := newDetector(), newDetector()
@@ -258,7 +260,7 @@
 		for range 5 {
 			time.Sleep(20 * time.Second)
 			if got := two.Stats.Value(stats.RequestsQuarantined); got != requests {
-				t.Errorf("the peer knows of %d quarantines, want %d", got, requests)
+				t.Errorf("the peer knows %d quarantines, want %d", got, requests)
 			}
 		}
 	})
--- a/io/deny/kvstore.go
+++ b/io/deny/kvstore.go
@@ -14,24 +14,24 @@
 
 const (
 	kvPrefix = "quarantine/"
-	// kvEnd is the first key behind those with the prefix.
+	// kvEnd is the first key after those with the prefix.
 	kvEnd = "quarantine0"
-	// kvTTL is how long an entry lasts that is not written again.
+	// kvTTL is the lifetime of an entry that is not written again.
 	kvTTL = 10 * time.Minute
-	// maxEntries bounds a listing; a router keeps no more.
+	// maxEntries bounds a listing; a router holds no more quarantines.
 	maxEntries = 256
-	// fleetListsPerSecond is the whole fleet's pace of listing, a hundredth of the KV's reads;
-	// leastPause is for small fleets.
+	// fleetListsPerSecond bounds the listings of all routers together, to a hundredth of the KV's
+	// reads. minListInterval bounds those of each router in small fleets.
 	fleetListsPerSecond = 20
 	minListInterval     = 2 * time.Second
 )
 
-// KVStore keeps quarantines in the KV. Set KV before use.
+// KVStore stores quarantines in the KV. Set KV before use.
 type KVStore struct{ KV core.KV }
 
 var _ core.QuarantineStore = (*KVStore)(nil)
 
-// PutQuarantine implements core.Quarantines.
+// PutQuarantine implements core.QuarantineStore.
 func (ks *KVStore) PutQuarantine(ctx context.Context, qu core.Quarantine) (core.Version, error) {
 	value, err := crash.EncodeEntry(qu)
 	if err != nil {
@@ -44,14 +44,14 @@
 	return ks.KV.Put(ctx, kvKey(qu.Request), value, qu.Rev, le)
 }
 
-// DeleteQuarantine implements core.Quarantines.
+// DeleteQuarantine implements core.QuarantineStore.
 func (ks *KVStore) DeleteQuarantine(ctx context.Context, qu core.Quarantine) error {
 	return ks.KV.Delete(ctx, kvKey(qu.Request), qu.Rev)
 }
 
 func kvKey(fp core.Fingerprint) string { return kvPrefix + crash.EntryName(fp) }
 
-// list reads all entries. One that makes no sense is left out, and told.
+// list reads all entries. One that cannot be decoded is logged and left out.
 func (ks *KVStore) list(ctx context.Context, log *zap.Logger) (map[core.Fingerprint]core.Quarantine, error) {
 	entries, err := ks.KV.List(ctx, kvPrefix, kvEnd, maxEntries)
 	if err != nil {
@@ -61,7 +61,7 @@
 	for _, en := range entries {
 		qu, err := crash.DecodeEntry(strings.TrimPrefix(en.Key, kvPrefix), en.Value, en.Version)
 		if err != nil {
-			log.Warn("An entry of a quarantine makes no sense.", append(logs.ErrorFields(err), zap.String("Key", en.Key))...)
+			log.Warn("A quarantine entry cannot be decoded.", append(logs.ErrorFields(err), zap.String("Key", en.Key))...)
 			continue
 		}
 		all[qu.Request] = qu
@@ -69,9 +69,9 @@
 	return all, nil
 }
 
-// Watch tells the Ledger of the KV's entries until ctx ends: at once, and then at a pace that
-// does not grow with the routers, of which there are so many. A router that was not told by a
-// peer learns of a quarantine by it.
+// Watch applies changes of the KV's entries to the Tracker until ctx ends. It lists the entries at
+// once, and then at intervals in proportion to the number of routers, so that the fleet's total rate
+// stays the same. This is how a router learns of a quarantine of which it received no notice.
 func (ks *KVStore) Watch(ctx context.Context, tr *Tracker, clock core.Clock, routers func() int) error {
 	var known map[core.Fingerprint]core.Quarantine
 	for {
@@ -90,7 +90,7 @@
 	}
 }
 
-// applyListing takes what is new in the store, and what is gone.
+// applyListing applies the differences between two successive listings.
 func (tr *Tracker) applyListing(before, now map[core.Fingerprint]core.Quarantine) {
 	for fp, qu := range now {
 		if before[fp].Rev != qu.Rev {
--- a/io/deny/kvstore_test.go
+++ b/io/deny/kvstore_test.go
@@ -16,8 +16,9 @@
 	"almondrill/io/stats"
 )
 
-// Two routers before agents keep quarantines in the KV: one writes, the other, which no peer
-// told, finds it there, and sees it go. Entries that something else wrote are passed over.
+// Routers that use agents store quarantines in the KV. A router that received no notice of a
+// quarantine finds it in the KV, and releases it once the entry is deleted. Entries that cannot be
+// decoded are skipped.
 func TestQuarantinesInTheKV(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := &kvsrv.Store{Clock: clock.Wall{}, Rand: clock.NewRand(1), Latency: 2 * time.Millisecond}
@@ -32,7 +33,7 @@
 			t.Fatal(err)
 		}
 		if _, err = store.PutQuarantine(ctx, qu); !errors.Is(err, core.ErrConflict) {
-			t.Errorf("written twice as if there were none: %v", err)
+			t.Errorf("second write of a new entry: %v, want a conflict", err)
 		}
 		for _, key := range []string{"quarantine/xx", "quarantine/01020304050607080102030405060708"} {
 			if _, err = kv.Put(ctx, key, []byte("["), 0, 0); err != nil {
@@ -41,7 +42,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		if allowed, _ := tr.Allowed(ctx, qu.Request); allowed {
-			t.Error("a router that follows the KV lets it through")
+			t.Error("a router that watches the KV allows the request")
 		}
 		qu.Rev = rev
 		if err = store.DeleteQuarantine(ctx, qu); err != nil {
@@ -49,7 +50,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		if allowed, _ := tr.Allowed(ctx, qu.Request); !allowed {
-			t.Error("an entry that is gone holds on")
+			t.Error("the request is refused after its entry was deleted")
 		}
 	})
 }
--- a/io/deny/ledger.go
+++ b/io/deny/ledger.go
@@ -16,32 +16,36 @@
 )
 
 const (
-	// storeDelay is how long a router that decided a quarantine waits for one that knows the
-	// request to be harmless, before it writes it into the store.
+	// storeDelay is how long a router that decided a quarantine waits before it writes the entry to
+	// the store, since another router may know that the request is harmless.
 	storeDelay = 50 * time.Millisecond
-	// storeInterval is how often it tries again, and tells peers again meanwhile.
+	// storeInterval is how often unwritten entries are tried again, and their notices repeated.
 	storeInterval = time.Second
-	// storeTimeout bounds a call to the store; it takes a quarter of a second when slow.
+	// storeTimeout bounds a call to the store, which takes a quarter of a second when slow.
 	storeTimeout = time.Second
-	// maxStoresPerRound bounds the quarantines that are written, two calls each, and told again in
-	// storeAgain. The 256 that a router keeps take eight turns, of which a silent store makes
-	// two seconds each: peers hear of each well before they forget it.
+	// maxStoresPerRound bounds the quarantines that are written, in two calls each, and whose
+	// notices are repeated in one round. The 256 that a router holds take eight rounds, of two
+	// seconds each if the store does not answer: peers receive a notice of each well before they
+	// forget it.
 	maxStoresPerRound = 32
-	// minRetryAfter is when a caller may return at the earliest whose request is to be tried, but
-	// not by this router now: the store does not answer, or another router has won it.
+	// minRetryAfter is the least time after which a caller may retry. It matters for a request
+	// whose trial is due but was not claimed here: the store does not answer, or another router has
+	// claimed the trial.
 	minRetryAfter = time.Second
-	// trialTimeout bounds the wait of a request for its trial to be won.
+	// trialTimeout bounds how long a request waits for its trial to be claimed.
 	trialTimeout = 300 * time.Millisecond
 )
 
 // Peers are the other routers.
 type Peers interface {
-	// NotifyOwners sends a note to the routers that count for its request, TellAll to all.
+	// NotifyOwners sends a notice to the owners of its request, the routers that count its crashes.
 	NotifyOwners(now time.Time, no core.CrashNotice)
+	// NotifyAll sends a notice to the other routers.
 	NotifyAll(now time.Time, no core.CrashNotice)
 }
 
-// Tracker is what one router holds against requests. Set the exported fields before use.
+// Tracker holds one router's records of requests that may crash endpoints, and decides whether a
+// request may be sent. Set the exported fields before use.
 type Tracker struct {
 	Peers Peers
 	Store core.QuarantineStore
@@ -51,19 +55,19 @@
 	table crash.Table
 
 	once sync.Once
-	// wakeups wakes Run once a quarantine is to be written.
+	// wakeups wakes Run when there is a quarantine to write.
 	wakeups chan struct{}
-	// cursor is where Run goes on among those that the store does not have; Run's alone.
+	// cursor is where the next round begins among the entries not in the store. Only Run uses it.
 	cursor int
 
 	mu sync.Mutex // guards writing
-	// writing are requests whose entries this router is writing.
+	// writing is the set of requests whose entries this router is writing.
 	writing map[core.Fingerprint]bool
 }
 
 var _ core.CrashTracker = (*Tracker)(nil)
 
-// init makes what the zero value lacks.
+// init prepares the fields that the zero value lacks, once.
 func (tr *Tracker) init() {
 	tr.once.Do(func() {
 		tr.wakeups = make(chan struct{}, 1)
@@ -75,7 +79,7 @@
 	})
 }
 
-// Run writes quarantines into the store until ctx ends.
+// Run writes quarantines to the store until ctx ends.
 func (tr *Tracker) Run(ctx context.Context) error {
 	tr.init()
 	tick := time.NewTicker(storeInterval)
@@ -93,8 +97,9 @@
 	}
 }
 
-// storePending tells peers again, if it is not the first time, and writes what the store does not
-// have yet. A call that fails ends it: a silent store takes the whole time of each.
+// storePending writes entries that are not in the store yet, and repeats their notices to peers if
+// again is set. It stops at the first call that fails, since a store that does not answer takes
+// storeTimeout for each call.
 func (tr *Tracker) storePending(ctx context.Context, again bool) {
 	now := time.Now()
 	unstored, ef := tr.table.Tick(now)
@@ -108,12 +113,13 @@
 	for _, de := range batch {
 		err := tr.put(ctx, de.Entry, storeTimeout)
 		if err != nil && !errors.Is(err, core.ErrConflict) && !errors.Is(err, errWriting) {
-			return // put has logged it, and the next turn tries again
+			return // put has logged the error, and the next round tries again
 		}
 	}
 }
 
-// nextBatch are those whose turn it is, so that each is told before peers forget it.
+// nextBatch returns the next entries in turn, so that the notice of each is repeated before peers
+// forget it.
 func (tr *Tracker) nextBatch(unstored []crash.Decision) []crash.Decision {
 	if len(unstored) <= maxStoresPerRound {
 		return unstored
@@ -124,7 +130,7 @@
 	return batch
 }
 
-// Allowed implements core.Blame.
+// Allowed implements core.CrashTracker.
 func (tr *Tracker) Allowed(ctx context.Context, fp core.Fingerprint) (bool, time.Duration) {
 	ve := tr.table.Check(time.Now(), fp)
 	if !ve.Quarantined {
@@ -135,26 +141,27 @@
 	}
 	if ve.Renew {
 		go func() {
-			_ = tr.put(context.Background(), ve.Entry, storeTimeout) // put logs it; the next return tries again
+			_ = tr.put(context.Background(), ve.Entry, storeTimeout) // put logs errors; the caller's next retry tries again
 		}()
 	}
 	return false, max(minRetryAfter, ve.RetryAfter)
 }
 
-// claimTrial wins the trial of a quarantined request, if no other router does.
+// claimTrial claims the trial of a quarantined request in the store. It fails if another router has
+// claimed it.
 func (tr *Tracker) claimTrial(ctx context.Context, en core.Quarantine) bool {
 	en.Trials++
 	if tr.put(ctx, en, trialTimeout) != nil {
 		return false
 	}
 	tr.Stats.Add(stats.QuarantineTrials, 1)
-	tr.Log.Info("Tries a quarantined request.", zap.Stringer("Fingerprint", en.Request), zap.Int("Trials", en.Trials))
+	tr.Log.Info("Sending a quarantined request as a trial.", zap.Stringer("Fingerprint", en.Request), zap.Int("Trials", en.Trials))
 	return true
 }
 
-var errWriting = errors.New("the entry is being written")
+var errWriting = errors.New("this router is already writing the quarantine entry")
 
-// put writes an entry into the store, unless this router is writing it already.
+// put writes an entry to the store, unless this router is already writing one of the request.
 func (tr *Tracker) put(ctx context.Context, en core.Quarantine, timeout time.Duration) error {
 	if !tr.beginWrite(en.Request) {
 		return errWriting
@@ -164,7 +171,7 @@
 	defer cancel()
 	rev, err := tr.Store.PutQuarantine(ctx, en)
 	if errors.Is(err, core.ErrConflict) {
-		return err // another router has written it, and the store tells so
+		return err // another router has changed the entry, which the store reports
 	}
 	if err != nil {
 		tr.Log.Warn("Writing a quarantine failed.", append(logs.ErrorFields(err), zap.Stringer("Fingerprint", en.Request))...)
@@ -175,51 +182,51 @@
 	return nil
 }
 
-// EntryStored takes an entry of the store that is new or has changed.
+// EntryStored records that an entry of the store is new or has changed.
 func (tr *Tracker) EntryStored(en core.Quarantine) {
 	now := time.Now()
 	tr.apply(now, tr.table.EntryStored(now, en))
 }
 
-// EntryRemoved takes that the store's entry for the request is gone.
+// EntryRemoved records that the entry of the request is no longer in the store.
 func (tr *Tracker) EntryRemoved(fp core.Fingerprint, rev core.Version) {
 	tr.apply(time.Now(), tr.table.EntryRemoved(fp, rev))
 }
 
-// ApplyNotice takes a peer's note.
+// ApplyNotice applies a notice from a peer.
 func (tr *Tracker) ApplyNotice(now time.Time, from string, no core.CrashNotice) {
 	ef := tr.table.ApplyNotice(now, no)
 	if len(ef.Quarantined)+len(ef.Released) > 0 {
-		tr.Log.Info("A peer told of a request.", zap.Stringer("Fingerprint", no.Request), zap.String("From", from),
+		tr.Log.Info("A peer's notice changed the quarantine of a request.", zap.Stringer("Fingerprint", no.Request), zap.String("From", from),
 			zap.Int("Crashes", len(no.Crashes)), zap.Bool("Quarantined", no.Kind == core.NoticeQuarantined))
 	}
 	tr.apply(now, ef)
 }
 
-// Succeeded implements core.Blame.
+// Succeeded implements core.CrashTracker.
 func (tr *Tracker) Succeeded(fp core.Fingerprint) {
 	now := time.Now()
 	tr.apply(now, tr.table.Succeeded(now, fp))
 }
 
-// Crashed implements core.Blame.
+// Crashed implements core.CrashTracker.
 func (tr *Tracker) Crashed(endpoint uint64, fp core.Fingerprint) {
 	tr.crashed(time.Now(), endpoint, []core.Fingerprint{fp})
 }
 
-// crashed takes that an endpoint crashed while it ran the requests.
+// crashed records that an endpoint crashed while it executed the requests.
 func (tr *Tracker) crashed(now time.Time, endpoint uint64, requests []core.Fingerprint) {
 	tr.Stats.Add(stats.CrashedUnder, int64(len(requests)))
 	tr.apply(now, tr.table.EndpointCrashed(now, endpoint, requests))
 }
 
-// apply does what follows from a change of the table.
+// apply logs the effects of a change of the table, notifies peers and updates the store.
 func (tr *Tracker) apply(now time.Time, ef crash.Effects) {
 	for _, fp := range ef.Quarantined {
 		tr.Log.Warn("A request is quarantined.", zap.Stringer("Fingerprint", fp))
 	}
 	for _, fp := range ef.Released {
-		tr.Log.Info("A request is quarantined no longer.", zap.Stringer("Fingerprint", fp))
+		tr.Log.Info("The quarantine of a request has ended.", zap.Stringer("Fingerprint", fp))
 	}
 	for _, no := range ef.ToOwners {
 		tr.Peers.NotifyOwners(now, no)
@@ -239,11 +246,11 @@
 	tr.init()
 	select {
 	case tr.wakeups <- struct{}{}:
-	default: // it is awake
+	default: // a wake-up is pending
 	}
 }
 
-// remove removes an entry from the store. One that stays lapses there, or ends by its trial.
+// remove deletes an entry from the store. If that fails, the entry expires, or ends with a trial.
 func (tr *Tracker) remove(en core.Quarantine) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
@@ -252,7 +259,8 @@
 	}
 }
 
-// beginWrite is false if this router writes the request's entry already.
+// beginWrite reports whether a write of the request's entry may begin, which is not so while one is
+// in progress.
 func (tr *Tracker) beginWrite(fp core.Fingerprint) bool {
 	tr.init()
 	tr.mu.Lock()
--- a/io/deny/report.go
+++ b/io/deny/report.go
@@ -12,29 +12,30 @@
 	"almondrill/core/crash"
 )
 
-// Path is where people on call ask what is quarantined, and lift it.
+// Path is the HTTP path at which operators list and lift quarantines.
 const Path = "/debug/quarantine"
 
-// Quarantined is an entry of the answer to GET Path.
+// Quarantined is an entry of the response to GET Path.
 type Quarantined struct {
-	// Fingerprint is whole; log lines bear its first half.
+	// Fingerprint is the complete fingerprint; log lines contain its first half.
 	Fingerprint string
-	// SinceMs is how long ago this router learned of it, or of its last trial.
+	// SinceMs is how many milliseconds ago this router learned of the quarantine, or of its last
+	// trial.
 	SinceMs int64
 	Crashes int
 	Trials  int
-	// Stored is set once the platform's store has it.
+	// Stored is set once the platform's store has the entry.
 	Stored bool
 }
 
-// Handler answers GET Path with what is quarantined, and lifts a request on DELETE Path/X, where
-// X is its fingerprint or as much of it as log lines bear.
+// Handler lists the quarantined requests on GET Path, and lifts a quarantine on DELETE Path/X,
+// where X is the request's fingerprint or the half of it that log lines contain.
 func (tr *Tracker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(wr http.ResponseWriter, _ *http.Request) {
 		wr.Header().Set("Content-Type", "application/json; charset=utf-8")
 		if err := json.NewEncoder(wr).Encode(tr.list()); err != nil {
-			tr.Log.Info("Listing what is quarantined failed.", zap.Error(err))
+			tr.Log.Info("Writing the list of quarantined requests failed.", zap.Error(err))
 		}
 	})
 	mux.HandleFunc("DELETE "+Path+"/{fingerprint}", func(wr http.ResponseWriter, rq *http.Request) {
@@ -60,7 +61,7 @@
 	return all
 }
 
-// lift ends the quarantine of the request, everywhere; false if there is none.
+// lift ends the quarantine of a request on all routers, and reports whether there was one.
 func (tr *Tracker) lift(name string) bool {
 	for _, re := range tr.table.Reports() {
 		if name == re.Request.String() || name == crash.EntryName(re.Request) {
@@ -73,7 +74,7 @@
 func (tr *Tracker) liftOne(fp core.Fingerprint) bool {
 	ef, lifted := tr.table.Lift(fp)
 	if lifted {
-		tr.Log.Info("The quarantine of a request is lifted by hand.", zap.Stringer("Fingerprint", fp))
+		tr.Log.Info("An operator lifted the quarantine of a request.", zap.Stringer("Fingerprint", fp))
 	}
 	tr.apply(time.Now(), ef)
 	return lifted
