--- a/io/front/front.go
+++ b/io/front/front.go
@@ -1,18 +1,18 @@
-// Package front is the callers' side of a router: HTTP in, answers out.
+// Package front serves callers over HTTP, for a router that uses agents.
 //
 // # Concepts
 //
-// A caller speaks the OpenAI-style protocol for chats, or any HTTP to a service
-// under /v1/services/. Its bearer key names the customer. The request is turned
-// into a core.Call, routed, and the answer's parts are written as they come.
-// docs/API.md specifies headers, statuses and error bodies.
+// A caller uses the OpenAI-style protocol for chats, or any HTTP request to a service under
+// /v1/services/. Its bearer key identifies the customer. The request is turned into a core.Call and
+// routed, and the parts of the response are written as they arrive. docs/API.md specifies headers,
+// statuses and error bodies.
 //
 // # Invariants
 //
-//   - An answer without an error has reached its end mark. A stream that breaks
-//     off ends with an error event; a plain body that does is cut at the
-//     connection, so no client takes it for whole.
-//   - Whatever is refused is counted by its reason.
+//   - A response without an error is complete. A stream that is interrupted ends with an error
+//     event. For a plain body that is interrupted, the connection is aborted, so that no client
+//     takes the body for complete.
+//   - Every refusal is counted by its reason.
 //
 // # Usage
 //
@@ -54,7 +54,7 @@
 	DefaultDeadline time.Duration
 }
 
-// Headers of callers' requests and answers.
+// Headers of callers' requests and of responses to them.
 const (
 	HeaderChat     = "X-Chat-Id"
 	HeaderHint     = "X-Chat-Hint"
@@ -79,10 +79,11 @@
 	return mux
 }
 
-// requestParser makes a routable request of an HTTP one.
+// requestParser turns an HTTP request into one that can be routed.
 type requestParser func(rq *http.Request, cfg *decl.Config, cu *decl.Customer, body []byte) (*router.Request, error)
 
-// serve wraps what is common to all routed requests.
+// serve returns a handler that authenticates the caller, reads the body, and routes the request
+// that parse returns.
 func (fr *Front) serve(parse requestParser) http.HandlerFunc {
 	return func(wr http.ResponseWriter, rq *http.Request) {
 		fr.Stats.Add(stats.Requests, 1)
@@ -128,7 +129,7 @@
 	wt.abort(re)
 }
 
-// authenticate finds out who calls.
+// authenticate returns the customer whose bearer key the request carries, and the configuration.
 func (fr *Front) authenticate(rq *http.Request) (*decl.Config, *decl.Customer, error) {
 	cfg := fr.Board.Snapshot().Config
 	if cfg == nil {
@@ -148,8 +149,8 @@
 	return cfg, cu, nil
 }
 
-// readBody reads the request's body within its size and time. A caller that sends a
-// byte now and then would otherwise hold a connection and its memory for ever.
+// readBody reads the request's body, within MaxBody and BodyTimeout. Otherwise a caller that sends
+// a byte now and then could hold a connection and its memory indefinitely.
 func (fr *Front) readBody(wr http.ResponseWriter, rq *http.Request) ([]byte, error) {
 	control := http.NewResponseController(wr)
 	_ = control.SetReadDeadline(time.Now().Add(fr.BodyTimeout))
@@ -171,7 +172,7 @@
 	return nil, re
 }
 
-// fillCommon fills in what chats and service calls share.
+// fillCommon sets the fields that are common to chats and service calls.
 func (fr *Front) fillCommon(rq *http.Request, cu *decl.Customer, routed *router.Request) error {
 	ca := &routed.Call
 	ca.Customer = cu.Name
@@ -204,7 +205,7 @@
 	"high": core.PriorityHigh, "urgent": core.PriorityUrgent,
 }
 
-// setPriority takes the caller's wish, down to what its customer may ask for.
+// setPriority sets the priority that the caller requested, limited to the customer's highest.
 func setPriority(ca *core.Call, name string, cu *decl.Customer) error {
 	if name != "" {
 		requested, known := priorities[name]
--- a/io/front/read.go
+++ b/io/front/read.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// bytesPerToken turns a body's size into an estimate of prompt tokens.
+	// bytesPerToken is used to estimate the number of prompt tokens from the size of the body.
 	bytesPerToken = 4
-	// defaultOutput is assumed of chats that name no limit.
+	// defaultOutput is the estimate of output tokens for chats that set no limit.
 	defaultOutput core.Tokens = 256
-	// serviceOutput is the work of a service call, in token equivalents.
+	// serviceOutput is the estimated work of a service call, in token equivalents.
 	serviceOutput core.Tokens = 16
 )
 
-// chatBody is what routing needs of a chat request.
+// chatBody holds the fields of a chat request that routing needs.
 type chatBody struct {
 	Model               string        `json:"model"`
 	Stream              bool          `json:"stream"`
@@ -73,9 +73,8 @@
 	return defaultOutput
 }
 
-// derivedChat names a conversation by its opening, up to the first message of
-// the user: it is the same in every turn, so clients that know nothing of chat
-// ids find their context too.
+// derivedChat derives a chat id from the messages up to the first one of the user. They are the
+// same in every turn, so a chat returns to its cached context even if the client sends no chat id.
 func derivedChat(messages []chatMessage) core.ChatID {
 	hash := xxhash.New()
 	for _, me := range messages {
@@ -105,8 +104,8 @@
 	}}, nil
 }
 
-// encodeHint and readHint make the hint opaque to callers. It is only ever a VM's
-// name: a wrong one is a VM that is not in the pool, and is ignored.
+// encodeHint and decodeHint keep the hint opaque to callers. It is the name of a VM; a wrong one
+// names no VM of the pool and is ignored.
 func encodeHint(vm core.VMID) string { return base64.RawURLEncoding.EncodeToString([]byte(vm)) }
 
 func decodeHint(text string) core.VMID {
--- a/io/front/write.go
+++ b/io/front/write.go
@@ -13,7 +13,7 @@
 	"almondrill/core"
 )
 
-// writer writes an answer's parts to the caller.
+// writer is a core.Sink that writes the parts of a response to the caller.
 type writer struct {
 	fr       *Front
 	wr       http.ResponseWriter
@@ -22,11 +22,11 @@
 	headSent bool
 }
 
-// ServedBy sets the hint that the caller brings back with the chat's next turn.
+// ServedBy sets the hint header, which the caller sends back with the chat's next turn.
 func (wt *writer) ServedBy(vm core.VMID) { wt.wr.Header().Set(HeaderHint, encodeHint(vm)) }
 
-// Send writes a part. A caller that takes nothing for too long is given up, so
-// that it does not hold a slot of the engine.
+// Send writes a part. It fails for a caller that reads nothing for WriteTimeout, so that a slow
+// caller does not hold a slot of the engine.
 func (wt *writer) Send(pa *core.Part) error {
 	if !wt.headSent {
 		wt.headSent = true
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// abort ends an answer that has begun and will not be whole.
+// abort ends a response that was begun and cannot be completed.
 func (wt *writer) abort(re *core.Refusal) {
 	if !wt.stream {
-		// The caller's client sees the connection break before the body's end.
+		// The client sees that the connection ends before the body does.
 		panic(http.ErrAbortHandler)
 	}
 	text, _ := json.Marshal(newErrorBody(re))
@@ -65,8 +65,8 @@
 	_ = wt.control.Flush()
 }
 
-// errorBody is the body of a refusal: the inner part as OpenAI-style clients
-// expect it, the rest for those who know almondrill.
+// errorBody is the response body of a refusal. Error is what OpenAI-style clients expect; the other
+// fields are specific to almondrill.
 type errorBody struct {
 	Error   errorDetail `json:"error"`
 	Outcome string      `json:"Outcome"`
@@ -88,8 +88,8 @@
 	}
 }
 
-// statuses are the HTTP statuses by reason; the others are 503 for NotRun and
-// 502 for what may have run.
+// statuses maps reasons to HTTP statuses. Any other reason gets status 503 if the outcome is NotRun,
+// and 502 otherwise.
 var statuses = map[core.Reason]int{
 	core.ReasonBadRequest:    http.StatusBadRequest,
 	core.ReasonBadKey:        http.StatusUnauthorized,
@@ -117,7 +117,7 @@
 	return http.StatusBadGateway
 }
 
-// writeError answers with a refusal.
+// writeError responds with a refusal and counts it.
 func (fr *Front) writeError(wr http.ResponseWriter, err error) {
 	re := core.AsRefusal(err, "front", string(fr.Board.Self.ID))
 	fr.countRefusal(re)
