--- a/io/oper/client.go
+++ b/io/oper/client.go
@@ -13,7 +13,8 @@
 	"almondrill/io/opsrpc"
 )
 
-// Dial connects to a router as an operator. The caller closes the connection.
+// Dial returns a client that calls a router with an operator's key, and a function that closes the
+// connection.
 func Dial(addr, key string) (opsrpc.OperatorsClient, func() error, error) {
 	withKey := func(ctx context.Context) context.Context {
 		return metadata.AppendToOutgoingContext(ctx, "authorization", "Bearer "+key)
@@ -34,12 +35,12 @@
 	return opsrpc.NewOperatorsClient(conn), conn.Close, nil
 }
 
-// Failure is what a router's error tells.
+// Failure describes an error that a router returned.
 type Failure struct {
 	Reason, Step, Peer, Text string
 }
 
-// FailureOf reads an error of one of the operators' calls.
+// FailureOf returns the Failure described by an error of an operators' call.
 func FailureOf(err error) Failure {
 	st := status.Convert(err)
 	fa := Failure{Reason: st.Code().String(), Text: st.Message()}
--- a/io/oper/server.go
+++ b/io/oper/server.go
@@ -1,16 +1,15 @@
-// Package oper carries the operators' calls of io/opsrpc: the routers' side here,
-// the commands' side in client.go.
+// Package oper implements the operators' calls of io/opsrpc: the server that routers run, and the
+// client of the commands.
 //
 // # Concepts
 //
-// A document travels as JSON. The routers' side checks it again, whatever the
-// client did, and hands it to the revision log, where the promises are kept.
+// A document is sent as JSON. The server validates it even if the client did, and commits it to the
+// revision log, which gives the guarantees on accepted changes.
 //
 // # Invariants
 //
-//   - Nothing is answered without a known operator's key; each call is logged
-//     with the operator's name.
-//   - Apply answers with a revision only if the KV holds the change.
+//   - Every call needs the key of a known operator, and is logged with the operator's name.
+//   - Apply returns a revision only if the change is stored in the KV.
 //
 // # Usage
 //
@@ -42,13 +41,13 @@
 	"almondrill/io/opsrpc"
 )
 
-// Server answers operators. Set the exported fields before Register.
+// Server serves operators. Set the exported fields before Register.
 type Server struct {
 	Log       *revlog.Log
 	Board     *board.Board
 	Peers     core.Peers
 	Operators []conf.OperatorSetting
-	// Digest makes the message with which Status asks the processes.
+	// Digest returns the digest that Status exchanges with the other processes.
 	Digest func() *core.Digest
 	Out    *zap.Logger
 	Clock  core.Clock
@@ -56,16 +55,17 @@
 	opsrpc.UnimplementedOperatorsServer
 }
 
-// Register adds the operators' service to a grpc server.
+// Register adds the operators' service to a gRPC server.
 func Register(sr grpc.ServiceRegistrar, se *Server) { opsrpc.RegisterOperatorsServer(sr, se) }
 
 const (
-	// watchInterval is how often Watch looks for a new revision.
+	// watchInterval is how often Watch checks for a new revision.
 	watchInterval = 100 * time.Millisecond
 	maxHistory    = 1000
 )
 
-// authenticate names the caller; every call starts with it.
+// authenticate returns the name of the operator whose key the call carries. Every call begins with
+// it.
 func (se *Server) authenticate(ctx context.Context, step string) (string, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
 	key := ""
@@ -83,11 +83,11 @@
 	if found == "" {
 		return "", se.statusError(codes.Unauthenticated, "BadKey", step, "no operator has this key")
 	}
-	se.Out.Info("An operator calls.", zap.String("Operator", found), zap.String("Step", step))
+	se.Out.Info("An operator made a call.", zap.String("Operator", found), zap.String("Step", step))
 	return found, nil
 }
 
-// statusError makes an error with code, reason, step and peer.
+// statusError returns a gRPC status error whose details contain reason, step and peer.
 func (se *Server) statusError(code codes.Code, reason, step, text string) error {
 	st := status.New(code, text)
 	detailed, err := st.WithDetails(&errdetails.ErrorInfo{
@@ -100,7 +100,7 @@
 	return detailed.Err()
 }
 
-// parseDocument reads and checks what an operator sent.
+// parseDocument decodes and validates a document that an operator sent.
 func (se *Server) parseDocument(step string, data []byte) (*decl.Document, error) {
 	var doc decl.Document
 	if err := json.Unmarshal(data, &doc); err != nil {
@@ -117,7 +117,7 @@
 	return nil, se.statusError(codes.InvalidArgument, "BadDocument", step, strings.Join(lines, "\n"))
 }
 
-// Plan tells what a document would change.
+// Plan returns the changes that a document would make.
 func (se *Server) Plan(ctx context.Context, in *opsrpc.PlanCall) (*opsrpc.PlanReply, error) {
 	if _, err := se.authenticate(ctx, "plan"); err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 	return &opsrpc.PlanReply{Revision: uint64(rev), Changes: decl.Diff(current, doc).Lines()}, nil
 }
 
-// Apply has a document accepted.
+// Apply commits a document to the revision log.
 func (se *Server) Apply(ctx context.Context, in *opsrpc.ApplyCall) (*opsrpc.ApplyReply, error) {
 	who, err := se.authenticate(ctx, "apply")
 	if err != nil {
@@ -159,7 +159,8 @@
 	return &opsrpc.ApplyReply{Revision: uint64(rev), Changes: decl.Diff(before, doc).Lines()}, nil
 }
 
-// requestedDocument is the document of an Apply: the one sent, or that of a revision.
+// requestedDocument returns the document that a call of Apply contains or, for a rollback, that of
+// the revision it names.
 func (se *Server) requestedDocument(ctx context.Context, in *opsrpc.ApplyCall) (*decl.Document, error) {
 	if in.Rollback == 0 {
 		return se.parseDocument("apply", in.Document)
@@ -183,7 +184,7 @@
 	return se.statusError(codes.Unavailable, "NotAccepted", "apply", err.Error())
 }
 
-// Get returns a document.
+// Get returns the document of a revision, or the current one.
 func (se *Server) Get(ctx context.Context, in *opsrpc.GetCall) (*opsrpc.GetReply, error) {
 	if _, err := se.authenticate(ctx, "get"); err != nil {
 		return nil, err
@@ -203,7 +204,7 @@
 	return &opsrpc.GetReply{Revision: uint64(rev), Document: data}, nil
 }
 
-// History lists accepted changes.
+// History lists the latest accepted changes.
 func (se *Server) History(ctx context.Context, in *opsrpc.HistoryCall) (*opsrpc.HistoryReply, error) {
 	if _, err := se.authenticate(ctx, "history"); err != nil {
 		return nil, err
@@ -218,7 +219,7 @@
 	return out, nil
 }
 
-// Watch sends revisions as they are adopted here.
+// Watch sends each new revision when this router adopts it.
 func (se *Server) Watch(_ *opsrpc.WatchCall, st grpc.ServerStreamingServer[opsrpc.WatchReply]) error {
 	ctx := st.Context()
 	if _, err := se.authenticate(ctx, "watch"); err != nil {
@@ -233,7 +234,7 @@
 			}
 		}
 		if err := se.Log.Clock.Sleep(ctx, watchInterval); err != nil {
-			return nil //nolint:nilerr // the operator left
+			return nil //nolint:nilerr // the operator disconnected
 		}
 	}
 }
--- a/io/oper/status.go
+++ b/io/oper/status.go
@@ -11,11 +11,11 @@
 	"almondrill/io/opsrpc"
 )
 
-// maxParallel bounds the processes that Status asks at the same time.
+// maxParallel bounds the processes that Status queries at the same time.
 const maxParallel = 64
 
-// Status asks every process which revision it has in force, and the agents how
-// far their engines are with what is declared.
+// Status queries every process for the revision it has in force, and the agents for the state of
+// their engines compared with the declarations.
 func (se *Server) Status(ctx context.Context, _ *opsrpc.StatusCall) (*opsrpc.StatusReply, error) {
 	if _, err := se.authenticate(ctx, "status"); err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 	return out, nil
 }
 
-// forEachParallel calls fn for 0 to count-1, askAtOnce of them at a time.
+// forEachParallel calls fn for 0 to count-1, at most maxParallel at a time.
 func forEachParallel(count int, fn func(ix int)) {
 	var calls sync.WaitGroup
 	slots := make(chan struct{}, maxParallel)
@@ -71,7 +71,8 @@
 	ps.Revision, ps.Draining = uint64(di.Revision), di.Draining
 }
 
-// inspectEndpoints lists an agent's endpoints in pools whose engines are given orders.
+// inspectEndpoints returns the state of an agent's endpoints in managed pools, whose engines are
+// given orders.
 func (se *Server) inspectEndpoints(ctx context.Context, cfg *decl.Config, ps *opsrpc.ProcessStatus) []*opsrpc.EndpointStatus {
 	if cfg == nil || len(order.ManagedPools(cfg)) == 0 {
 		return nil
@@ -106,8 +107,8 @@
 	return out
 }
 
-// addLags works out how long processes have been behind from when the first
-// revision that each lacks was accepted.
+// addLags sets how long each process has been behind: the time since the first revision that it
+// lacks was accepted.
 func (se *Server) addLags(ctx context.Context, out *opsrpc.StatusReply) {
 	behind := false
 	for _, ps := range out.Processes {
