--- a/io/logs/logs.go
+++ b/io/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs makes the loggers of the parts, each with its fixed prefix.
+// Package logs creates the loggers of a process, one for each of its parts.
 //
 // # Usage
 //
@@ -17,13 +17,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Logs makes loggers that share one output.
+// Logs creates loggers that share one output.
 type Logs struct {
 	core zapcore.Core
 }
 
-// New writes to out what is at or above the level: debug, info, warn or error.
-// An unknown level counts as info.
+// New returns Logs that write lines for people to out, at or above the level debug, info, warn or
+// error. An unknown level means info.
 func New(out io.Writer, level string) *Logs {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -35,41 +35,40 @@
 	return &Logs{core: zapcore.NewCore(zapcore.NewConsoleEncoder(format), zapcore.AddSync(out), minLevel)}
 }
 
-// Part is the logger of one part; every line starts with its name.
+// Part returns the logger of one part, whose name every line contains.
 func (lo *Logs) Part(name string) *zap.Logger { return zap.New(lo.core).Named(name) }
 
-// With adds fields to every line.
+// With returns Logs that add the fields to every line.
 func (lo *Logs) With(fields ...zap.Field) *Logs { return &Logs{core: lo.core.With(fields)} }
 
-// Discard drops everything.
+// Discard returns Logs that write nothing.
 func Discard() *Logs { return &Logs{core: zapcore.NewNopCore()} }
 
-// kratosOnce guards kratos' logger, of which there is one per program: where several
-// processes live in one, the first gets its lines.
+// kratosOnce guards the logger of the kratos library, which is global. If several processes of the
+// fleet run in one program, the first one gets kratos' lines.
 var kratosOnce sync.Once
 
-// InstallKratos makes these the logs of kratos' own lines, unless others are already.
+// InstallKratos makes kratos log through lo, unless it already logs through another Logs.
 func (lo *Logs) InstallKratos() { kratosOnce.Do(func() { kratoslog.SetLogger(lo.KratosLogger()) }) }
 
-// KratosLogger passes kratos' own lines on as part "kratos", at debug level: they
-// repeat what the parts tell.
+// KratosLogger returns a logger that writes kratos' lines as part "kratos": errors as errors, all
+// others at debug level, since they repeat what the parts log.
 func (lo *Logs) KratosLogger() kratoslog.Logger { return kratosLogger{lo.Part("kratos").Sugar()} }
 
 type kratosLogger struct{ sugar *zap.SugaredLogger }
 
-// Log implements kratos' logger.
+// Log implements kratos' Logger.
 func (kl kratosLogger) Log(level kratoslog.Level, keyvals ...any) error {
 	if level >= kratoslog.LevelError {
-		kl.sugar.Errorw("Kratos reports.", keyvals...)
+		kl.sugar.Errorw("Kratos log line.", keyvals...)
 		return nil
 	}
-	kl.sugar.Debugw("Kratos reports.", keyvals...)
+	kl.sugar.Debugw("Kratos log line.", keyvals...)
 	return nil
 }
 
-// ErrorFields are an error's message with the step and the peer at which it arose,
-// which its message alone does not tell. The library's own field would add a stack
-// of many lines.
+// ErrorFields returns fields with an error's message, and with the step and the peer of an oops
+// error, which are not in the message. The library's own field would add a stack trace.
 func ErrorFields(err error) []zap.Field {
 	fields := []zap.Field{zap.String("Error", err.Error())}
 	var oo oops.OopsError
--- a/io/logs/ring.go
+++ b/io/logs/ring.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// AsyncWriter takes lines and writes them in the background. A line that finds it full
-// is dropped and counted: whoever logs never waits for a slow reader.
+// AsyncWriter queues lines and writes them in the background. A line that arrives while the queue
+// is full is dropped and counted, so that logging never blocks on a slow output.
 type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -20,21 +20,21 @@
 }
 
 const (
-	// maxQueuedLines bounds the lines that wait, some 300 bytes each.
+	// maxQueuedLines bounds the queue; a line has some 300 bytes.
 	maxQueuedLines = 1024
-	// maxBatchBytes is how many bytes are written at a time: a write costs more than
-	// the bytes in it.
+	// maxBatchBytes is the size at which a batch of lines is written even if more are queued. Lines
+	// are batched because a write costs more than the bytes in it.
 	maxBatchBytes = 16 << 10
 )
 
-// NewAsyncWriter starts writing to out.
+// NewAsyncWriter returns an AsyncWriter that writes to out until Close.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	aw := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), flushed: make(chan struct{})}
 	go aw.run()
 	return aw
 }
 
-// Write takes one line.
+// Write queues one line, or drops it. It never fails.
 func (aw *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case aw.lines <- append([]byte(nil), line...):
@@ -44,11 +44,11 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped.
+// Dropped returns the number of lines dropped.
 func (aw *AsyncWriter) Dropped() int64 { return aw.dropped.Load() }
 
-// Close writes what waits, but for no longer than the time given. Later lines are
-// dropped.
+// Close writes the queued lines, and returns once that is done or the timeout has passed. Lines
+// that are logged later are not written.
 func (aw *AsyncWriter) Close(timeout time.Duration) {
 	close(aw.quit)
 	select {
@@ -70,14 +70,14 @@
 	}
 }
 
-// writeQueued writes a line and those that wait behind it.
+// writeQueued writes a line and all queued ones.
 func (aw *AsyncWriter) writeQueued(line []byte) {
 	for {
 		batch := line
 		for len(batch) < maxBatchBytes && len(aw.lines) > 0 {
 			batch = append(batch, <-aw.lines...)
 		}
-		_, _ = aw.out.Write(batch) // where the output is gone, there is no place left to say so
+		_, _ = aw.out.Write(batch) // an error of the log output cannot be logged
 		if len(aw.lines) == 0 {
 			return
 		}
@@ -85,16 +85,16 @@
 	}
 }
 
-// Bounds of the lines of one message in a second: the first sampleFirst are
-// written, then each sampleEvery-th. A busy router ends some 100 requests a
-// second; what goes beyond tells nothing that these lines don't.
+// Sampling of lines with the same message: in each second the first sampleFirst are written, then
+// every sampleEvery-th. A busy router finishes some 100 requests a second; further lines would add
+// no information.
 const (
 	sampleFirst = 50
 	sampleEvery = 20
 )
 
-// NewJSON writes structured lines, bounded per message and second. sampled is called
-// for each line that is left out.
+// NewJSON returns Logs that write JSON lines to out, sampled by message. It calls sampled for each
+// line that is left out.
 func NewJSON(out io.Writer, level zapcore.LevelEnabler, sampled func()) *Logs {
 	format := zap.NewProductionEncoderConfig()
 	format.TimeKey = "Time"
--- a/io/logs/ring_test.go
+++ b/io/logs/ring_test.go
@@ -13,7 +13,7 @@
 	"almondrill/io/logs"
 )
 
-// blockedWriter is an output whose reader has stopped.
+// blockedWriter is an output that blocks until it is released.
 type blockedWriter struct {
 	mu      sync.Mutex // guards out
 	out     bytes.Buffer
@@ -27,8 +27,8 @@
 	return sl.out.Write(data)
 }
 
-// Whoever reads standard output stops reading. Requests are served all the same, and
-// what was dropped is counted.
+// The reader of the log output stops reading. Logging must not block, and lines that are dropped or
+// left out by sampling are counted.
 func TestBlockedOutputDelaysNobody(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	writer := logs.NewAsyncWriter(out)
@@ -40,10 +40,10 @@
 		_, _ = writer.Write([]byte("{}\n"))
 	}
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("5,000 lines took %s", took)
+		t.Errorf("logging 5,000 lines took %s, want 2 s or less", took)
 	}
 	if writer.Dropped() == 0 || sampled == 0 {
-		t.Errorf("%d dropped, %d left out; want both", writer.Dropped(), sampled)
+		t.Errorf("%d lines dropped, %d left out by sampling; want some of both", writer.Dropped(), sampled)
 	}
 	close(out.release)
 	writer.Close(time.Second)
