--- a/io/trace/story.go
+++ b/io/trace/story.go
@@ -1,17 +1,17 @@
-// Package trace reads the logs of routers and tells what happened to a request, to
-// an endpoint, or in a span of time.
+// Package trace reads the logs of routers and selects the lines that explain what happened to a
+// request, at an endpoint, or in an interval of time.
 //
 // # Concepts
 //
-// A Line is one structured line of one process. Lines of several processes are put
-// in order by their time of day, which may differ by milliseconds between VMs. A
-// request's story is its own lines, and those before it that made its VM believe
-// what it acted on: the configuration in force, and the endpoints it went to.
+// A Line is one JSON log line of one process. Lines of several processes are sorted by their
+// timestamps; the clocks of VMs may differ by milliseconds. The trace of a request consists of its
+// own lines, and of earlier ones that show the state on which its VM acted: the configuration in
+// force, the connection to the store, and the endpoints to which the request went.
 //
 // # Usage
 //
-//	lines, stats, err := story.Read(reader)
-//	for _, li := range story.Request(lines, "9c41d07be2a35f68") { fmt.Println(li) }
+//	lines, skipped, err := trace.Read(reader)
+//	for _, li := range trace.ForRequest(lines, "9c41d07be2a35f68") { fmt.Println(li) }
 package trace
 
 import (
@@ -33,27 +33,27 @@
 	VM      string
 	Message string
 	Request string
-	// Endpoint is the endpoint concerned; Peer, in a failure, who failed.
+	// Endpoint is the endpoint concerned. Peer is the process or endpoint that failed, if any.
 	Endpoint string
 	Peer     string
-	// Fields are all others, as they stand in the log.
+	// Fields are all other fields, as decoded from JSON.
 	Fields map[string]any
 }
 
-// Skipped counts what could not be read.
+// Skipped counts lines of the input that were skipped.
 type Skipped struct {
-	// NoLog are lines that hold no structured line.
+	// NoLog is the number of lines that contain no JSON log line.
 	NoLog int
 }
 
-// maxLineBytes bounds a line.
+// maxLineBytes bounds the length of an input line.
 const maxLineBytes = 1 << 20
 
-// namedFields are the fields that Line has by name.
+// namedFields are the log fields for which Line has a field of its own.
 var namedFields = []string{"Time", "Level", "Part", "VM", "Message", "Request", "Endpoint", "Peer"}
 
-// Read reads lines; what stands before a line's opening brace is ignored, so that
-// logs which a collector has prefixed can be read too.
+// Read reads log lines and sorts them by time. Text before a line's opening brace is ignored, so
+// that logs to which a collector added prefixes can be read too.
 func Read(rd io.Reader) ([]Line, Skipped, error) {
 	var lines []Line
 	var sk Skipped
@@ -99,12 +99,13 @@
 	return li, true
 }
 
-// timeLayout is how the logs write times.
+// timeLayout is the format of times in the logs.
 const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
-// ForRequest is the story of a request: its lines, and before them what its VM had last
-// learned of the configuration and of the endpoints that its lines name, and what any router
-// found out about it: which endpoints crashed while they ran it, under this id or another.
+// ForRequest returns the trace of a request, or nil if the logs do not contain it. The trace is the
+// request's own lines, preceded by the last earlier lines of its VM about its process, the
+// configuration, the store and the endpoints that the request's lines name, and by the lines of any
+// router about crashes of endpoints that executed the request, under this id or another.
 func ForRequest(lines []Line, id string) []Line {
 	var found []Line
 	endpoints := map[string]bool{}
@@ -129,7 +130,7 @@
 	return append(before, found...)
 }
 
-// crashLines are the lines about requests of these fingerprints as such, whichever attempt.
+// crashLines returns the lines that mention one of the fingerprints and belong to no single attempt.
 func crashLines(lines []Line, fingerprints map[string]bool) []Line {
 	var out []Line
 	for _, li := range lines {
@@ -153,8 +154,8 @@
 	return value
 }
 
-// viewBefore finds the last lines before a time, by VM, that changed what it believed
-// of the configuration, of the store and of the endpoints.
+// viewBefore returns, for each VM, the last lines up to a time that show its view of the
+// configuration, of the store, of the endpoints and of its own process.
 func viewBefore(lines []Line, until time.Time, vms, endpoints map[string]bool) []Line {
 	last := map[string]Line{}
 	for _, li := range lines {
@@ -183,8 +184,8 @@
 	return out
 }
 
-// ForEndpoint is the story of an endpoint: what was learned of it, and each request that
-// did not end well there.
+// ForEndpoint returns the trace of an endpoint: the lines about its state, and those about requests
+// that failed there.
 func ForEndpoint(lines []Line, id string) []Line {
 	return slices.DeleteFunc(slices.Clone(lines), func(li Line) bool {
 		concerned := li.Endpoint == id || li.Peer == id
@@ -192,17 +193,17 @@
 	})
 }
 
-// servedMessage is the message of requests that ended well.
+// servedMessage is the message of requests that succeeded.
 const servedMessage = "Served."
 
-// Between is what happened from one time to another, but for requests that ended well.
+// Between returns the lines from one time to another, without those of requests that succeeded.
 func Between(lines []Line, from, to time.Time) []Line {
 	return slices.DeleteFunc(slices.Clone(lines), func(li Line) bool {
 		return li.Time.Before(from) || li.Time.After(to) || li.Message == servedMessage
 	})
 }
 
-// String is the line for people.
+// String formats the line for people.
 func (li Line) String() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s %-16s %-7s %s", li.Time.Format("15:04:05.000"), li.VM, li.Part, li.Message)
--- a/io/trace/story_test.go
+++ b/io/trace/story_test.go
@@ -8,8 +8,8 @@
 	"almondrill/io/trace"
 )
 
-// Logs of two routers, as a collector joined them: prefixed, out of order, with a line
-// of something else.
+// logs are those of two routers, as merged by a collector: prefixed, out of order, and with a line
+// that is no log line.
 const logs = `
 x {"Level":"INFO","Time":"2026-01-31T15:04:06.000Z","Part":"view","Message":"Adopted a configuration.","VM":"one","Version":9}
 x {"Level":"INFO","Time":"2026-01-31T15:04:05.000Z","Part":"view","Message":"Adopted a configuration.","VM":"one","Version":7}
@@ -41,8 +41,8 @@
 	return strings.Join(out, "; ")
 }
 
-// A user complains about a request. Its story holds what its router believed then, not
-// what it or another one learned later.
+// The trace of a request shows the state that its router knew at the time, and neither what this
+// router learned later nor the state of another one.
 func TestTraceOfARequest(t *testing.T) {
 	found := trace.ForRequest(readLogs(t), "abc")
 	want := "one Adopted a configuration.; one Endpoint.; one Lost the store.; one Refused."
@@ -53,10 +53,10 @@
 		t.Errorf("version %v, want the one in force at the time, 7", version)
 	}
 	if text := found[3].String(); !strings.Contains(text, "Reason=CutShort") || !strings.Contains(text, "Peer=e1") {
-		t.Errorf("the line for people lacks the cause: %s", text)
+		t.Errorf("the formatted line lacks reason or peer: %s", text)
 	}
 	if trace.ForRequest(readLogs(t), "unknown") != nil {
-		t.Error("a story of a request that is not there")
+		t.Error("got a trace of a request that is not in the logs")
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 	from := time.Date(2026, 1, 31, 15, 4, 5, 140e6, time.UTC)
 	if got := messages(trace.Between(lines, from, from.Add(100*time.Millisecond))); got != "two Endpoint.; one Lost the store." {
-		t.Errorf("span: %s", got)
+		t.Errorf("interval: %s", got)
 	}
 }
 
