--- a/io/client/caller.go
+++ b/io/client/caller.go
@@ -1,16 +1,16 @@
-// Package client is a client of almondrill's callers' side, for the demo, the
-// load generator and tests.
+// Package client sends requests to almondrill as a caller does, for the demo, the load generator
+// and tests.
 //
 // # Concepts
 //
-// A Client sends chats and service calls and tells how each ended, as the caller
-// is told: Whole only after a stream's end mark or a body of full length. For a
-// stream it measures the times of its tokens.
+// A Client sends chats and service calls and returns the outcome that the caller sees: Whole only
+// after a stream's end mark or a body of full length. For a stream it measures the times between
+// tokens.
 //
 // # Usage
 //
-//	cl := &caller.Client{Key: "secret"}
-//	rs := cl.Chat(ctx, "127.0.0.1:8080", &caller.Chat{Model: "m", Messages: msgs})
+//	cl := &client.Client{Key: "secret"}
+//	rs := cl.Chat(ctx, "127.0.0.1:8080", &client.Chat{Model: "m", Messages: msgs})
 package client
 
 import (
@@ -32,7 +32,7 @@
 // Client sends requests with one bearer key. Set the exported fields before use.
 type Client struct {
 	Key string
-	// HTTP is the client to use; nil is http.DefaultClient.
+	// HTTP is the client to use; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
@@ -53,26 +53,27 @@
 	Messages  []Message
 }
 
-// Result is how a request ended, as the caller was told.
+// Result is the result of a request, as the caller sees it.
 type Result struct {
 	Outcome core.Outcome
 	Reason  core.Reason
 	Status  int
-	// Answer is the text of a chat's answer, or a service's body.
+	// Answer is the text of a chat's response, or the response body of a service.
 	Answer string
-	// Hint is to be sent with the chat's next turn.
+	// Hint has to be sent with the chat's next turn.
 	Hint string
-	// Cached is how many prompt tokens the engine had cached.
+	// Cached is the number of prompt tokens that the engine had cached.
 	Cached int
-	// First and Total are times from the start; Gaps those between tokens.
+	// First and Total are the times from the start of the request to the first token, or to a plain
+	// body, and to the end. Gaps are the times between tokens.
 	First time.Duration
 	Total time.Duration
 	Gaps  []time.Duration
-	// Err is set where no usable answer came at all.
+	// Err is set if there was no usable response.
 	Err error
 }
 
-// Chat sends a chat to a router, or to an engine itself.
+// Chat sends a chat to a router, or directly to an engine.
 func (cl *Client) Chat(ctx context.Context, addr string, ch *Chat) *Result {
 	body, _ := json.Marshal(struct {
 		Model     string    `json:"model"`
@@ -109,7 +110,7 @@
 		rs.Err = err
 		return rs
 	}
-	// The library must not send a request again by itself.
+	// The HTTP library must not resend the request by itself.
 	rq.GetBody = nil
 	rq.Header = header
 	rq.Header.Set("Authorization", "Bearer "+cl.Key)
@@ -138,7 +139,7 @@
 	Reason  core.Reason
 }
 
-// parseRefusal takes in a refusal's body; it reports whether data is one.
+// parseRefusal sets outcome and reason if data is the body of a refusal, and reports whether it is.
 func (rs *Result) parseRefusal(data []byte) bool {
 	var re refusal
 	if json.Unmarshal(data, &re) != nil || re.Outcome == "" {
