--- a/io/load/load.go
+++ b/io/load/load.go
@@ -1,11 +1,10 @@
-// Package load is an open-loop load generator for any router, or for an engine
-// itself.
+// Package load is an open-loop load generator for routers of either kind, or for engines.
 //
 // # Concepts
 //
-// Requests are sent at their times whether or not earlier ones have been
-// answered, so a slow fleet does not slow the load. Chats return after a think
-// time with the whole conversation so far.
+// Requests are sent at random times, whether or not earlier ones have completed, so a slow fleet
+// does not reduce the load. Each turn of a chat is sent some think time after the response to the
+// one before, with the conversation so far.
 //
 // # Usage
 //
@@ -31,32 +30,32 @@
 	"almondrill/io/client"
 )
 
-// Plan says what to send.
+// Plan describes the load to generate.
 type Plan struct {
-	// Addr is a router's address for callers, or an engine's.
+	// Addr is a router's address for callers, or the address of an engine.
 	Addr  string
 	Key   string
 	Model string
-	// Rate is in requests a second.
+	// Rate is the mean number of requests a second.
 	Rate     float64
 	Duration time.Duration
-	// Chats is how many conversations go on at once; Think is the mean pause
-	// between a chat's answer and its next turn.
+	// Chats bounds the chats that wait for their next turn; beyond it the oldest is dropped. 0 means
+	// no bound. Think is the mean time between a response and the chat's next turn.
 	Chats int
 	Think time.Duration
 	Seed  uint64
-	// MaxTokens is the length of answers.
+	// MaxTokens is the maximum number of tokens of a response.
 	MaxTokens int
-	// Streamed and Once are the parts of requests that are streamed, and that
-	// carry an idempotency key.
+	// Streamed and Once are the fractions of requests that are streamed, and that carry an
+	// idempotency key.
 	Streamed float64
 	Once     float64
-	// MostOpen bounds the requests in flight; beyond it a request is not sent and
-	// counted as Unsent.
+	// MostOpen bounds the requests in flight; a further one is not sent, and counted as Unsent.
+	// 0 means 10,000.
 	MostOpen int
 }
 
-// Report is the outcome of a Run; times are in milliseconds.
+// Report is the result of Run.
 type Report struct {
 	Sent, Unsent int
 	Outcomes     map[string]int
@@ -66,7 +65,7 @@
 	WholeAnswer  Times
 }
 
-// Times are a distribution in milliseconds.
+// Times are quantiles of a time, in milliseconds.
 type Times struct{ P50, P95, P99, Max float64 }
 
 const (
@@ -75,7 +74,7 @@
 	digits     = 3
 )
 
-// generator is the state of one Run.
+// generator is the state of one call of Run.
 type generator struct {
 	pl     Plan
 	client *client.Client
@@ -96,7 +95,7 @@
 	readyAt  time.Time
 }
 
-// Run sends the plan's requests and waits for their answers.
+// Run sends the plan's requests and waits for their responses.
 func Run(ctx context.Context, pl Plan) *Report {
 	if pl.MostOpen == 0 {
 		pl.MostOpen = 10_000
@@ -126,15 +125,15 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, digits) }
 
-// nextInterval draws the time to the next request: arrivals are independent of each other.
+// nextInterval draws the time to the next request. Arrivals are independent of each other.
 func (ge *generator) nextInterval() time.Duration {
 	ge.mu.Lock()
 	defer ge.mu.Unlock()
 	return time.Duration(-math.Log(1-ge.rand.Float64()) / ge.pl.Rate * float64(time.Second))
 }
 
-// nextChat finds a chat whose think time is over, or opens one; nil if too many
-// requests are open.
+// nextChat returns a chat whose think time is over, or a new one. It returns nil if too many
+// requests are in flight.
 func (ge *generator) nextChat() *chat {
 	ge.mu.Lock()
 	defer ge.mu.Unlock()
@@ -196,7 +195,7 @@
 	if rs.Outcome != core.Whole {
 		return
 	}
-	// The only error is a value beyond ten minutes, which is then left out.
+	// RecordValue fails only for a time above maxLatency, which is left out.
 	_ = ge.first.RecordValue(int64(rs.First))
 	_ = ge.answer.RecordValue(int64(rs.Total))
 	for _, gap := range rs.Gaps {
@@ -218,10 +217,10 @@
 	return Times{P50: at(50), P95: at(95), P99: at(99), Max: float64(hi.Max()) / float64(time.Millisecond)}
 }
 
-// Table is the report for people.
+// Table formats the report for people.
 func (re *Report) Table() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "sent %d, not sent for too many open %d\n", re.Sent, re.Unsent)
+	fmt.Fprintf(&out, "sent %d, not sent because too many were in flight %d\n", re.Sent, re.Unsent)
 	for _, counts := range []map[string]int{re.Outcomes, re.Reasons} {
 		names := make([]string, 0, len(counts))
 		for name := range counts {
@@ -242,7 +241,7 @@
 	return out.String()
 }
 
-// JSON is the report for programs.
+// JSON encodes the report for programs.
 func (re *Report) JSON() string {
 	text, _ := json.Marshal(re)
 	return string(text)
