--- a/io/stats/latency.go
+++ b/io/stats/latency.go
@@ -7,10 +7,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LatencyName names a latency of which quantiles are kept.
+// LatencyName is the name of a latency, as served.
 type LatencyName string
 
-// Latencies; docs.go tells what they measure.
+// Names of the latencies; docs.go explains them.
 const (
 	AnswerMs  LatencyName = "AnswerMs"
 	FirstMs   LatencyName = "FirstMs"
@@ -20,20 +20,20 @@
 	FailedMs  LatencyName = "FailedMs"
 )
 
-// Latencies holds the histograms of answers. The zero value is ready.
+// Latencies records latencies in histograms. The zero value is ready to use.
 type Latencies struct {
 	mu         sync.Mutex // guards byTime
 	histograms map[LatencyName]*hdrhistogram.Histogram
 }
 
 const (
-	// maxLatencyMs is the largest time that is told apart, in milliseconds.
+	// maxLatencyMs is the largest recorded latency, in milliseconds; longer ones count as this.
 	maxLatencyMs = 60_000
-	// significantDigits is the precision: two significant digits, 20 KB a histogram.
+	// significantDigits is the precision of a histogram, which takes 20 KB with two digits.
 	significantDigits = 2
 )
 
-// Record adds a time.
+// Record adds one measured latency.
 func (la *Latencies) Record(name LatencyName, d time.Duration) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -45,10 +45,10 @@
 		hi = hdrhistogram.New(1, maxLatencyMs, significantDigits)
 		la.histograms[name] = hi
 	}
-	_ = hi.RecordValue(min(maxLatencyMs, max(0, d.Milliseconds()))) // always within its range
+	_ = hi.RecordValue(min(maxLatencyMs, max(0, d.Milliseconds()))) // always within the histogram's range
 }
 
-// quantile is a latency's quantile in milliseconds, 0 if nothing was noted.
+// quantile returns a quantile of a latency in milliseconds, 0 if none was recorded.
 func (la *Latencies) quantile(name LatencyName, percent float64) int64 {
 	la.mu.Lock()
 	defer la.mu.Unlock()
@@ -58,7 +58,8 @@
 	return 0
 }
 
-// Publish adds the quantiles, in milliseconds, to a Set, and the histograms to its text.
+// Publish adds the quantiles, in milliseconds, to a Set, and the histograms to what its TextHandler
+// serves.
 func (la *Latencies) Publish(st *Set) {
 	st.latencies = la
 	for _, de := range latencies {
--- a/io/stats/stats.go
+++ b/io/stats/stats.go
@@ -1,16 +1,15 @@
-// Package stats holds the counters of a process, published by expvar.
+// Package stats holds the counters of a process and serves them, with expvar and as text.
 //
 // # Concepts
 //
-// A Set belongs to one process; in a demo several live in one program, so a Set
-// is served by its process's own handler rather than registered by name. Each refusal reason and each retry
-// reason has a counter of its own from the start, so that a graph shows 0 rather
-// than nothing.
+// A Set belongs to one process. In the demo, several processes run in one program, so each process
+// serves its Set with its own handler, instead of registering it by name. Every reason of a refusal
+// or a retry has its own counter from the start, so that a graph shows 0 instead of no data.
 //
 // # Usage
 //
 //	st := stats.New()
-//	st.Refuse(core.ReasonLoadCap)
+//	st.CountRefusal(core.ReasonLoadCap)
 //	http.Handle("/debug/vars", st.Handler())
 package stats
 
@@ -21,7 +20,7 @@
 	"almondrill/core"
 )
 
-// Names of the other counters.
+// Names of the counters, but for those of reasons; docs.go explains them.
 const (
 	Requests                = "Requests"
 	InProgress              = "InProgress"
@@ -54,31 +53,31 @@
 	LogLinesSampled         = "LogLinesSampled"
 	ZonesEvacuated          = "ZonesEvacuated"
 	ColdDenied              = "ColdDenied"
-	// RegistrationsUnusable counts those that became unreadable.
+	// RegistrationsUnusable counts endpoint registrations that became unusable.
 	RegistrationsUnusable = "RegistrationsUnusable"
-	// StoreLed is 1 in a router that asks the platform's store on behalf of all.
+	// StoreLed is 1 in a router that watches the platform's store on behalf of all.
 	StoreLed = "StoreLed"
-	// BytesHeld is how many bytes of bodies and answers are held.
+	// BytesHeld is the number of bytes buffered of request and response bodies.
 	BytesHeld = "BytesHeld"
-	// EndpointsDisplaced counts endpoints whose address another registered with.
+	// EndpointsDisplaced counts endpoints with whose address another endpoint registered.
 	EndpointsDisplaced = "EndpointsDisplaced"
-	// ItemsFailed counts those of the store that brought a fault of this program about.
+	// ItemsFailed counts items of the store that triggered a fault of this program.
 	ItemsFailed = "ItemsFailed"
 	// CrashedUnder counts requests that were running at an endpoint when it crashed.
 	CrashedUnder = "CrashedUnder"
-	// RequestsQuarantined is how many are not sent to endpoints as they crash them, and
-	// QuarantineTrials counts those that were sent all the same to see whether they still do.
+	// RequestsQuarantined is the number of requests that are not sent to endpoints because they
+	// crash them. QuarantineTrials counts the trials in which one is sent all the same.
 	RequestsQuarantined = "RequestsQuarantined"
 	QuarantineTrials    = "QuarantineTrials"
-	// StoreEra counts how often the platform's store came back from a copy.
+	// StoreEra is the number of times that the platform's store was restored from a backup.
 	StoreEra = "StoreEra"
-	// LeavingNotices and BackoffNotices count answers beside which an endpoint announced that it
-	// leaves, or asked for no requests for a time.
+	// LeavingNotices and BackoffNotices count responses with which an endpoint announced its
+	// shutdown, or asked for no requests for a time.
 	LeavingNotices = "LeavingNotices"
 	BackoffNotices = "BackoffNotices"
 )
 
-// Set is one process's counters.
+// Set holds the counters of one process.
 type Set struct {
 	all       *expvar.Map
 	refusals  *expvar.Map
@@ -86,7 +85,7 @@
 	latencies *Latencies
 }
 
-// New makes a Set with every counter at 0.
+// New returns a Set with every counter at 0.
 func New() *Set {
 	st := &Set{all: new(expvar.Map).Init(), refusals: new(expvar.Map).Init(), retries: new(expvar.Map).Init()}
 	for _, de := range counters {
@@ -101,24 +100,24 @@
 	return st
 }
 
-// Add changes a counter.
+// Add adds to a counter.
 func (st *Set) Add(name string, by int64) { st.all.Add(name, by) }
 
-// SetFunc makes a counter read its value from fn when asked.
+// SetFunc makes fn the source of a counter's value: it is called each time the value is read.
 func (st *Set) SetFunc(name string, fn func() int64) {
 	st.all.Set(name, expvar.Func(func() any { return fn() }))
 }
 
-// CountRefusal counts a refusal or failure by reason.
+// CountRefusal counts a refusal or failure by its reason.
 func (st *Set) CountRefusal(re core.Reason) { st.refusals.Add(string(re), 1) }
 
-// CountRetry counts a retry by the reason of the attempt before it.
+// CountRetry counts a retry by the reason why the attempt before it failed.
 func (st *Set) CountRetry(re core.Reason) { st.retries.Add(string(re), 1) }
 
-// CountOutcome counts how a request ended.
+// CountOutcome counts a request by its outcome.
 func (st *Set) CountOutcome(ou core.Outcome) { st.all.Add("Answers"+ou.String(), 1) }
 
-// Value is a counter's value, 0 for an unknown one.
+// Value returns a counter's value, 0 for an unknown one.
 func (st *Set) Value(name string) int64 {
 	switch va := st.all.Get(name).(type) {
 	case *expvar.Int:
@@ -130,10 +129,10 @@
 	return 0
 }
 
-// Refusals is the counter of a refusal reason.
+// Refusals returns the number of refusals for a reason.
 func (st *Set) Refusals(re core.Reason) int64 { return count(st.refusals, re) }
 
-// Retries is the counter of a retry reason.
+// Retries returns the number of retries after attempts that failed for a reason.
 func (st *Set) Retries(re core.Reason) int64 { return count(st.retries, re) }
 
 func count(by *expvar.Map, re core.Reason) int64 {
@@ -143,7 +142,7 @@
 	return 0
 }
 
-// Handler serves the Set, beside expvar's own variables, as JSON.
+// Handler serves the Set as JSON, along with expvar's own variables.
 func (st *Set) Handler() http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, _ *http.Request) {
 		wr.Header().Set("Content-Type", "application/json; charset=utf-8")
--- a/io/stats/stats_test.go
+++ b/io/stats/stats_test.go
@@ -17,7 +17,7 @@
 
 const page = "../../docs/operate/COUNTERS.md"
 
-// The page of counters is what the definitions say, and explains every reason.
+// The page of counters is up to date with the definitions, and explains every reason.
 func TestCountersPageIsFresh(t *testing.T) {
 	if *update {
 		if err := os.WriteFile(page, []byte(stats.Markdown()), 0o600); err != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// servedVars is what a process serves of its counters.
+// servedVars returns the counters that a Set's Handler serves.
 func servedVars(t *testing.T, st *stats.Set) map[string]any {
 	t.Helper()
 	rec := httptest.NewRecorder()
@@ -47,8 +47,7 @@
 	return out.Almondrill
 }
 
-// Every counter of the page is served, from the start, so that a graph shows 0 rather
-// than nothing.
+// Every counter on the page is served from the start, so that a graph shows 0 instead of no data.
 func TestEveryExplainedCounterIsServed(t *testing.T) {
 	st, la := stats.New(), &stats.Latencies{}
 	la.Publish(st)
@@ -69,7 +68,7 @@
 			name += "P95"
 		}
 		if vars[name] == nil {
-			t.Errorf("%s is explained, but not served", name)
+			t.Errorf("%s is explained on the page, but not served", name)
 		}
 	}
 	if counted < 30 {
@@ -88,9 +87,9 @@
 		t.Errorf("median %d, want 50", p50)
 	}
 	if longest := st.Value("FirstMsMax"); longest < 59_000 || longest > 61_000 {
-		t.Errorf("%d ms for two hours, want the largest that is told apart", longest)
+		t.Errorf("maximum %d ms after recording two hours, want the largest recorded latency, 60,000 ms", longest)
 	}
 	if none := st.Value("FailedMsP99"); none != 0 {
-		t.Errorf("%d ms though nothing failed", none)
+		t.Errorf("%d ms, want 0, since no failure was recorded", none)
 	}
 }
--- a/io/stats/text.go
+++ b/io/stats/text.go
@@ -10,13 +10,12 @@
 	"slices"
 )
 
-// bucketBoundsMs are the upper ends, in milliseconds, of the buckets in which latencies are
-// served: close together around the goals of routes, 150 to 600 ms.
+// bucketBoundsMs are the upper bounds, in milliseconds, of the buckets in which latencies are
+// served. They are close together around the latency goals of routes, 150 to 600 ms.
 var bucketBoundsMs = []int64{10, 20, 50, 100, 150, 200, 300, 400, 600, 1000, 2000, 5000, 10000}
 
-// TextHandler serves the Set as text, a line a value, as scrapers of metrics read it:
-// the name, the reason as a label where there is one, and the value. Latencies come as
-// cumulative buckets.
+// TextHandler serves the Set in the text format that metrics scrapers read, one value a line. The
+// counters of reasons have the reason as a label. Latencies are served as cumulative buckets.
 func (st *Set) TextHandler() http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, _ *http.Request) {
 		wr.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
@@ -31,11 +30,11 @@
 		if st.latencies != nil {
 			st.latencies.writeBuckets(out)
 		}
-		_ = out.Flush() // whoever asked has left
+		_ = out.Flush() // fails only if the client has disconnected
 	})
 }
 
-// writeBuckets writes every latency of which something was noted.
+// writeBuckets writes the buckets, sum and count of every latency that was recorded.
 func (la *Latencies) writeBuckets(out io.Writer) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
--- a/io/stats/text_test.go
+++ b/io/stats/text_test.go
@@ -10,7 +10,7 @@
 	"almondrill/io/stats"
 )
 
-// servedText is what a process serves to scrapers, a line an entry.
+// servedText returns the values that a Set's TextHandler serves, by name and label.
 func servedText(st *stats.Set) map[string]string {
 	rec := httptest.NewRecorder()
 	st.TextHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/metrics", nil))
@@ -40,7 +40,7 @@
 	}
 }
 
-// Buckets are cumulative: each has all that took no longer than its bound.
+// Buckets are cumulative: each counts all latencies up to its bound.
 func TestTextHasLatencyBuckets(t *testing.T) {
 	st, la := stats.New(), &stats.Latencies{}
 	la.Publish(st)
@@ -50,10 +50,10 @@
 	lines := servedText(st)
 	for bound, want := range map[string]string{"10": "1", "50": "1", "100": "2", "150": "4", "400": "4", "600": "5", "10000": "5", "+Inf": "6"} {
 		if got := lines[`FirstMs_bucket{le="`+bound+`"}`]; got != want {
-			t.Errorf("up to %s ms: %q, want %s", bound, got, want)
+			t.Errorf("bucket up to %s ms: %q, want %s", bound, got, want)
 		}
 	}
 	if lines["FirstMs_count"] != "6" || lines[`GapMs_bucket{le="10"}`] != "" {
-		t.Errorf("count %q; a latency that was never noted: %q", lines["FirstMs_count"], lines[`GapMs_bucket{le="10"}`])
+		t.Errorf("FirstMs_count %q, want 6; bucket of a latency never recorded: %q, want none", lines["FirstMs_count"], lines[`GapMs_bucket{le="10"}`])
 	}
 }
