--- a/io/conf/conf.go
+++ b/io/conf/conf.go
@@ -1,12 +1,12 @@
-// Package conf reads the files that operators write: each process's settings and
-// the declarations.
+// Package conf reads the files that operators write: the settings of each process, and the
+// declarations.
 //
 // # Concepts
 //
-// Both are YAML with keys in Pascal case, read strictly: an unknown key, a wrong
-// unit or a missing value is refused with file, line and what was expected.
-// Settings say where a process is and what it talks to; everything about
-// customers and pools is in the declarations, which come from the KV.
+// Both are YAML with keys in Pascal case. They are read strictly: an unknown key, a wrong unit or a
+// missing value is an error that states the file, the line and what was expected. The settings
+// define where a process runs and with what it communicates. Customers and pools are defined in the
+// declarations, which processes read from the KV.
 //
 // # Usage
 //
@@ -26,7 +26,7 @@
 	"almondrill/core/decl"
 )
 
-// Settings are one process's.
+// Settings are the settings of a router that uses agents, or of an agent.
 type Settings struct {
 	Name        core.VMID   `yaml:"Name" doc:"The VM's name in the platform's list." need:"yes"`
 	Zone        core.Zone   `yaml:"Zone" doc:"The VM's availability zone." need:"yes"`
@@ -59,7 +59,7 @@
 	LogLevel              string        `yaml:"LogLevel" doc:"debug, info, warn or error. Default info."`
 }
 
-// EndpointSetting is one endpoint beside an agent.
+// EndpointSetting is an endpoint on an agent's VM.
 type EndpointSetting struct {
 	Name core.EndpointID `yaml:"Name" doc:"The endpoint's name, as in the declarations." need:"yes"`
 	Pool core.PoolID     `yaml:"Pool" doc:"The pool or service it belongs to." need:"yes"`
@@ -67,7 +67,7 @@
 	URL  string          `yaml:"URL" doc:"Where it listens, such as http://127.0.0.1:8000." need:"yes"`
 }
 
-// OperatorSetting is one operator that may plan and apply.
+// OperatorSetting is an operator who may call the operators' RPC.
 type OperatorSetting struct {
 	Name    string `yaml:"Name" doc:"The name that accepted changes are logged under." need:"yes"`
 	KeyHash string `yaml:"KeyHash" doc:"Hex SHA-256 sum of the operator's key." need:"yes"`
@@ -79,7 +79,7 @@
 	KindService = "Service"
 )
 
-// Defaults fills in what was left out.
+// Defaults sets the settings that were left out to their defaults.
 func (se *Settings) Defaults() {
 	defaultTo(&se.MaxBodyBytes, 8<<20)
 	defaultTo(&se.BodyTimeout, 10*time.Second)
@@ -107,8 +107,8 @@
 	}
 }
 
-// ReadSettings reads and checks the settings of a process of that role. The
-// error is Problems.
+// ReadSettings decodes and validates the settings of a process with the given role. An error is of
+// type Problems.
 func ReadSettings(file string, data []byte, ro core.Role) (*Settings, error) {
 	var se Settings
 	if err := DecodeStrict(file, data, &se); err != nil {
@@ -217,7 +217,7 @@
 	}
 }
 
-// ReadDeclarations reads and checks a document. The error is Problems.
+// ReadDeclarations decodes and validates a document of declarations. An error is of type Problems.
 func ReadDeclarations(file string, data []byte) (*decl.Document, error) {
 	var doc decl.Document
 	if err := DecodeStrict(file, data, &doc); err != nil {
--- a/io/conf/conf_test.go
+++ b/io/conf/conf_test.go
@@ -13,7 +13,7 @@
 
 const page = "../../docs/SETTINGS.md"
 
-// The page of settings is what the option types say.
+// The page of settings is up to date with the settings types.
 func TestSettingsPageIsFresh(t *testing.T) {
 	if *update {
 		if err := os.WriteFile(page, []byte(conf.Markdown()), 0o600); err != nil {
@@ -26,7 +26,8 @@
 	}
 }
 
-// Left-out settings get their defaults; a list of two documents is refused.
+// Settings that are left out get their defaults. A second YAML document and values out of range are
+// rejected.
 func TestReadSettings(t *testing.T) {
 	text := "Name: r\nZone: a\nRegion: n\nPeersAddr: 10.0.0.1:1\nAdminAddr: 10.0.0.1:2\nCallersAddr: 10.0.0.1:3\nKVAddr: 10.0.0.2:1\nVMsAddr: 10.0.0.3:1\n"
 	se, err := conf.ReadSettings("r.yaml", []byte(text), core.RoleRouter)
@@ -34,12 +35,12 @@
 		t.Errorf("%+v %v", se, err)
 	}
 	if _, err = conf.ReadSettings("r.yaml", []byte(text+"---\nName: s\n"), core.RoleRouter); err == nil {
-		t.Error("a second document was passed over")
+		t.Error("a second document was accepted")
 	}
 	if _, err = conf.ReadSettings("r.yaml", []byte(text+"RetryRatio: -1\n"), core.RoleRouter); err == nil {
-		t.Error("a negative ratio was taken")
+		t.Error("RetryRatio -1 was accepted")
 	}
 	if _, err = conf.ReadSettings("r.yaml", []byte(text+"HandOverBytes: -2\n"), core.RoleRouter); err == nil {
-		t.Error("-2 bytes were taken")
+		t.Error("HandOverBytes -2 was accepted")
 	}
 }
--- a/io/conf/docs.go
+++ b/io/conf/docs.go
@@ -8,16 +8,16 @@
 	"almondrill/core/decl"
 )
 
-// Markdown is docs/SETTINGS.md, made from the option types, so that the page and
-// what is read cannot differ.
+// Markdown returns the content of docs/SETTINGS.md, which is generated from the settings types so
+// that the page always agrees with them.
 func Markdown() string {
 	var out strings.Builder
 	out.WriteString(`# Settings and declarations
 
-Made from the option types by ` + "`go test ./io/conf -update`" + `; a test fails when it is stale.
+Generated from the settings types by ` + "`go test ./io/conf -update`" + `; a test fails if it is stale.
 
 Both files are YAML with keys in Pascal case. Durations have a unit (250ms, 10s,
-2m). An unknown key, a wrong unit or a missing value is refused with file and line.
+2m). An unknown key, a wrong unit or a missing value is an error with file and line.
 
 ## Settings of a process
 
@@ -26,8 +26,8 @@
 
 `)
 	writeSection(&out, reflect.TypeFor[Settings]())
-	writeHeading(&out, "Endpoints", "one entry for each endpoint beside an agent", reflect.TypeFor[EndpointSetting]())
-	writeHeading(&out, "Operators", "one entry for each operator that a router knows", reflect.TypeFor[OperatorSetting]())
+	writeHeading(&out, "Endpoints", "one entry for each endpoint on the agent's VM", reflect.TypeFor[EndpointSetting]())
+	writeHeading(&out, "Operators", "one entry for each operator who may call the router", reflect.TypeFor[OperatorSetting]())
 	out.WriteString("## Settings of a router without agents\n\nRead by `almondrill relay`, checked with `almondrill check -role relay FILE`.\n\n")
 	writeSection(&out, reflect.TypeFor[RelaySettings]())
 	out.WriteString("## Declarations\n\nAccepted with `almondrill apply`, checked with `almondrill check FILE`.\n\n")
@@ -35,7 +35,7 @@
 	writeHeading(&out, "Customers", "", reflect.TypeFor[decl.Customer]())
 	writeHeading(&out, "Pools", "engines that serve the same model", reflect.TypeFor[decl.Pool]())
 	writeHeading(&out, "Services", "plain services", reflect.TypeFor[decl.Service]())
-	writeHeading(&out, "Endpoints (declared)", "what an endpoint checks itself; one that is not declared checks nothing", reflect.TypeFor[decl.Endpoint]())
+	writeHeading(&out, "Endpoints (declared)", "checks that an endpoint makes itself; one that is not declared makes none", reflect.TypeFor[decl.Endpoint]())
 	return strings.TrimRight(out.String(), "\n") + "\n"
 }
 
--- a/io/conf/relay.go
+++ b/io/conf/relay.go
@@ -6,7 +6,7 @@
 	"almondrill/core"
 )
 
-// RelaySettings are those of a router that calls endpoints itself.
+// RelaySettings are the settings of a router that calls endpoints itself.
 type RelaySettings struct {
 	Name        core.VMID                 `yaml:"Name" doc:"The VM's name." need:"yes"`
 	Zone        core.Zone                 `yaml:"Zone" doc:"The VM's availability zone." need:"yes"`
@@ -34,7 +34,7 @@
 	LogLevel     string        `yaml:"LogLevel" doc:"debug, info, warn or error. Default info."`
 }
 
-// Defaults fills in what was left out.
+// Defaults sets the settings that were left out to their defaults.
 func (se *RelaySettings) Defaults() {
 	defaultTo(&se.CapFactor, 2)
 	defaultTo(&se.ColdOverrun, 1)
@@ -47,8 +47,8 @@
 	defaultTo(&se.LogLevel, "info")
 }
 
-// ReadRelaySettings reads and checks the settings of a router that calls endpoints itself.
-// The error is Problems.
+// ReadRelaySettings decodes and validates the settings of a router that calls endpoints itself. An
+// error is of type Problems.
 func ReadRelaySettings(file string, data []byte) (*RelaySettings, error) {
 	var se RelaySettings
 	if err := DecodeStrict(file, data, &se); err != nil {
--- a/io/conf/strict.go
+++ b/io/conf/strict.go
@@ -10,14 +10,14 @@
 	yaml "go.yaml.in/yaml/v3"
 )
 
-// Problems is everything wrong with a file, each with file and line.
+// Problems is an error that lists all problems of a file, each with file and line.
 type Problems []string
 
-// Error lists the problems, a line each.
+// Error returns the problems, one per line.
 func (pr Problems) Error() string { return strings.Join(pr, "\n") }
 
-// DecodeStrict decodes YAML into out. Unknown keys, values of the wrong type or unit
-// and further documents are errors; all are reported, as Problems.
+// DecodeStrict decodes a YAML document into out. Unknown keys, values of the wrong type or unit, and
+// further documents are errors, which it returns as Problems.
 func DecodeStrict(file string, data []byte, out any) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// fileProblems rewrites the library's errors as "file:line: what is wrong".
+// fileProblems converts an error of the YAML library to Problems of the form "file:line: problem".
 func fileProblems(file string, err error) error {
 	var types *yaml.TypeError
 	if !errors.As(err, &types) {
@@ -54,7 +54,8 @@
 	return fmt.Sprintf("%s:1: %s", file, text)
 }
 
-// explainTypeError says what was expected where the library names a Go type.
+// explainTypeError replaces the Go type in a message of the YAML library by what the user should
+// write.
 func explainTypeError(text string) string {
 	text = strings.ReplaceAll(text, "into time.Duration", "as a duration with a unit, such as 250ms or 10s")
 	if at := strings.Index(text, " in type "); at >= 0 {
@@ -65,8 +66,9 @@
 	return text
 }
 
-// ObjectLines finds the line of the object in a sequence under a top-level key, by its
-// Name: Lines(data)["Pools/chat"] is the line of pool chat.
+// ObjectLines returns the line numbers of the objects in the sequences under top-level keys, by key
+// and Name: ObjectLines(data)["Pools/chat"] is the line of pool chat. Lines of an object's fields
+// are under "Pools/chat/Model".
 func ObjectLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	var root yaml.Node
@@ -95,7 +97,7 @@
 	}
 }
 
-// keyLines finds the lines of the top-level keys.
+// keyLines returns the line numbers of the top-level keys.
 func keyLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	var root yaml.Node
