--- a/io/conf/strict.go
+++ b/io/conf/strict.go
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("%s:1: %s", file, text)
 }
 
-// explainTypeError replaces the Go type in a message of the YAML library by what the user should
-// write.
+// explainTypeError rewrites a message of the YAML library that names a Go type, so that it states
+// what was expected in the file.
 func explainTypeError(text string) string {
 	text = strings.ReplaceAll(text, "into time.Duration", "as a duration with a unit, such as 250ms or 10s")
 	if at := strings.Index(text, " in type "); at >= 0 {
@@ -66,9 +66,9 @@
 	return text
 }
 
-// ObjectLines returns the line numbers of the objects in the sequences under top-level keys, by key
-// and Name: ObjectLines(data)["Pools/chat"] is the line of pool chat. Lines of an object's fields
-// are under "Pools/chat/Model".
+// ObjectLines returns the line numbers of the objects in the sequences under top-level keys, and of
+// the objects' fields: ObjectLines(data)["Pools/chat"] is the line of the pool with Name chat, and
+// ObjectLines(data)["Pools/chat/Model"] that of its Model.
 func ObjectLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	var root yaml.Node
--- a/io/deny/guard.go
+++ b/io/deny/guard.go
@@ -58,7 +58,7 @@
 
 	interruptions crash.Interruptions
 
-	probeMu sync.Mutex // guards looking
+	probeMu sync.Mutex // guards probing
 	probing map[uint64]bool
 }
 
@@ -121,7 +121,7 @@
 	}
 }
 
-// beginProbe reports whether a probe may begin, which is not so while one is running.
+// beginProbe marks the endpoint as being probed. It returns false if it already is.
 func (de *Detector) beginProbe(endpoint uint64) bool {
 	de.probeMu.Lock()
 	defer de.probeMu.Unlock()
--- a/io/deny/ledger.go
+++ b/io/deny/ledger.go
@@ -259,8 +259,7 @@
 	}
 }
 
-// beginWrite reports whether a write of the request's entry may begin, which is not so while one is
-// in progress.
+// beginWrite marks the request's entry as being written. It returns false if it already is.
 func (tr *Tracker) beginWrite(fp core.Fingerprint) bool {
 	tr.init()
 	tr.mu.Lock()
--- a/io/oper/server.go
+++ b/io/oper/server.go
@@ -49,8 +49,9 @@
 	Operators []conf.OperatorSetting
 	// Digest returns the digest that Status exchanges with the other processes.
 	Digest func() *core.Digest
-	Out    *zap.Logger
-	Clock  core.Clock
+	// Out is the server's logger; Log is the revision log.
+	Out   *zap.Logger
+	Clock core.Clock
 
 	opsrpc.UnimplementedOperatorsServer
 }
--- a/io/oper/status.go
+++ b/io/oper/status.go
@@ -71,8 +71,8 @@
 	ps.Revision, ps.Draining = uint64(di.Revision), di.Draining
 }
 
-// inspectEndpoints returns the state of an agent's endpoints in managed pools, whose engines are
-// given orders.
+// inspectEndpoints returns the state of an agent's endpoints in managed pools, whose engines
+// receive orders.
 func (se *Server) inspectEndpoints(ctx context.Context, cfg *decl.Config, ps *opsrpc.ProcessStatus) []*opsrpc.EndpointStatus {
 	if cfg == nil || len(order.ManagedPools(cfg)) == 0 {
 		return nil
--- a/io/stats/docs.go
+++ b/io/stats/docs.go
@@ -32,7 +32,7 @@
 	{OrdersGiven, "orders from this router that an agent accepted"},
 	{OrdersDone, "orders that this agent's engines carried out"},
 	{OrdersGivenUp, "times that an order failed on several engines of its pool and succeeded on none, so that the other engines keep their state; see rolling-versions.md"},
-	{OrdersFence, "fencing number with which this router gives orders; 0 while another router does"},
+	{OrdersFence, "fencing number with which this router issues orders; 0 while another router does"},
 	{ContextsHandedOn, "contexts that this agent transferred to other engines when it shut down"},
 	{ContextsTakenIn, "contexts that this agent received from agents that shut down"},
 	{PointersHandedOn, "directory entries that this agent handed over when it shut down"},
--- a/io/stats/latency.go
+++ b/io/stats/latency.go
@@ -22,7 +22,7 @@
 
 // Latencies records latencies in histograms. The zero value is ready to use.
 type Latencies struct {
-	mu         sync.Mutex // guards byTime
+	mu         sync.Mutex // guards histograms
 	histograms map[LatencyName]*hdrhistogram.Histogram
 }
 
