--- a/io/conf/conf.go
+++ b/io/conf/conf.go
@@ -114,7 +114,7 @@
 	if err := DecodeStrict(file, data, &se); err != nil {
 		return nil, err
 	}
-	ch := &settingsChecker{file: file, lines: ObjectLines(data), keys: keyLines(data)}
+	ch := &settingsChecker{file: file, objectLines: ObjectLines(data), keyLines: keyLines(data)}
 	ch.checkSettings(&se, ro)
 	if len(ch.problems) > 0 {
 		return nil, ch.problems
@@ -124,10 +124,10 @@
 }
 
 type settingsChecker struct {
-	file     string
-	lines    map[string]int
-	keys     map[string]int
-	problems Problems
+	file        string
+	objectLines map[string]int
+	keyLines    map[string]int
+	problems    Problems
 }
 
 func (ch *settingsChecker) addProblem(line int, format string, args ...any) {
@@ -137,18 +137,18 @@
 
 func (ch *settingsChecker) checkPresent(key, value, what string) {
 	if value == "" {
-		ch.addProblem(ch.keys[key], "%s is missing: expected %s", key, what)
+		ch.addProblem(ch.keyLines[key], "%s is missing: expected %s", key, what)
 	}
 }
 
 func (ch *settingsChecker) checkAddr(key, value string) {
 	if value == "" {
-		ch.addProblem(ch.keys[key], "%s is missing: expected an IP address and port, such as 10.0.0.5:7000", key)
+		ch.addProblem(ch.keyLines[key], "%s is missing: expected an IP address and port, such as 10.0.0.5:7000", key)
 		return
 	}
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
-		ch.addProblem(ch.keys[key], "%s: %q is not an IP address and port, such as 10.0.0.5:7000", key, value)
+		ch.addProblem(ch.keyLines[key], "%s: %q is not an IP address and port, such as 10.0.0.5:7000", key, value)
 	}
 }
 
@@ -164,12 +164,12 @@
 		ch.checkAddr("CallersAddr", se.CallersAddr)
 	}
 	if ro == core.RoleAgent && len(se.Endpoints) == 0 {
-		ch.addProblem(ch.keys["Endpoints"], "Endpoints is missing: expected at least one endpoint")
+		ch.addProblem(ch.keyLines["Endpoints"], "Endpoints is missing: expected at least one endpoint")
 	}
 	ch.checkNumbers(se)
 	for _, op := range se.Operators {
 		if raw, err := hex.DecodeString(op.KeyHash); err != nil || len(raw) != 32 || op.Name == "" {
-			ch.addProblem(ch.lines["Operators/"+op.Name], "operator %q needs a Name, and a KeyHash of 64 hexadecimal digits", op.Name)
+			ch.addProblem(ch.objectLines["Operators/"+op.Name], "operator %q needs a Name, and a KeyHash of 64 hexadecimal digits", op.Name)
 		}
 	}
 	for _, ep := range se.Endpoints {
@@ -189,23 +189,23 @@
 		"KeyWindow":       float64(se.KeyWindow), "ClaimShards": float64(se.ClaimShards),
 	} {
 		if value < 0 {
-			ch.addProblem(ch.keys[key], "%s must not be negative", key)
+			ch.addProblem(ch.keyLines[key], "%s must not be negative", key)
 		}
 	}
 	if se.HandOverBytes < -1 {
-		ch.addProblem(ch.keys["HandOverBytes"], "HandOverBytes must be -1, to move none, or more")
+		ch.addProblem(ch.keyLines["HandOverBytes"], "HandOverBytes must be -1, to move none, or more")
 	}
 	ch.checkLevel(se.LogLevel)
 }
 
 func (ch *settingsChecker) checkLevel(level string) {
 	if !strings.Contains(" debug info warn error ", " "+level+" ") && level != "" {
-		ch.addProblem(ch.keys["LogLevel"], "LogLevel: %q is not debug, info, warn or error", level)
+		ch.addProblem(ch.keyLines["LogLevel"], "LogLevel: %q is not debug, info, warn or error", level)
 	}
 }
 
 func (ch *settingsChecker) checkEndpoint(ep EndpointSetting) {
-	line := ch.lines["Endpoints/"+string(ep.Name)]
+	line := ch.objectLines["Endpoints/"+string(ep.Name)]
 	if ep.Name == "" || ep.Pool == "" {
 		ch.addProblem(line, "an endpoint needs Name and Pool")
 	}
--- a/io/conf/relay.go
+++ b/io/conf/relay.go
@@ -54,7 +54,7 @@
 	if err := DecodeStrict(file, data, &se); err != nil {
 		return nil, err
 	}
-	ch := &settingsChecker{file: file, lines: ObjectLines(data), keys: keyLines(data)}
+	ch := &settingsChecker{file: file, objectLines: ObjectLines(data), keyLines: keyLines(data)}
 	ch.checkPresent("Name", string(se.Name), "the VM's name")
 	ch.checkPresent("Zone", string(se.Zone), "the VM's availability zone")
 	ch.checkPresent("Region", string(se.Region), "the VM's region")
@@ -74,7 +74,7 @@
 		"DrainTimeout": float64(se.DrainTimeout), "ReturnDelay": float64(se.ReturnDelay), "MemoryMB": float64(se.MemoryMB),
 	} {
 		if value < 0 {
-			ch.addProblem(ch.keys[key], "%s must not be negative", key)
+			ch.addProblem(ch.keyLines[key], "%s must not be negative", key)
 		}
 	}
 	ch.checkLevel(se.LogLevel)
--- a/io/logs/ring_test.go
+++ b/io/logs/ring_test.go
@@ -20,11 +20,11 @@
 	release chan struct{}
 }
 
-func (sl *blockedWriter) Write(data []byte) (int, error) {
-	<-sl.release
-	sl.mu.Lock()
-	defer sl.mu.Unlock()
-	return sl.out.Write(data)
+func (bw *blockedWriter) Write(data []byte) (int, error) {
+	<-bw.release
+	bw.mu.Lock()
+	defer bw.mu.Unlock()
+	return bw.out.Write(data)
 }
 
 // The reader of the log output stops reading. Logging must not block, and lines that are dropped or
