--- a/io/front/front.go
+++ b/io/front/front.go
@@ -129,7 +129,7 @@
 	wt.abort(re)
 }
 
-// authenticate returns the customer whose bearer key the request carries, and the configuration.
+// authenticate returns the current configuration, and the customer whose bearer key the request has.
 func (fr *Front) authenticate(rq *http.Request) (*decl.Config, *decl.Customer, error) {
 	cfg := fr.Board.Snapshot().Config
 	if cfg == nil {
--- a/io/stats/docs.go
+++ b/io/stats/docs.go
@@ -10,7 +10,7 @@
 // definition is a counter or latency with its meaning.
 type definition struct{ name, meaning string }
 
-// counters are all counters but those of reasons.
+// counters explains all counters but those of reasons.
 var counters = []definition{
 	{Requests, "requests received, or calls on an agent"},
 	{InProgress, "requests or calls in progress"},
@@ -56,7 +56,7 @@
 	{LogLinesSampled, "log lines left out because too many with the same message were logged in a second"},
 }
 
-// latencies are the latencies that Latencies records.
+// latencies explains the latencies that are recorded.
 var latencies = []definition{
 	{string(AnswerMs), "from the arrival of a request to the end of its complete response"},
 	{string(FirstMs), "from the arrival of a request to the first byte of a response that was completed"},
