--- a/io/conf/conf.go
+++ b/io/conf/conf.go
@@ -1,12 +1,12 @@
-// Package conf reads the files that operators write: each process's settings and
-// the declarations.
+// Package conf reads the files that operators write: the settings of each process, and the
+// declarations.
 //
 // # Concepts
 //
-// Both are YAML with keys in Pascal case, read strictly: an unknown key, a wrong
-// unit or a missing value is refused with file, line and what was expected.
-// Settings say where a process is and what it talks to; everything about
-// customers and pools is in the declarations, which come from the KV.
+// Both are YAML with keys in Pascal case. They are read strictly: an unknown key, a wrong unit or a
+// missing value is an error that states the file, the line and what was expected. The settings
+// define where a process runs and with what it communicates. Customers and pools are defined in the
+// declarations, which processes read from the KV.
 //
 // # Usage
 //
@@ -26,7 +26,7 @@
 	"almondrill/core/decl"
 )
 
-// Settings are one process's.
+// Settings are the settings of a router that uses agents, or of an agent.
 type Settings struct {
 	Name        core.VMID   `yaml:"Name" doc:"The VM's name in the platform's list." need:"yes"`
 	Zone        core.Zone   `yaml:"Zone" doc:"The VM's availability zone." need:"yes"`
@@ -59,7 +59,7 @@
 	LogLevel              string        `yaml:"LogLevel" doc:"debug, info, warn or error. Default info."`
 }
 
-// EndpointSetting is one endpoint beside an agent.
+// EndpointSetting is an endpoint on an agent's VM.
 type EndpointSetting struct {
 	Name core.EndpointID `yaml:"Name" doc:"The endpoint's name, as in the declarations." need:"yes"`
 	Pool core.PoolID     `yaml:"Pool" doc:"The pool or service it belongs to." need:"yes"`
@@ -67,7 +67,7 @@
 	URL  string          `yaml:"URL" doc:"Where it listens, such as http://127.0.0.1:8000." need:"yes"`
 }
 
-// OperatorSetting is one operator that may plan and apply.
+// OperatorSetting is an operator who may call the operators' RPC.
 type OperatorSetting struct {
 	Name    string `yaml:"Name" doc:"The name that accepted changes are logged under." need:"yes"`
 	KeyHash string `yaml:"KeyHash" doc:"Hex SHA-256 sum of the operator's key." need:"yes"`
@@ -79,7 +79,7 @@
 	KindService = "Service"
 )
 
-// Defaults fills in what was left out.
+// Defaults sets the settings that were left out to their defaults.
 func (se *Settings) Defaults() {
 	defaultTo(&se.MaxBodyBytes, 8<<20)
 	defaultTo(&se.BodyTimeout, 10*time.Second)
@@ -107,14 +107,14 @@
 	}
 }
 
-// ReadSettings reads and checks the settings of a process of that role. The
-// error is Problems.
+// ReadSettings decodes and validates the settings of a process with the given role. An error is of
+// type Problems.
 func ReadSettings(file string, data []byte, ro core.Role) (*Settings, error) {
 	var se Settings
 	if err := DecodeStrict(file, data, &se); err != nil {
 		return nil, err
 	}
-	ch := &settingsChecker{file: file, lines: ObjectLines(data), keys: keyLines(data)}
+	ch := &settingsChecker{file: file, objectLines: ObjectLines(data), keyLines: keyLines(data)}
 	ch.checkSettings(&se, ro)
 	if len(ch.problems) > 0 {
 		return nil, ch.problems
@@ -124,10 +124,10 @@
 }
 
 type settingsChecker struct {
-	file     string
-	lines    map[string]int
-	keys     map[string]int
-	problems Problems
+	file        string
+	objectLines map[string]int
+	keyLines    map[string]int
+	problems    Problems
 }
 
 func (ch *settingsChecker) addProblem(line int, format string, args ...any) {
@@ -137,18 +137,18 @@
 
 func (ch *settingsChecker) checkPresent(key, value, what string) {
 	if value == "" {
-		ch.addProblem(ch.keys[key], "%s is missing: expected %s", key, what)
+		ch.addProblem(ch.keyLines[key], "%s is missing: expected %s", key, what)
 	}
 }
 
 func (ch *settingsChecker) checkAddr(key, value string) {
 	if value == "" {
-		ch.addProblem(ch.keys[key], "%s is missing: expected an IP address and port, such as 10.0.0.5:7000", key)
+		ch.addProblem(ch.keyLines[key], "%s is missing: expected an IP address and port, such as 10.0.0.5:7000", key)
 		return
 	}
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
-		ch.addProblem(ch.keys[key], "%s: %q is not an IP address and port, such as 10.0.0.5:7000", key, value)
+		ch.addProblem(ch.keyLines[key], "%s: %q is not an IP address and port, such as 10.0.0.5:7000", key, value)
 	}
 }
 
@@ -164,12 +164,12 @@
 		ch.checkAddr("CallersAddr", se.CallersAddr)
 	}
 	if ro == core.RoleAgent && len(se.Endpoints) == 0 {
-		ch.addProblem(ch.keys["Endpoints"], "Endpoints is missing: expected at least one endpoint")
+		ch.addProblem(ch.keyLines["Endpoints"], "Endpoints is missing: expected at least one endpoint")
 	}
 	ch.checkNumbers(se)
 	for _, op := range se.Operators {
 		if raw, err := hex.DecodeString(op.KeyHash); err != nil || len(raw) != 32 || op.Name == "" {
-			ch.addProblem(ch.lines["Operators/"+op.Name], "operator %q needs a Name, and a KeyHash of 64 hexadecimal digits", op.Name)
+			ch.addProblem(ch.objectLines["Operators/"+op.Name], "operator %q needs a Name, and a KeyHash of 64 hexadecimal digits", op.Name)
 		}
 	}
 	for _, ep := range se.Endpoints {
@@ -189,23 +189,23 @@
 		"KeyWindow":       float64(se.KeyWindow), "ClaimShards": float64(se.ClaimShards),
 	} {
 		if value < 0 {
-			ch.addProblem(ch.keys[key], "%s must not be negative", key)
+			ch.addProblem(ch.keyLines[key], "%s must not be negative", key)
 		}
 	}
 	if se.HandOverBytes < -1 {
-		ch.addProblem(ch.keys["HandOverBytes"], "HandOverBytes must be -1, to move none, or more")
+		ch.addProblem(ch.keyLines["HandOverBytes"], "HandOverBytes must be -1, to move none, or more")
 	}
 	ch.checkLevel(se.LogLevel)
 }
 
 func (ch *settingsChecker) checkLevel(level string) {
 	if !strings.Contains(" debug info warn error ", " "+level+" ") && level != "" {
-		ch.addProblem(ch.keys["LogLevel"], "LogLevel: %q is not debug, info, warn or error", level)
+		ch.addProblem(ch.keyLines["LogLevel"], "LogLevel: %q is not debug, info, warn or error", level)
 	}
 }
 
 func (ch *settingsChecker) checkEndpoint(ep EndpointSetting) {
-	line := ch.lines["Endpoints/"+string(ep.Name)]
+	line := ch.objectLines["Endpoints/"+string(ep.Name)]
 	if ep.Name == "" || ep.Pool == "" {
 		ch.addProblem(line, "an endpoint needs Name and Pool")
 	}
@@ -217,7 +217,7 @@
 	}
 }
 
-// ReadDeclarations reads and checks a document. The error is Problems.
+// ReadDeclarations decodes and validates a document of declarations. An error is of type Problems.
 func ReadDeclarations(file string, data []byte) (*decl.Document, error) {
 	var doc decl.Document
 	if err := DecodeStrict(file, data, &doc); err != nil {
