--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -1,18 +1,22 @@
-// Package agent is the process beside the endpoints of one VM: every call for
-// them passes through it, and the promises are kept here.
+// Package agent implements the process that runs on a VM next to its endpoints. Every call to
+// these endpoints passes through it, and it enforces the delivery guarantees: load caps,
+// idempotency keys and graceful draining.
 //
 // # Concepts
 //
-// Serve takes one call through the checks in a fixed order: is the agent
-// leaving; is the chat's context elsewhere; has the idempotency key been seen;
-// does the gate admit it; is the key claimed; only then the endpoint runs it.
+// Serve runs a call through checks in a fixed order. Is the agent draining? Does another agent
+// have the chat's context? Is the idempotency key known? Does the gate admit the call? Is the key
+// claimed? Only then does the endpoint run the call.
+//
+// The home of a chat is the agent that rendezvous hashing over the pool prefers for it. It keeps a
+// pointer to the agent whose engine has the chat's context in its cache, if that is another one.
 //
 // # Invariants
 //
-//   - A refusal with outcome NotRun is only returned before Endpoint.Do.
-//   - A call is counted as in progress from the same moment on at which leaving
-//     would have refused it, so Drain waits for each call that was let in.
-//   - What is kept of chats and keys is bounded.
+//   - A refusal with outcome NotRun is returned only before Endpoint.Do.
+//   - Admitting a call and counting it as in progress is one atomic step, so Drain waits for each
+//     call that was admitted before it.
+//   - The memory used for chats and keys is bounded.
 //
 // # Usage
 //
@@ -37,7 +41,7 @@
 	"almondrill/core/ring"
 )
 
-// Slot is one endpoint beside the agent.
+// Slot is one of the agent's endpoints.
 type Slot struct {
 	ID       core.EndpointID
 	Pool     core.PoolID
@@ -48,25 +52,25 @@
 	crash crashRecord
 }
 
-// Gate is the admission before the endpoint.
+// Gate returns the admission control in front of the endpoint.
 func (sl *Slot) Gate() *admit.Gate { return sl.gate }
 
-// Keys decides whether a call with an idempotency key may run. See core/claim.
+// Keys decides whether a call with an idempotency key may run. It is implemented by core/claim.
 type Keys interface {
-	// Begin returns a Run if the call may run, else either the replay of the
-	// outcome, already sent to si, with a nil error, or a refusal.
+	// Begin returns an Execution if the call may run. Otherwise it returns nil: with a nil error
+	// after it has replayed the recorded response to si, or with a refusal.
 	Begin(ctx context.Context, ca *core.Call, si core.Sink) (Execution, error)
-	// Seen tells whether a call with the key has run or is running here.
+	// Seen reports whether a call with the same key has run or is running on this agent.
 	Seen(ca *core.Call) bool
 }
 
-// Execution is the permission to run a call with a key once.
+// Execution is the permission to run a call with an idempotency key once.
 type Execution interface {
-	// Claim makes the claim; the endpoint must not be called before it is nil.
+	// Claim claims the key. The endpoint must not be called unless it returns nil.
 	Claim(ctx context.Context) *core.Refusal
-	// Sink records what the endpoint answers on its way to the caller.
+	// Sink returns a sink that records the response and forwards it to the caller.
 	Sink() core.Sink
-	// End settles the key with the call's outcome.
+	// End records the outcome of the call; re is nil if the call succeeded.
 	End(re *core.Refusal)
 }
 
@@ -78,24 +82,25 @@
 	Self        core.VMID
 	Incarnation core.Incarnation
 	Slots       []*Slot
-	Book        *ctxdir.Directory
-	Keys        Keys
-	Peers       core.Peers
-	// Heard, if set, is told of a peer's revision.
+	// Book is the directory of cached contexts.
+	Book  *ctxdir.Directory
+	Keys  Keys
+	Peers core.Peers
+	// RevisionSeen, if set, is called with the configuration revision in a peer's digest.
 	RevisionSeen func(from core.VMID, rev core.Revision)
-	// Sending, if set, is asked before control messages are sent.
+	// AllowSend, if set, reports whether a control message of the given size may be sent now.
 	AllowSend func(size core.Bytes) bool
 
 	tables    map[core.PoolID]*loads.Table
 	outbox    outbox
 	calls     callTracker
-	importing atomic.Int64 // contexts being taken in
+	importing atomic.Int64 // number of contexts being imported
 
 	mu       sync.Mutex // guards revision
 	revision core.Revision
 }
 
-// Init makes the agent ready for Serve.
+// Init prepares the agent for Serve.
 func (ag *Agent) Init() {
 	ag.tables = map[core.PoolID]*loads.Table{}
 	for _, sl := range ag.Slots {
@@ -116,7 +121,7 @@
 	}
 }
 
-// Adopt takes over a new snapshot; the board's control goroutine calls it.
+// Adopt applies a new snapshot. The board's control goroutine calls it.
 func (ag *Agent) Adopt(sn *board.Snapshot) {
 	for id, ta := range ag.tables {
 		if po := sn.Pools[id]; po != nil && ta.SetPeers(po.VMs()) {
@@ -143,11 +148,11 @@
 	return true
 }
 
-// Serve runs one call. The error, if any, is a *core.Refusal.
+// Serve runs a call. An error that it returns is a *core.Refusal.
 func (ag *Agent) Serve(ctx context.Context, ca *core.Call, si core.Sink) (*core.Report, error) {
 	known := ca.Key != "" && ag.Keys != nil && ag.Keys.Seen(ca)
 	if !ag.calls.begin(known) {
-		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonDraining, "enter", "the agent is leaving")
+		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonDraining, "enter", "the agent is draining")
 	}
 	defer ag.calls.end()
 	sn := ag.Board.Snapshot()
@@ -158,7 +163,7 @@
 	key := ring.Key(ca.Customer, ca.Pool, ca.Chat)
 	sl, he := ag.chooseSlot(ca.Pool, key)
 	if sl == nil || gr == nil {
-		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonWrongPool, "enter", "no endpoint of pool "+string(ca.Pool))
+		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonWrongPool, "enter", "the agent has no endpoint in pool "+string(ca.Pool))
 	}
 	if !gr.Service && !known {
 		if re := ag.redirect(sn, gr, sl, ca, key, he); re != nil {
@@ -176,7 +181,7 @@
 	return ag.report(sl, us), err
 }
 
-// serveKeyed runs the call under its idempotency key, where it has one.
+// serveKeyed runs the call under its idempotency key, if it has one.
 func (ag *Agent) serveKeyed(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *ctxdir.CachedContext, si core.Sink) (core.Usage, error) {
 	if ca.Key == "" || ag.Keys == nil {
 		return ag.serveAdmitted(ctx, sn, sl, ca, he, si, nil)
@@ -194,7 +199,7 @@
 	return us, nil
 }
 
-// serveAdmitted waits for a slot, makes the claim and calls the endpoint.
+// serveAdmitted waits for a slot, claims the key and calls the endpoint.
 func (ag *Agent) serveAdmitted(ctx context.Context, sn *board.Snapshot, sl *Slot, ca *core.Call, he *ctxdir.CachedContext, si core.Sink, ru Execution) (core.Usage, error) {
 	ti := &admit.Ticket{
 		Customer: ca.Customer,
@@ -203,7 +208,7 @@
 		Work:     workOf(ca, he),
 	}
 	if gr := sn.Config.Group(ca.Pool); he != nil && gr != nil {
-		// Waiting for the context may take as long as making it anew elsewhere.
+		// Waiting for the cached context is worthwhile for as long as a prefill elsewhere takes.
 		saved := min(ca.Prompt, he.Tokens)
 		ti.WaitLimit = time.Duration(gr.ReuseBias * float64(sl.gate.EstimatePrefill(core.WorkOf(saved, 0))))
 	}
@@ -228,9 +233,9 @@
 	return us, nil
 }
 
-// callContext lets a call with a key run to its end though its caller leaves: the
-// caller cannot know whether it ran and will ask again with the same key, and
-// only a run that was not broken off has an answer for it.
+// callContext returns the context in which the endpoint runs the call. A call with an idempotency
+// key continues when its caller disconnects: the caller cannot know whether the call ran and will
+// retry with the same key, and only a completed execution has a response to replay.
 func (ag *Agent) callContext(ctx context.Context, ca *core.Call) (context.Context, context.CancelFunc) {
 	if ca.Key == "" {
 		return context.WithCancel(ctx)
@@ -250,7 +255,7 @@
 	return core.WorkOf(uncached, ca.Output)
 }
 
-// awaitSlot takes the ticket through the gate.
+// awaitSlot waits until the gate grants the ticket a slot or refuses it.
 func (ag *Agent) awaitSlot(ctx context.Context, sl *Slot, ti *admit.Ticket) *core.Refusal {
 	run, re := sl.gate.Offer(ti)
 	if run || re != nil {
@@ -265,7 +270,7 @@
 		if sl.gate.WithdrawCapWait(ti) {
 			return sl.gate.LoadCapRefusal(ti)
 		}
-		// It got under the cap and now waits for a slot.
+		// The load cap no longer holds the ticket back; it is queued for a slot.
 		select {
 		case re = <-ti.Ready():
 			return re
@@ -274,20 +279,20 @@
 	case <-ctx.Done():
 	}
 	if !sl.gate.Withdraw(ti) {
-		// It was given a slot, or pushed out, at the same moment.
+		// The ticket was granted a slot, or displaced from the queue, at the same moment.
 		if re = <-ti.Ready(); re != nil {
 			return re
 		}
 		sl.gate.Release(ti)
 	}
 	if context.Cause(ctx) == context.DeadlineExceeded {
-		return ag.refuse(core.ReasonDeadline, "queue", "the deadline passed while waiting for a slot")
+		return ag.refuse(core.ReasonDeadline, "queue", "deadline exceeded while waiting for a slot")
 	}
-	return ag.refuse(core.ReasonCallerGone, "queue", "the caller left while waiting for a slot")
+	return ag.refuse(core.ReasonCallerGone, "queue", "caller disconnected while waiting for a slot")
 }
 
-// waitLimit closes the channel once the ticket's patience is over; a ticket that
-// has none, and waits for a slot, waits until ctx ends.
+// waitLimit returns a channel that is closed when the ticket's WaitLimit has passed. For a ticket
+// without a limit, which waits for a slot until ctx ends, the channel is never closed.
 func (ag *Agent) waitLimit(ctx context.Context, ti *admit.Ticket) (<-chan struct{}, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	limit := make(chan struct{})
@@ -308,14 +313,15 @@
 	}
 }
 
-// refuseReloading refuses a call while the endpoint loads another model or version.
+// refuseReloading returns the refusal for a call whose endpoint is paused while its engine loads
+// another model or version.
 func (ag *Agent) refuseReloading(sl *Slot) *core.Refusal {
 	re := ag.refuse(core.ReasonReloading, "enter", "the engine is loading another model or version")
 	re.Alternatives = sl.gate.LessLoaded()
 	return re
 }
 
-// report tells what the agent is like now.
+// report returns the agent's current state and the usage of a call.
 func (ag *Agent) report(sl *Slot, us core.Usage) *core.Report {
 	rep := &core.Report{
 		VM: ag.Self, Incarnation: ag.Incarnation, Draining: ag.Draining(),
@@ -327,7 +333,7 @@
 	return rep
 }
 
-// progress shrinks the ticket's work as the answer's tokens pass.
+// progress is a sink that reduces the ticket's remaining work as response tokens pass.
 type progress struct {
 	sink   core.Sink
 	gate   *admit.Gate
@@ -335,7 +341,7 @@
 	last   int64
 }
 
-// Send passes a part on.
+// Send forwards a part.
 func (pr *progress) Send(pa *core.Part) error {
 	if done := pa.Position - pr.last; done > 0 {
 		pr.last = pa.Position
--- a/core/agent/control.go
+++ b/core/agent/control.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// exchangeInterval is the pace of exchanges with one random peer of the pool.
+	// exchangeInterval is the mean time between digest exchanges with a random peer of each pool.
 	exchangeInterval = 450 * time.Millisecond
-	// placementInterval is how long placements are collected before they are sent.
+	// placementInterval is how long placements are batched before they are sent.
 	placementInterval = 250 * time.Millisecond
-	// MaxEntries bounds the loads in one digest.
+	// MaxEntries is the maximum number of load entries per pool in a digest.
 	MaxEntries = 8
-	// entrySize, placementSize and digestSize are message sizes for the meter.
+	// entrySize, placementSize and digestSize are the message sizes that are charged to the
+	// budget for control messages.
 	entrySize     core.Bytes = 22
 	placementSize core.Bytes = 48
 	digestSize    core.Bytes = 40
 )
 
-// Run exchanges loads and placements with peers until ctx ends.
+// Run exchanges load digests and placements with peers until ctx ends.
 func (ag *Agent) Run(ctx context.Context) error {
 	go ag.sendPlacements(ctx)
 	for ag.Clock.Sleep(ctx, ag.jitter(exchangeInterval)) == nil {
@@ -30,13 +31,13 @@
 	return nil
 }
 
-// jitter spreads a pace by a quarter to either side, so that processes that
-// started together do not stay in step.
+// jitter varies an interval by up to 25% in either direction, so that processes that started
+// together do not send in lockstep.
 func (ag *Agent) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + ag.Rand.Float64()/2))
 }
 
-// exchange swaps digests with one random peer per pool.
+// exchange exchanges digests with one random peer per pool.
 func (ag *Agent) exchange(ctx context.Context) {
 	sn := ag.Board.Snapshot()
 	for id := range ag.tables {
@@ -61,7 +62,7 @@
 	}
 }
 
-// DigestSize estimates a digest's size on the wire, without transport headers.
+// DigestSize estimates the size of a digest on the wire, excluding transport headers.
 func DigestSize(di *core.Digest) core.Bytes {
 	return digestSize + entrySize*core.Bytes(len(di.Loads))
 }
@@ -70,7 +71,8 @@
 	return ag.AllowSend == nil || ag.AllowSend(size)
 }
 
-// Digest tells the agent's own loads and the freshest it knows of others.
+// Digest returns the agent's own load in each pool and, up to maxEntries in all per pool, the
+// freshest loads that it knows of its peers.
 func (ag *Agent) Digest(maxEntries int) *core.Digest {
 	di := &core.Digest{
 		From: ag.Self, Incarnation: ag.Incarnation, Draining: ag.Draining(),
@@ -85,8 +87,8 @@
 	return di
 }
 
-// fillOwnLoad fills in the mean over the agent's endpoints of the pool, as the
-// cap compares single endpoints.
+// fillOwnLoad sets the entry's load and throughput to the means over the agent's endpoints in the
+// pool, because the load cap compares single endpoints.
 func (ag *Agent) fillOwnLoad(own *core.LoadEntry) {
 	count, paused := core.Work(0), true
 	for _, sl := range ag.Slots {
@@ -103,7 +105,7 @@
 	own.Throughput /= max(1, count)
 }
 
-// ApplyDigest takes in a peer's digest.
+// ApplyDigest applies a peer's digest.
 func (ag *Agent) ApplyDigest(di *core.Digest) {
 	ag.Board.Post(board.ProcessAnnounced{VM: di.From, Incarnation: di.Incarnation, Draining: di.Draining})
 	if ag.RevisionSeen != nil {
@@ -116,19 +118,19 @@
 	}
 }
 
-// sendPlacements tells homes which of their chats are held here.
+// sendPlacements sends batched placements to the homes of the chats until ctx ends.
 func (ag *Agent) sendPlacements(ctx context.Context) {
 	for ag.Clock.Sleep(ctx, ag.jitter(placementInterval)) == nil {
 		ag.FlushPlacements(ctx)
 	}
 }
 
-// FlushPlacements sends what waits. What the budget holds back is dropped: a
-// missing pointer costs one prefill.
+// FlushPlacements sends the pending placements. Those for which the budget for control messages
+// does not suffice are dropped: a missing pointer costs one prefill.
 func (ag *Agent) FlushPlacements(ctx context.Context) {
 	for home, pls := range ag.outbox.take() {
 		if ag.maySend(placementSize * core.Bytes(len(pls))) {
-			// A lost message is only a lost hint.
+			// Placements are hints, so a failed send is not retried.
 			_ = ag.Peers.UpdatePlacements(ctx, home, pls)
 		}
 	}
--- a/core/agent/crash.go
+++ b/core/agent/crash.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// aliveTimeout bounds asking whether the endpoint's process is there, on the same VM.
+	// aliveTimeout limits the liveness probe of an endpoint, which runs on the same VM.
 	aliveTimeout = 200 * time.Millisecond
-	// crashWindow is within what time calls break off by one crash.
+	// crashWindow is the time within which one crash interrupts all its calls.
 	crashWindow = time.Second
 )
 
-// crashRecord is when an endpoint crashed lately.
+// crashRecord records when an endpoint last crashed.
 type crashRecord struct {
 	mu sync.Mutex // guards all below
-	// firstInterrupted is when the first call broke off that the latest crash ended.
+	// firstInterrupted is when the latest crash interrupted its first call.
 	firstInterrupted time.Time
 }
 
-// wasRunning tells whether a call that broke off now at an endpoint that is gone was running when
-// that crashed. One that began later was sent to an endpoint that was gone already.
+// wasRunning reports whether a call that started at the given time and was interrupted now, at an
+// endpoint that is gone, was running when the endpoint crashed. A call that started after the
+// crash was sent to an endpoint that was already gone.
 func (cr *crashRecord) wasRunning(now, started time.Time) bool {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -33,8 +34,8 @@
 	return started.Before(cr.firstInterrupted)
 }
 
-// detectCrash tells routers by the reason that the endpoint crashed while it ran the call: they
-// count for each request, and stop sending one that is there each time.
+// detectCrash sets the refusal's reason to ReasonCrashed if the endpoint crashed while it ran the
+// call. Routers count these crashes per request and quarantine a request that keeps causing them.
 func (ag *Agent) detectCrash(ctx context.Context, sl *Slot, started time.Time, re *core.Refusal) {
 	prober, ok := sl.Endpoint.(core.LivenessProber)
 	if !ok || re.Outcome == core.NotRun || !crashReasons[re.Reason] {
@@ -48,7 +49,7 @@
 	}
 }
 
-// crashReasons are the reasons of calls whose endpoint may have crashed.
+// crashReasons holds the refusal reasons that a crash of the endpoint may have caused.
 var crashReasons = map[core.Reason]bool{
 	core.ReasonCutShort: true, core.ReasonEndpointDown: true, core.ReasonPeerLost: true, core.ReasonStalled: true,
 }
--- a/core/agent/crash_test.go
+++ b/core/agent/crash_test.go
@@ -9,7 +9,7 @@
 	"almondrill/core/agent"
 )
 
-// crashingEndpoint is an endpoint at which calls break off, and that is there or not.
+// crashingEndpoint is a fake endpoint with a settable result of the liveness probe.
 type crashingEndpoint struct {
 	core.Endpoint
 	alive bool
@@ -17,8 +17,8 @@
 
 func (en *crashingEndpoint) Alive(context.Context) bool { return en.alive }
 
-// An answer is lost, and a moment later the endpoint crashes under a call that began since: that
-// one was running, whatever broke off before.
+// A response is lost while the endpoint is alive. Shortly afterwards the endpoint crashes during
+// another call. The earlier interruption must not hide that this call was running at the crash.
 func TestInterruptionBeforeCrashDoesNotHideIt(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	now, en := start, &crashingEndpoint{alive: true}
@@ -29,13 +29,13 @@
 	re := &core.Refusal{Outcome: core.Unknown, Reason: core.ReasonCutShort}
 	find(start.Add(200*time.Millisecond), re)
 	if lost.Reason != core.ReasonCutShort || re.Reason != core.ReasonCrashed {
-		t.Errorf("told as %s and %s, want CutShort and Crashed", lost.Reason, re.Reason)
+		t.Errorf("reasons are %s and %s, want CutShort and Crashed", lost.Reason, re.Reason)
 	}
 }
 
-// An endpoint crashes with two calls. A third is sent a moment later on a connection that was
-// kept, and breaks off too: it was not running, and must not be counted for the crash. Where
-// the endpoint is there still, an answer was lost, and no call is told as crashed.
+// An endpoint crashes while it runs two calls. A third call, sent shortly afterwards on a
+// kept-alive connection, is interrupted as well but must not be counted for the crash, as it was
+// not running. If the endpoint is still alive, responses were lost and no call counts as crashed.
 func TestCallSentAfterCrashIsNotAttributed(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, alive := range []bool{false, true} {
--- a/core/agent/drain.go
+++ b/core/agent/drain.go
@@ -7,8 +7,8 @@
 	"almondrill/core"
 )
 
-// callTracker counts the calls inside and can be shut. Both happen under one lock: a
-// call that Wait does not wait for is always one that was kept out.
+// callTracker counts the calls in progress and can be closed to new ones. Both are guarded by one
+// lock, so that wait never misses a call that was admitted.
 type callTracker struct {
 	mu     sync.Mutex // guards all below
 	closed bool
@@ -16,8 +16,8 @@
 	idle   chan struct{}
 }
 
-// begin lets a call in unless the door is shut. A call that is known is no new
-// work and is let in while others are inside.
+// begin admits a call unless the tracker is closed. A call whose idempotency key is known is no
+// new work: it is admitted to a closed tracker while other calls are in progress.
 func (ct *callTracker) begin(known bool) bool {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// close keeps new calls out; it may be called more than once.
+// close stops admitting new calls. It may be called more than once.
 func (ct *callTracker) close() {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -51,14 +51,14 @@
 	}
 }
 
-// reopen lets calls in again.
+// reopen admits new calls again.
 func (ct *callTracker) reopen() {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	ct.closed = false
 }
 
-// wait waits until nobody is inside a door that is shut, or ctx ends.
+// wait waits until a closed tracker has no calls in progress, or ctx ends.
 func (ct *callTracker) wait(ctx context.Context) error {
 	ct.mu.Lock()
 	idle := ct.idle
@@ -77,33 +77,32 @@
 	return ct.closed, ct.active
 }
 
-// Draining tells whether the agent refuses new calls.
+// Draining reports whether the agent refuses new calls.
 func (ag *Agent) Draining() bool {
 	closed, _ := ag.calls.state()
 	return closed
 }
 
-// InProgress is the number of calls in progress.
+// InProgress returns the number of calls in progress.
 func (ag *Agent) InProgress() int {
 	_, active := ag.calls.state()
 	return active
 }
 
-// StopAccepting makes the agent refuse new calls from now on. It may be called
-// more than once.
+// StopAccepting makes the agent refuse new calls. It may be called more than once.
 func (ag *Agent) StopAccepting() { ag.calls.close() }
 
-// Pause keeps new calls from the endpoint and waits for those in progress, so that
-// an order to load another model cuts off none. The agent's others go on.
+// Pause refuses new calls for the endpoint and waits for those in progress, so that an order to
+// load another model interrupts none. The agent's other endpoints are not affected.
 func (sl *Slot) Pause(ctx context.Context) error {
 	sl.calls.close()
 	return sl.calls.wait(ctx)
 }
 
-// Resume lets calls come again after Hold.
+// Resume admits calls again after Pause.
 func (sl *Slot) Resume() { sl.calls.reopen() }
 
-// Paused tells whether the endpoint is kept from new calls.
+// Paused reports whether new calls for the endpoint are refused.
 func (sl *Slot) Paused() bool {
 	closed, _ := sl.calls.state()
 	return closed
@@ -115,14 +114,14 @@
 	return ag.calls.wait(ctx)
 }
 
-// outbox collects placements per home until they are sent.
+// outbox holds placements, grouped by the chats' home, until they are sent.
 type outbox struct {
 	mu      sync.Mutex // guards pending
 	pending map[core.VMID][]core.Placement
 }
 
-// maxPending bounds what waits for one home; beyond it the oldest go, which
-// costs a prefill at most.
+// maxPending is the maximum number of placements pending for one home. Beyond it the oldest is
+// dropped, which costs at most one prefill.
 const maxPending = 256
 
 func (ou *outbox) add(home core.VMID, pl core.Placement) {
--- a/core/agent/hand.go
+++ b/core/agent/hand.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// maxConcurrentHandovers bounds the contexts that a leaving agent moves at a time, and
-	// takeAtOnce those that an agent takes in: its engine has calls to serve.
+	// maxConcurrentHandovers is the number of contexts that a draining agent sends at a time, and
+	// maxConcurrentImports the number that an agent receives at a time: its engine also serves calls.
 	maxConcurrentHandovers = 4
 	maxConcurrentImports   = 4
-	// maxHandovers bounds what a leaving agent hands on, of each kind.
+	// maxHandovers is the maximum number of pointers, and of contexts, that a draining agent hands
+	// over.
 	maxHandovers = 20_000
-	// maxPlacementsPerMessage bounds the pointers in one message.
+	// maxPlacementsPerMessage is the maximum number of pointers in one message.
 	maxPlacementsPerMessage = 64
 )
 
-// HandoverStats counts what an agent handed on when it left.
+// HandoverStats counts what an agent handed over during Shutdown.
 type HandoverStats struct {
 	Pointers int
 	Contexts int
@@ -33,10 +34,10 @@
 	Bytes    core.Bytes
 }
 
-// Shutdown refuses new calls, and waits for those in progress until ctx ends, which
-// is its error. Meanwhile it hands on what it knows of chats, and at the end the
-// contexts that the last calls left behind, each within that time, and most bytes
-// in all.
+// Shutdown refuses new calls and waits for those in progress; if ctx ends first, it returns the
+// error of ctx. Meanwhile it hands over its pointers and cached contexts to other agents, and
+// finally the contexts of the last calls. Each of these two steps takes at most timeout, and
+// maxBytes limits the size of all contexts together.
 func (ag *Agent) Shutdown(ctx context.Context, timeout time.Duration, maxBytes core.Bytes) (HandoverStats, error) {
 	ag.StopAccepting()
 	ag.FlushPlacements(ctx)
@@ -52,10 +53,10 @@
 	return ha, err
 }
 
-// handOver gives what the agent knows of chats to their next homes: first the
-// pointers it keeps as their home, which are small, then the contexts in its
-// engines' caches, those used last first, but none not used since the time given.
-// What is not handed on costs a prefill each, so nothing here is tried twice.
+// handOver sends pointers and cached contexts to the agents that become the homes of the chats.
+// Pointers go first, as they are small, and only if since is zero. Then it sends the contexts in
+// the engines' caches that were used after since, the most recently used first. Nothing is
+// retried: a pointer or context that is not handed over costs one prefill.
 func (ag *Agent) handOver(ctx context.Context, since time.Time, timeout time.Duration, maxBytes core.Bytes) HandoverStats {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -91,8 +92,8 @@
 	return handed
 }
 
-// waitToSend waits until the budget allows a message: pointers are few enough to
-// go out within seconds, and leaving has the time.
+// waitToSend waits until the budget for control messages allows a message. The pointers are few
+// enough to be sent within seconds, and Shutdown has that much time.
 func (ag *Agent) waitToSend(ctx context.Context, size core.Bytes) error {
 	const retry = 100 * time.Millisecond
 	for !ag.maySend(size) {
@@ -103,7 +104,7 @@
 	return ctx.Err()
 }
 
-// nextHome is the chat's home once this agent has left, "" if there is none.
+// nextHome returns the chat's home after this agent has been removed, or "" if there is none.
 func (ag *Agent) nextHome(sn *board.Snapshot, pl *core.Placement) core.VMID {
 	po := sn.Pools[pl.Pool]
 	if po == nil {
@@ -140,30 +141,30 @@
 	ha.Contexts, ha.Refused, ha.Bytes = int(done.Load()), int(refused.Load()), core.Bytes(moved.Load())
 }
 
-// handOverContext moves one context, from the own engine as it is read by the other.
+// handOverContext streams one context from the local engine to the next home and returns its size.
 func (ag *Agent) handOverContext(ctx context.Context, sn *board.Snapshot, he *ctxdir.CachedContext) (int64, error) {
 	home := ag.nextHome(sn, &he.Placement)
 	ca := ag.cacheOf(he.Endpoint)
 	if home == "" || ca == nil {
-		return 0, ag.refuse(core.ReasonNoEndpoint, "hand on", "no agent to hand it to, or an engine that cannot export")
+		return 0, ag.refuse(core.ReasonNoEndpoint, "hand on", "no agent to receive the context, or the engine cannot export it")
 	}
 	key := ring.Key(he.Placement.Customer, he.Placement.Pool, he.Placement.Chat)
 	rd, wr := io.Pipe()
 	go func() { wr.CloseWithError(ca.Export(ctx, key, wr)) }()
 	counted := &countingReader{from: rd}
 	err := ag.Peers.HandOver(ctx, home, &core.Handover{Placement: he.Placement, Tokens: he.Tokens}, counted)
-	// The exporter may still be writing where the other side refused.
+	// If the receiver refused, the exporter may still be writing: closing the pipe ends it.
 	_ = rd.CloseWithError(io.ErrClosedPipe)
 	return counted.size, err
 }
 
-// countingReader counts the bytes read; one goroutine reads it.
+// countingReader counts the bytes read. It is not safe for concurrent use.
 type countingReader struct {
 	from io.Reader
 	size int64
 }
 
-// Read reads on.
+// Read implements io.Reader.
 func (co *countingReader) Read(data []byte) (int, error) {
 	n, err := co.from.Read(data)
 	co.size += int64(n)
@@ -180,21 +181,21 @@
 	return nil
 }
 
-// ImportContext takes in a context that another agent hands on. The error is a
-// *core.Refusal.
+// ImportContext loads a context that another agent hands over into a local engine's cache. An error
+// that it returns is a *core.Refusal.
 func (ag *Agent) ImportContext(ctx context.Context, ha *core.Handover, rd io.Reader) error {
 	pl := ha.Placement
 	key := ring.Key(pl.Customer, pl.Pool, pl.Chat)
 	sl, _ := ag.chooseSlot(pl.Pool, key)
 	if sl == nil || ag.cacheOf(sl.ID) == nil {
-		return ag.refuse(core.ReasonWrongPool, "take", "no engine of pool "+string(pl.Pool)+" here that can import")
+		return ag.refuse(core.ReasonWrongPool, "take", "the agent has no engine in pool "+string(pl.Pool)+" that can import contexts")
 	}
 	if ag.Draining() || sl.Paused() {
-		return ag.refuse(core.ReasonDraining, "take", "the agent or its engine is leaving")
+		return ag.refuse(core.ReasonDraining, "take", "the agent is draining or its engine is paused")
 	}
 	if ag.importing.Add(1) > maxConcurrentImports {
 		ag.importing.Add(-1)
-		return ag.refuse(core.ReasonQueueFull, "take", "other contexts are being taken in")
+		return ag.refuse(core.ReasonQueueFull, "take", "too many contexts are being imported")
 	}
 	defer ag.importing.Add(-1)
 	if err := ag.cacheOf(sl.ID).Import(ctx, key, rd); err != nil {
--- a/core/agent/place.go
+++ b/core/agent/place.go
@@ -11,8 +11,8 @@
 	"almondrill/core/ring"
 )
 
-// notifyNewHomes tells a chat's new home where its context is, after the pool changed: a
-// VM that joins becomes the home of chats that it has never seen.
+// notifyNewHomes sends placements of the contexts cached here to the new homes of their chats after
+// the pool has changed: a VM that joins becomes the home of chats that it has never seen.
 func (ag *Agent) notifyNewHomes(sn *board.Snapshot, id core.PoolID) {
 	for _, he := range ag.Book.Cached(maxNotified) {
 		pl := he.Placement
@@ -28,11 +28,12 @@
 	}
 }
 
-// maxNotified bounds the work after a change; the most recent chats go first.
+// maxNotified is the maximum number of chats whose new homes are notified after a change of the
+// pool. The most recently used chats come first.
 const maxNotified = 4096
 
-// chooseSlot takes the endpoint of the pool that holds the chat's context, else the
-// least loaded.
+// chooseSlot returns the pool's endpoint that has the chat's context in its cache, together with
+// the context, or else the least loaded endpoint. A paused endpoint is chosen only if all are paused.
 func (ag *Agent) chooseSlot(po core.PoolID, key uint64) (*Slot, *ctxdir.CachedContext) {
 	he, cached := ag.Book.Lookup(key)
 	var best *Slot
@@ -55,7 +56,7 @@
 	return best, nil
 }
 
-// redirect refuses a call whose chat is better served by another agent.
+// redirect returns a refusal if another agent should serve the chat, and nil if this one should.
 func (ag *Agent) redirect(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, key uint64, he *ctxdir.CachedContext) *core.Refusal {
 	if ca.NoRedirect {
 		return nil
@@ -71,15 +72,15 @@
 		return ag.refuseRedirect(vm, "another agent has the chat's context")
 	}
 	if home := ag.home(sn, ca.Pool, key); home != ag.Self && home != ca.StaleHolder && home != "" {
-		return ag.refuseRedirect(home, "the chat's home is another agent")
+		return ag.refuseRedirect(home, "another agent is the chat's home")
 	}
 	return nil
 }
 
-// refuseBusy weighs waiting here, where the context is, against prefilling it
-// elsewhere. What counts is how much sooner it would be elsewhere: when all
-// engines have queues, moving gains nothing and loses the context. ReuseBias
-// above 1 stays longer.
+// refuseBusy returns a refusal if prefilling the context elsewhere is expected to be quicker than
+// waiting for it here. It compares the difference in load with the cost of the prefill: when all
+// engines have queues, moving gains nothing and loses the context. A ReuseBias above 1 favors
+// waiting.
 func (ag *Agent) refuseBusy(gr *decl.Group, sl *Slot, ca *core.Call) *core.Refusal {
 	if sl.gate.EstimateWait(ca.Priority) == 0 {
 		return nil
@@ -93,13 +94,14 @@
 	if gain := float64(sl.gate.Load() - there); !fresh || gain <= prefill {
 		return nil
 	}
-	re := ag.refuse(core.ReasonBusyHolder, "place", "prefilling elsewhere is quicker than waiting here")
+	re := ag.refuse(core.ReasonBusyHolder, "place", "prefill on a less loaded endpoint is quicker than waiting for the cached context")
 	re.Alternatives = less
 	return re
 }
 
-// worthRedirect tells whether the holder of the context can be expected to take the
-// call: it is in the pool and not known to be over the cap.
+// worthRedirect reports whether vm, which has the chat's context, is likely to admit the call: it is
+// in the pool, and its load as far as it is known is neither over the cap nor much above the load
+// here.
 func (ag *Agent) worthRedirect(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, vm core.VMID) bool {
 	po := sn.Pools[ca.Pool]
 	if po == nil || po.Index(vm) < 0 {
@@ -127,8 +129,7 @@
 	return po.Members[ix].VM
 }
 
-// recordContext notes that the engine now holds the chat, and tells the chat's home
-// if that is another agent.
+// recordContext records that the engine now has the chat's context in its cache.
 func (ag *Agent) recordContext(sn *board.Snapshot, sl *Slot, ca *core.Call, key uint64, us core.Usage) {
 	tokens := ca.Prompt + ca.Output
 	if us.Prompt > 0 {
@@ -138,7 +139,8 @@
 	ag.addContext(sn, key, ctxdir.CachedContext{Endpoint: sl.ID, Tokens: tokens, Placement: pl})
 }
 
-// addContext notes a context held here and tells the chat's home, unless that knows.
+// addContext adds a context to the directory. If it is new, and routers would not try this agent for
+// the chat anyway, it also queues a placement for the chat's home.
 func (ag *Agent) addContext(sn *board.Snapshot, key uint64, he ctxdir.CachedContext) {
 	_, known := ag.Book.Lookup(key)
 	ag.Book.Add(key, he)
@@ -150,14 +152,14 @@
 	}
 }
 
-// isPreferred tells whether this agent is one of those that routers ask anyway when
-// the chat returns, so that its home need not know.
+// isPreferred reports whether this agent is among those that routers try anyway for the chat's next
+// call, so that the chat's home needs no pointer to it.
 func (ag *Agent) isPreferred(sn *board.Snapshot, id core.PoolID, key uint64) bool {
 	po := sn.Pools[id]
 	return po != nil && pick.IsPreferred(po, key, ag.Self)
 }
 
-// ApplyPlacements takes in placements sent to this agent as the chats' home.
+// ApplyPlacements applies placements that other agents sent to this agent as the chats' home.
 func (ag *Agent) ApplyPlacements(pls []core.Placement) {
 	for _, pl := range pls {
 		key := ring.Key(pl.Customer, pl.Pool, pl.Chat)
