--- a/core/router/router.go
+++ b/core/router/router.go
@@ -1,20 +1,21 @@
-// Package router carries one caller's request through its attempts.
+// Package router routes a caller's request to an agent and retries it where that is safe.
 //
 // # Concepts
 //
-// Route picks an agent, hands it the call, and on a refusal decides whether
-// another attempt is allowed. The agent keeps the promises; the router aims
-// well, passes the answer on, and never repeats what may have run unless that
-// does no harm.
+// Route picks an agent, sends it the call and, if the attempt is refused or fails, decides whether
+// another attempt is allowed. The agent enforces the delivery guarantees. The router chooses where
+// to send the call, forwards the response, and never repeats a call that may have run unless the
+// call is idempotent (MayRepeat).
 //
 // # Invariants
 //
-//   - After NotRun another attempt is free, up to MaxAttempts and the deadline.
-//   - After Failed or Unknown another attempt is made only for a call that may
-//     repeat, of whose answer nothing has been passed on, within the Budget.
-//   - NotRun is told only if no attempt may have run.
-//   - A part that carries another attempt's id is dropped and counted.
-//   - Route returns nil only if the answer's end mark was passed on.
+//   - After the outcome NotRun another attempt needs no Budget; only MaxAttempts and the deadline
+//     limit these.
+//   - After Failed or Unknown another attempt is made only if the call is idempotent, no part of its
+//     response has been forwarded, and the Budget allows it.
+//   - Route returns the outcome NotRun only if no attempt can have run.
+//   - A part with the ID of another attempt is dropped and counted.
+//   - Route returns a nil error only if the end mark of the response has been forwarded.
 //
 // # Usage
 //
@@ -35,7 +36,7 @@
 	"almondrill/core/ring"
 )
 
-// MaxAttempts bounds the attempts at one request.
+// MaxAttempts is the maximum number of attempts per request.
 const MaxAttempts = 8
 
 // Router routes requests. Set the exported fields before use.
@@ -46,54 +47,54 @@
 	Peers  core.Peers
 	Budget *retry.Budget
 	Zone   core.Zone
-	// Retried and Dropped, if set, count a retry by its reason and a part that
-	// was for another attempt.
+	// Retried, if set, is called for each further attempt with the reason why the last one ended.
+	// Dropped, if set, is called for each part that belongs to another attempt.
 	Retried func(re core.Reason)
 	Dropped func()
-	// Exhausted, if set, counts a retry that the Budget did not allow.
+	// Exhausted, if set, is called for each retry that the Budget did not allow.
 	Exhausted func()
-	// Blame, if set, knows requests that crash endpoints.
+	// Crashes, if set, tracks requests that crash endpoints and quarantines them.
 	Crashes core.CrashTracker
-	// Heard, if set, is told of every peer's revision.
+	// RevisionSeen, if set, is called with the configuration revision in each agent's report.
 	RevisionSeen func(from core.VMID, rev core.Revision)
 }
 
-// Request is one caller's request. Call.Attempt, Revision, Missed and Forced are
-// filled in by Route.
+// Request is a caller's request. Route sets Attempt, Revision, StaleHolder and NoRedirect of its
+// Call.
 type Request struct {
 	Call  core.Call
 	Group *decl.Group
-	// Hint is the VM that the caller was served by last, empty if not told.
+	// Hint is the VM that last served the caller, or empty if the caller did not name one.
 	Hint core.VMID
 }
 
-// ServerObserver is told with the first part of an answer.
+// ServerObserver is implemented by sinks that need to know which VM serves the response.
 type ServerObserver interface {
-	// ServedBy names the VM that answers.
+	// ServedBy is called with the serving VM before the first part of the response is sent.
 	ServedBy(vm core.VMID)
 }
 
-// attempts is the state of one Route.
+// attempts is the state of one call of Route.
 type attempts struct {
 	ro     *Router
 	rq     *Request
 	se     pick.Search
 	pool   *board.Pool
 	number int
-	// claimantNamed is set once a claimant of the call's key has been named.
+	// claimantNamed is set once a refusal has named the agent that claimed the idempotency key.
 	claimantNamed bool
-	// mayHaveRun is how an earlier attempt ended that may have run, nil if there is none.
+	// mayHaveRun is the refusal of the latest attempt that may have run, nil if there is none.
 	mayHaveRun *core.Refusal
-	// fingerprint tells that attempts of the caller are the same request.
+	// fingerprint identifies the request across attempts and callers' retries.
 	fingerprint core.Fingerprint
 }
 
-// Route runs the request. The error, if any, is a *core.Refusal.
+// Route runs the request and sends its response to si. An error that it returns is a *core.Refusal.
 func (ro *Router) Route(ctx context.Context, rq *Request, si core.Sink) (*core.Report, error) {
 	sn := ro.Board.Snapshot()
 	po := sn.Pools[rq.Group.ID]
 	if po == nil || len(po.Members) == 0 {
-		return nil, ro.refuse(core.ReasonNoEndpoint, "pick", string(rq.Group.ID), "the pool has no live endpoint")
+		return nil, ro.refuse(core.ReasonNoEndpoint, "pick", string(rq.Group.ID), "the pool has no live endpoints")
 	}
 	ro.Budget.RecordFirst(rq.Call.Customer)
 	at := &attempts{ro: ro, rq: rq, pool: po, se: pick.Search{
@@ -142,7 +143,7 @@
 	}
 }
 
-// attempt makes one attempt.
+// attempt sends the call to one member of the pool.
 func (at *attempts) attempt(ctx context.Context, ix int, as *attemptSink) (*core.Report, *core.Refusal) {
 	ca := at.rq.Call
 	ca.Attempt = core.AttemptID(at.ro.Rand.Uint64())
@@ -156,14 +157,15 @@
 	if !as.ended {
 		return rep, &core.Refusal{
 			Outcome: core.Unknown, Reason: core.ReasonCutShort, Step: "serve", Peer: string(as.vm),
-			Detail: "the answer stopped before its end mark",
+			Detail: "response ended without its end mark",
 		}
 	}
 	return rep, nil
 }
 
-// checkQuarantine refuses a request that crashes the endpoints that run it, before each attempt: it
-// comes again through any router, and each attempt costs an endpoint.
+// checkQuarantine returns a refusal for a quarantined request. It is called before each attempt, as
+// every attempt at a request that crashes endpoints may crash another one, and as any router may
+// have quarantined the request in the meantime.
 func (at *attempts) checkQuarantine(ctx context.Context) *core.Refusal {
 	if at.ro.Crashes == nil {
 		return nil
@@ -177,8 +179,9 @@
 	return re
 }
 
-// reportCrash tells how an attempt ended: at a crash, or whole. An endpoint's own failure tells
-// nothing of the request, as endpoints fail some that they have hardly begun.
+// reportCrash reports to Crashes that an attempt succeeded or crashed its endpoint. Other failures
+// are not reported: endpoints also fail requests that they have hardly started, so a failure
+// neither clears the request nor counts against it.
 func (at *attempts) reportCrash(vm core.VMID, err error) {
 	if at.ro.Crashes == nil {
 		return
@@ -192,7 +195,7 @@
 	}
 }
 
-// applyReport passes on what the attempt showed of the agent.
+// applyReport updates the agent's load and state from the result of an attempt.
 func (at *attempts) applyReport(ix int, rep *core.Report, err error) {
 	me := &at.pool.Members[ix]
 	if rep != nil {
@@ -214,7 +217,7 @@
 	}
 }
 
-// mayRetry tells whether another attempt does no harm.
+// mayRetry reports whether another attempt is safe and allowed.
 func (at *attempts) mayRetry(re *core.Refusal, forwarded bool) bool {
 	if at.number >= MaxAttempts || forwarded || re.Reason == core.ReasonCallerGone || re.Reason == core.ReasonDeadline {
 		return false
@@ -234,8 +237,8 @@
 	return false
 }
 
-// isTransient tells a failure that another endpoint may not have from one that the
-// request itself brought about.
+// isTransient reports whether another endpoint may succeed, which is not the case for failures that
+// the request itself caused.
 func isTransient(re *core.Refusal) bool {
 	const firstServerError = 500
 	switch re.Reason {
@@ -247,7 +250,7 @@
 	return false
 }
 
-// nextMember picks the member for the following attempt, -1 if there is none.
+// nextMember returns the index of the pool member for the next attempt, or -1 if there is none.
 func (at *attempts) nextMember(re *core.Refusal, ix int) int {
 	ca := &at.rq.Call
 	if at.claimantNamed {
@@ -258,33 +261,33 @@
 		return at.se.Next(re)
 	}
 	if re.Step == stepClaim && len(re.Alternatives) > 0 {
-		// The key is claimed there: only that agent knows the outcome.
+		// That agent claimed the key; no other can know the outcome.
 		ca.NoRedirect = true
 		at.claimantNamed = true
 		return at.pool.Index(re.Alternatives[0])
 	}
 	if ca.StaleHolder != "" {
-		// A second pointer in a row: whoever is asked next runs it.
+		// This is the second redirect in a row: the next agent must run the call.
 		ca.NoRedirect = true
 	}
 	ca.StaleHolder = at.pool.Members[ix].VM
 	if len(re.Alternatives) == 0 || !at.se.Untried(re.Alternatives[0]) {
-		// The agent's list is behind: it points to one that has left, or that has
-		// refused already. It is to run the call itself.
+		// The agent's view of the pool is stale: it redirects to an agent that has been removed or
+		// has already refused. Have it run the call itself.
 		ca.NoRedirect = true
 		return ix
 	}
 	return at.se.Next(re)
 }
 
-// stepClaim is the step of refusals that concern the idempotency key.
+// stepClaim is the Step of refusals that concern the idempotency key.
 const stepClaim = "claim"
 
-// final is the refusal that the caller gets: NotRun of the last attempt is not
-// NotRun of the request. An earlier attempt of a call that may repeat may have
-// run; its end is told then. And where a claimant of the key was named but no
-// outcome could be had of it, the request may have run there, or in a process that
-// had its name before; the caller asks again with the same key.
+// final returns the refusal to give to the caller. The outcome NotRun of the last attempt does not
+// make the request NotRun. If an earlier attempt of an idempotent call may have run, its refusal is
+// returned. If a refusal named the claimant of the key but the claimant did not report an outcome,
+// the request may have run there or in an earlier process with the same name. The outcome is then
+// Unknown, and the caller retries with the same key.
 func (at *attempts) final(re *core.Refusal) *core.Refusal {
 	switch {
 	case re.Outcome != core.NotRun:
@@ -297,11 +300,11 @@
 	lost := *re
 	lost.Outcome = core.Unknown
 	lost.Reason = core.ReasonClaimLost
-	lost.Detail = "the process that claimed the key did not tell its outcome: " + re.Detail
+	lost.Detail = "the process that claimed the key did not report its outcome: " + re.Detail
 	return &lost
 }
 
-// backOff backs off before a retry of work that may have run.
+// backOff waits before a retry of a call that may have run. It returns false if ctx ends first.
 func (at *attempts) backOff(ctx context.Context) bool {
 	return at.ro.Clock.Sleep(ctx, retry.Backoff(at.number, at.ro.Rand)) == nil
 }
@@ -322,8 +325,8 @@
 	return ctx.Err() != nil || (!deadline.IsZero() && !cl.Now().Before(deadline))
 }
 
-// attemptSink passes one attempt's parts on. It drops those of another attempt: a
-// reply that was delayed or crossed on its way must not reach this caller.
+// attemptSink forwards the parts of one attempt. It drops those of other attempts: a response that
+// was delayed or mixed up must not reach this caller.
 type attemptSink struct {
 	sink      core.Sink
 	vm        core.VMID
@@ -333,7 +336,7 @@
 	ended     bool
 }
 
-// Send passes a part on.
+// Send forwards a part.
 func (as *attemptSink) Send(pa *core.Part) error {
 	if pa.Attempt != as.attempt {
 		if as.dropped != nil {
