--- a/io/rpc/client.go
+++ b/io/rpc/client.go
@@ -1,16 +1,15 @@
-// Package rpc carries core.Peers over grpc: the client here, the server in
-// server.go, the translation between core's types and the wire's in convert.go.
+// Package rpc implements core.Peers over gRPC. The client is in this file, the server in server.go,
+// and the conversion between core's types and wire messages in convert.go.
 //
 // # Concepts
 //
-// Connections are opened by the first call to a peer, closed by grpc when idle,
-// and bounded in number: beyond MaxConns the one unused for longest is closed.
+// The first call to a peer opens a connection. gRPC closes idle connections, and beyond MaxConns the
+// least recently used connection without calls is closed.
 //
 // # Invariants
 //
-//   - NotRun is only returned where the call cannot have reached the agent's
-//     handler: the stream could not be opened, so its one request message was
-//     never handed to the transport.
+//   - The outcome NotRun is returned only if the call cannot have reached the agent's handler: the
+//     stream could not be opened, so its only request message never went to the transport.
 //   - A connection is not closed while a call uses it.
 //
 // # Usage
@@ -42,24 +41,24 @@
 
 const (
 	idleTimeout = 60 * time.Second
-	// keepaliveInterval finds a peer that vanished without closing its connection:
-	// the call would otherwise hang until its deadline.
+	// keepaliveInterval is the time between keepalive pings. They detect a peer that vanished without
+	// closing its connection; the call would otherwise hang until its deadline.
 	keepaliveInterval = 10 * time.Second
 	keepaliveTimeout  = 3 * time.Second
 	connectTimeout    = time.Second
-	// maxMessage is above the largest request body that a router takes.
+	// maxMessage is the message size limit. It is above the largest request body that routers accept.
 	maxMessage = 16 << 20
 	bufferSize = 8 << 10
 )
 
-// connectBackoff are those between attempts to connect to a peer. Without them a router dials an
-// agent that is gone some five thousand times a second. A peer that is back is found
-// within the longest; until then calls fail at once and go elsewhere.
+// connectBackoff configures the delays between attempts to connect to a peer. Without them a router
+// would dial an agent that is gone some 5,000 times a second. A peer that returns is reached within
+// MaxDelay; until then calls to it fail at once and are sent elsewhere.
 var connectBackoff = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 2 * time.Second}
 
-// Client reaches peers. Set the exported fields before use.
+// Client calls peers. Set the exported fields before use.
 type Client struct {
-	// Addr finds a VM's address, "" if it is unknown.
+	// Addr returns a VM's address, or "" if it is unknown.
 	Addr     func(vm core.VMID) string
 	MaxConns int
 
@@ -77,7 +76,7 @@
 	lastUse uint64
 }
 
-// OpenCount is the number of connections kept.
+// OpenCount returns the number of open connections.
 func (cl *Client) OpenCount() int {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -97,7 +96,7 @@
 func (cl *Client) acquire(vm core.VMID) (*conn, error) {
 	addr := cl.Addr(vm)
 	if addr == "" {
-		return nil, oops.In("dial").With("peer", vm).Errorf("no address known")
+		return nil, oops.In("dial").With("peer", vm).Errorf("address unknown")
 	}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -120,7 +119,8 @@
 	return co, nil
 }
 
-// closeOldestIdle closes the unused connection that was used least lately.
+// closeOldestIdle closes the least recently used connection without calls, if there are too many
+// connections.
 func (cl *Client) closeOldestIdle() {
 	if cl.MaxConns <= 0 || len(cl.conns) <= cl.MaxConns {
 		return
@@ -148,7 +148,7 @@
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithIdleTimeout(idleTimeout),
 		grpc.WithDisableServiceConfig(),
-		// A retry inside grpc would be an attempt that nobody counts.
+		// Retries inside gRPC would bypass the retry budget and the attempt IDs.
 		grpc.WithDisableRetry(),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: connectBackoff, MinConnectTimeout: connectTimeout}),
@@ -158,7 +158,7 @@
 	)
 }
 
-// Serve runs a call on an agent.
+// Serve runs a call on an agent and sends the response to si.
 func (cl *Client) Serve(ctx context.Context, to core.VMID, ca *core.Call, si core.Sink) (*core.Report, error) {
 	co, err := cl.acquire(to)
 	if err != nil {
@@ -180,7 +180,7 @@
 	return receive(ctx, st, to, si)
 }
 
-// receive passes the answer's parts on until its last message.
+// receive forwards the parts of the response until the last message.
 func receive(ctx context.Context, st grpc.ClientStream, to core.VMID, si core.Sink) (*core.Report, error) {
 	var part wire.Part
 	var pa core.Part
@@ -188,7 +188,7 @@
 		if err := st.RecvMsg(&part); err != nil {
 			return nil, peerLost(ctx, to, err)
 		}
-		// The last message has the report, and the last part if the answer is whole.
+		// The last message has the report and, if the response is complete, its last part.
 		last := part.Told != nil
 		if !last || (part.End && part.Refused == nil) {
 			partFromWire(&part, &pa)
@@ -208,10 +208,10 @@
 	}
 }
 
-// streamNotOpened tells why a stream could not be opened. The request message had not
-// been handed over, so the call did not run.
+// streamNotOpened returns the refusal for a stream that could not be opened. The request message
+// was not sent, so the call did not run.
 func streamNotOpened(ctx context.Context, to core.VMID) error {
-	// Callers read the detail: it names no address of the inside.
+	// Callers see the detail, so it must not contain internal addresses.
 	re := unreachable(to, errNoConnection)
 	if ctx.Err() != nil {
 		re.Reason = contextReason(ctx)
@@ -219,7 +219,7 @@
 	return re
 }
 
-var errNoConnection = errors.New("the agent takes no connection")
+var errNoConnection = errors.New("cannot connect to the agent")
 
 func unreachable(to core.VMID, err error) *core.Refusal {
 	return &core.Refusal{
@@ -228,9 +228,9 @@
 	}
 }
 
-// peerLost tells of a call that broke off after the request was handed over: it may
-// have run. An Unavailable on a connection that never came up is told apart by
-// the caller having no open stream, see notOpened.
+// peerLost returns the refusal for a call that was interrupted after its request was handed to the
+// transport: it may have run. If the connection was never established, which gRPC also reports as
+// Unavailable, opening the stream fails, and streamNotOpened applies instead.
 func peerLost(ctx context.Context, to core.VMID, err error) error {
 	re := &core.Refusal{
 		Outcome: core.Unknown, Reason: core.ReasonPeerLost, Step: "serve", Peer: string(to), Detail: err.Error(),
@@ -248,7 +248,7 @@
 	return core.ReasonDeadline
 }
 
-// callUnary calls one of the unary methods on a peer.
+// callUnary calls a unary method on a peer and converts its reply.
 func callUnary[A, B any](ctx context.Context, cl *Client, to core.VMID, step string, call func(wire.NodeClient) (*A, error), convert func(*A) B) (B, error) {
 	var zero B
 	co, err := cl.acquire(to)
@@ -263,14 +263,14 @@
 	return convert(got), nil
 }
 
-// controlTimeout bounds a control message's exchange; inspectTimeout is longer, as
-// the agent asks its endpoints first.
+// controlTimeout limits a control call. inspectTimeout is longer, because the agent queries its
+// endpoints before it replies.
 const (
 	controlTimeout = 2 * time.Second
 	inspectTimeout = 4 * time.Second
 )
 
-// Exchange swaps digests.
+// Exchange exchanges digests with a peer.
 func (cl *Client) Exchange(ctx context.Context, to core.VMID, di *core.Digest) (*core.Digest, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -279,14 +279,14 @@
 	}, digestFromWire)
 }
 
-// Claim asks a keeper for a key.
+// Claim asks the owner of a claim shard for an idempotency key.
 func (cl *Client) Claim(ctx context.Context, to core.VMID, ask *core.Claim) (*core.ClaimReply, error) {
 	return callUnary(ctx, cl, to, "claim", func(nc wire.NodeClient) (*wire.ClaimReply, error) {
 		return nc.Claim(ctx, claimToWire(ask))
 	}, claimReplyFromWire)
 }
 
-// Fetch asks a peer for the configuration after a revision.
+// Fetch returns the configuration changes after a revision from a peer.
 func (cl *Client) Fetch(ctx context.Context, to core.VMID, since core.Revision) (*core.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -295,7 +295,7 @@
 	}, changesFromWire)
 }
 
-// UpdatePlacements tells a chat's home where contexts are.
+// UpdatePlacements sends placements to the home of their chats.
 func (cl *Client) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -305,7 +305,7 @@
 	return err
 }
 
-// NotifyCrash tells a router of a request that crashes endpoints.
+// NotifyCrash sends a router a notice about a request that crashes endpoints.
 func (cl *Client) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -315,7 +315,7 @@
 	return err
 }
 
-// Order hands an agent an order. Without an answer it may have been taken.
+// Order sends an order to an agent. If there is no reply, the agent may have accepted it.
 func (cl *Client) Order(ctx context.Context, to core.VMID, or *core.Order) error {
 	refused, err := callUnary(ctx, cl, to, "order", func(nc wire.NodeClient) (*wire.OrderReply, error) {
 		return nc.Order(ctx, orderToWire(or))
@@ -326,7 +326,7 @@
 	return refused
 }
 
-// Inspect asks an agent for the state of its endpoints.
+// Inspect returns the state of an agent's endpoints.
 func (cl *Client) Inspect(ctx context.Context, to core.VMID) ([]core.EndpointState, error) {
 	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
@@ -335,7 +335,7 @@
 	}, statesFromWire)
 }
 
-// State is the state of the connection to an address, for tests and figures.
+// State returns the state of the connection to a VM, for tests and metrics.
 func (cl *Client) State(vm core.VMID) connectivity.State {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -345,5 +345,5 @@
 	return connectivity.Shutdown
 }
 
-// noDeadlineBudget stands for a call without a deadline.
+// noDeadlineBudget is the wire value of BudgetMicros for a call without a deadline.
 const noDeadlineBudget = math.MaxInt64
--- a/io/rpc/client_test.go
+++ b/io/rpc/client_test.go
@@ -11,9 +11,9 @@
 	"almondrill/io/rpc"
 )
 
-// An agent's VM takes connections but its program is gone, or another program has its
-// port: every connection ends at once. A router that connects again without a pause
-// spends its processor on it, and floods whoever has the port.
+// An agent's VM accepts connections but the agent is gone, or another program uses its port: every
+// connection is closed at once. A router that reconnects without backoff wastes CPU time and floods
+// whichever program has the port.
 func TestClientBacksOffBetweenConnections(t *testing.T) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		if _, err := cl.Fetch(ctx, "vm", 0); err == nil {
-			t.Fatal("a call was answered by nobody")
+			t.Fatal("a call succeeded without a server")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/io/rpc/convert.go
+++ b/io/rpc/convert.go
@@ -8,8 +8,8 @@
 	"almondrill/io/wire"
 )
 
-// callToWire sends the time left rather than the deadline: the two processes'
-// clocks may differ.
+// callToWire encodes the time until the deadline rather than the deadline, because the clocks of the
+// two processes may differ.
 func callToWire(ca *core.Call, now time.Time) *wire.Call {
 	budget := int64(noDeadlineBudget)
 	if !ca.Deadline.IsZero() {
@@ -70,8 +70,8 @@
 	return out
 }
 
-// refusalFromWire returns a plain nil error for no refusal. An outcome that this
-// version does not know is Unknown.
+// refusalFromWire returns an untyped nil error if there is no refusal. An outcome that this version
+// does not know becomes Unknown.
 func refusalFromWire(re *wire.Refusal) error {
 	if re == nil {
 		return nil
@@ -132,7 +132,7 @@
 	return out
 }
 
-var errBadCrashNotice = errors.New("this is no note of a request")
+var errBadCrashNotice = errors.New("invalid crash notice")
 
 func crashNoticeFromWire(now time.Time, in *wire.BlameCall) (*core.CrashNotice, error) {
 	no := &core.CrashNotice{Kind: core.CrashNoticeKind(in.Kind)}
@@ -147,12 +147,12 @@
 	return no, nil
 }
 
-// maxCrashAgeMillis bounds the age of a crash that is told, an hour; beyond minutes it makes no
-// difference.
+// maxCrashAgeMillis is the maximum age of a crash in a notice, one hour. Ages beyond some minutes
+// make no difference.
 const maxCrashAgeMillis = 3_600_000
 
-// digestFromWire drops columns of unequal length: no peer of this version sends
-// them.
+// digestFromWire truncates columns of unequal length to the shortest one. No peer of this version
+// sends such columns.
 func digestFromWire(di *wire.Digest) *core.Digest {
 	out := &core.Digest{
 		From: core.VMID(di.From), Incarnation: core.Incarnation(di.Incarnation), Draining: di.Draining,
--- a/io/rpc/hand.go
+++ b/io/rpc/hand.go
@@ -13,12 +13,11 @@
 	"almondrill/io/wire"
 )
 
-// handoverChunkSize is the size of a message of a context.
+// handoverChunkSize is the maximum amount of context data in one message.
 const handoverChunkSize = 64 << 10
 
-// HandOver moves a chat's context to another agent. If it cannot be read to its end
-// the stream is broken off rather than closed, so that the other side does not
-// take a part for the whole.
+// HandOver sends a chat's context to another agent. If the context cannot be read to its end, the
+// stream is canceled rather than closed, so that the receiver does not accept a truncated context.
 func (cl *Client) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
 	co, err := cl.acquire(to)
 	if err != nil {
@@ -42,8 +41,8 @@
 	return refusalFromWire(re.Refused)
 }
 
-// sendContext sends until the context's end or the other side's refusal, which
-// shows as io.EOF and is then read from its reply.
+// sendContext sends until the end of the context or until the receiver refuses it. A refusal shows as
+// io.EOF from Send and is read from the reply.
 func sendContext(st grpc.ClientStreamingClient[wire.HandPart, wire.HandReply], part *wire.HandPart, rd io.Reader) error {
 	buf := make([]byte, handoverChunkSize)
 	for {
@@ -53,8 +52,8 @@
 			}
 			return err
 		}
-		// Not io.ReadFull: it tells a last, shorter piece by io.ErrUnexpectedEOF,
-		// which is also what an engine's broken connection reads as.
+		// Not io.ReadFull: it reports a last, shorter chunk as io.ErrUnexpectedEOF, which is also the
+		// error of an engine's broken connection.
 		size, err := rd.Read(buf)
 		if err != nil && (size == 0 || !errors.Is(err, io.EOF)) {
 			return ignoreEOF(err)
@@ -70,17 +69,17 @@
 	return err
 }
 
-// Hand takes a context in.
+// Hand receives a context.
 func (ha *handler) Hand(st grpc.ClientStreamingServer[wire.HandPart, wire.HandReply]) error {
 	if ha.se.HandOver == nil {
-		return status.Error(codes.Unimplemented, "this process keeps no contexts")
+		return status.Error(codes.Unimplemented, "this process does not hold contexts")
 	}
 	first, err := st.Recv()
 	if err != nil {
 		return err
 	}
 	if first.Placement == nil {
-		return status.Error(codes.InvalidArgument, "the first part names no chat")
+		return status.Error(codes.InvalidArgument, "the first message has no placement")
 	}
 	pl := placementsFromWire(&wire.PlaceCall{Placements: []*wire.Placement{first.Placement}})[0]
 	re := &wire.HandReply{Revision: ha.revision()}
@@ -90,14 +89,14 @@
 	return st.SendAndClose(re)
 }
 
-// contextReader reads a context from its messages. A stream that was broken off ends
-// with an error, never with io.EOF.
+// contextReader reads a context from its messages. A stream that was canceled ends with an error,
+// never with io.EOF.
 type contextReader struct {
 	st     grpc.ClientStreamingServer[wire.HandPart, wire.HandReply]
 	unread []byte
 }
 
-// Read reads from the next message.
+// Read implements io.Reader.
 func (pa *contextReader) Read(data []byte) (int, error) {
 	for len(pa.unread) == 0 {
 		part, err := pa.st.Recv()
--- a/io/rpc/server.go
+++ b/io/rpc/server.go
@@ -16,7 +16,7 @@
 	"almondrill/io/wire"
 )
 
-// Server answers peers. A handler that is nil answers Unimplemented. Set the
+// Server serves calls from peers. A method whose handler is nil returns Unimplemented. Set the
 // exported fields before Start.
 type Server struct {
 	Listener         net.Listener
@@ -29,17 +29,17 @@
 	HandOver         func(ctx context.Context, ha *core.Handover, rd io.Reader) error
 	Order            func(ctx context.Context, or *core.Order) error
 	Inspect          func(ctx context.Context) []core.EndpointState
-	// Heard, if set, is told the revision that a peer's message carries.
+	// RevisionSeen, if set, is called with the configuration revision in a peer's digest.
 	RevisionSeen func(from core.VMID, rev core.Revision)
-	// Revision is the own one, sent back with each reply.
+	// Revision returns this process's configuration revision, which replies carry.
 	Revision func() core.Revision
-	// Register, if set, adds other services to the same listener.
+	// Register, if set, registers other services on the same gRPC server.
 	Register func(sr grpc.ServiceRegistrar)
 
 	grpc *grpc.Server
 }
 
-// Init makes the grpc server; Start calls it if it was not called before.
+// Init creates the gRPC server. Start calls it if necessary.
 func (se *Server) Init() {
 	if se.grpc != nil {
 		return
@@ -57,13 +57,13 @@
 	}
 }
 
-// Start serves until Stop; it is a kratos transport.
+// Start serves until Stop. Together they implement the kratos transport.Server interface.
 func (se *Server) Start(context.Context) error {
 	se.Init()
 	return se.grpc.Serve(se.Listener)
 }
 
-// Stop lets calls in progress end, until ctx does.
+// Stop waits for calls in progress and cancels them when ctx ends.
 func (se *Server) Stop(ctx context.Context) error {
 	se.Init()
 	done := make(chan struct{})
@@ -84,11 +84,11 @@
 	se *Server
 }
 
-// Serve runs a call. Its last message carries the report, and the refusal if the
-// answer was not whole: a stream without it was cut off on its way.
+// Serve runs a call. The last message carries the report and, if the call was refused or failed, the
+// refusal. A stream that ends without this message was interrupted in transit.
 func (ha *handler) Serve(in *wire.Call, st grpc.ServerStreamingServer[wire.Part]) error {
 	if ha.se.Serve == nil {
-		return status.Error(codes.Unimplemented, "this process runs no calls")
+		return status.Error(codes.Unimplemented, "this process does not run calls")
 	}
 	ca := callFromWire(in, time.Now())
 	ctx := st.Context()
@@ -110,17 +110,16 @@
 	return st.SendMsg(last)
 }
 
-// partStream is the Sink of a call. Send writes the message before it returns, so
-// one message is used for all parts. The part with the end mark is held back for
-// the moment that it takes the call to return, and travels with the report: a
-// short answer is one message instead of three.
+// partStream is the sink of a call. Send writes the message before it returns, so one message value
+// is reused for all parts. The part with the end mark is kept until the call returns and is sent
+// together with the report, so that a short response is one message instead of three.
 type partStream struct {
 	st   grpc.ServerStreamingServer[wire.Part]
 	part wire.Part
 	last *wire.Part
 }
 
-// Send passes a part on.
+// Send sends a part to the peer.
 func (sm *partStream) Send(pa *core.Part) error {
 	if pa.End {
 		sm.last = &wire.Part{}
@@ -132,19 +131,19 @@
 	return sm.st.SendMsg(&sm.part)
 }
 
-// Exchange swaps digests.
+// Exchange exchanges digests.
 func (ha *handler) Exchange(_ context.Context, in *wire.Digest) (*wire.Digest, error) {
 	if ha.se.Exchange == nil {
-		return nil, status.Error(codes.Unimplemented, "this process keeps no loads")
+		return nil, status.Error(codes.Unimplemented, "this process does not exchange digests")
 	}
 	ha.revisionSeen(core.VMID(in.From), in.Revision)
 	return digestToWire(ha.se.Exchange(digestFromWire(in))), nil
 }
 
-// Claim decides on a key.
+// Claim decides on a claim of an idempotency key.
 func (ha *handler) Claim(ctx context.Context, in *wire.ClaimCall) (*wire.ClaimReply, error) {
 	if ha.se.Claim == nil {
-		return nil, status.Error(codes.Unimplemented, "this process keeps no claims")
+		return nil, status.Error(codes.Unimplemented, "this process does not hold claims")
 	}
 	ve, err := ha.se.Claim(ctx, claimFromWire(in))
 	if err != nil {
@@ -153,10 +152,10 @@
 	return claimReplyToWire(ve), nil
 }
 
-// Fetch returns the configuration after a revision.
+// Fetch returns the configuration changes after a revision.
 func (ha *handler) Fetch(_ context.Context, in *wire.FetchCall) (*wire.FetchReply, error) {
 	if ha.se.Fetch == nil {
-		return nil, status.Error(codes.Unimplemented, "this process keeps no configuration")
+		return nil, status.Error(codes.Unimplemented, "this process does not serve configuration")
 	}
 	ch, err := ha.se.Fetch(core.Revision(in.Since))
 	if err != nil {
@@ -165,19 +164,19 @@
 	return changesToWire(ch), nil
 }
 
-// Place takes in placements.
+// Place applies placements.
 func (ha *handler) Place(_ context.Context, in *wire.PlaceCall) (*wire.PlaceReply, error) {
 	if ha.se.UpdatePlacements == nil {
-		return nil, status.Error(codes.Unimplemented, "this process keeps no chats")
+		return nil, status.Error(codes.Unimplemented, "this process does not hold placements")
 	}
 	ha.se.UpdatePlacements(placementsFromWire(in))
 	return &wire.PlaceReply{Revision: ha.revision()}, nil
 }
 
-// Blame takes a note of a request that crashes endpoints.
+// Blame applies a notice about a request that crashes endpoints.
 func (ha *handler) Blame(_ context.Context, in *wire.BlameCall) (*wire.BlameReply, error) {
 	if ha.se.NotifyCrash == nil {
-		return nil, status.Error(codes.Unimplemented, "this process sends no requests to agents")
+		return nil, status.Error(codes.Unimplemented, "this process does not track crashes")
 	}
 	no, err := crashNoticeFromWire(time.Now(), in)
 	if err != nil {
@@ -187,10 +186,10 @@
 	return &wire.BlameReply{Revision: ha.revision()}, nil
 }
 
-// Order takes an order.
+// Order accepts or refuses an order.
 func (ha *handler) Order(ctx context.Context, in *wire.OrderCall) (*wire.OrderReply, error) {
 	if ha.se.Order == nil {
-		return nil, status.Error(codes.Unimplemented, "this process takes no orders")
+		return nil, status.Error(codes.Unimplemented, "this process does not accept orders")
 	}
 	re := &wire.OrderReply{Revision: ha.revision()}
 	if err := ha.se.Order(ctx, orderFromWire(in)); err != nil {
@@ -199,7 +198,7 @@
 	return re, nil
 }
 
-// Inspect tells the state of the endpoints.
+// Inspect returns the state of the endpoints.
 func (ha *handler) Inspect(ctx context.Context, _ *wire.InspectCall) (*wire.InspectReply, error) {
 	if ha.se.Inspect == nil {
 		return nil, status.Error(codes.Unimplemented, "this process has no endpoints")
