--- a/io/kvrpc/kvrpc.go
+++ b/io/kvrpc/kvrpc.go
@@ -1,10 +1,10 @@
-// Package kvrpc carries core.KV over grpc, to the stand-in of the platform's
-// key-value service. An adapter to another service takes this package's place.
+// Package kvrpc implements core.KV over gRPC, as a client of and a server for the fake of the
+// platform's key-value service. An adapter to another service would replace this package.
 //
 // # Concepts
 //
-// Errors with a meaning of their own travel as status codes; whatever else goes
-// wrong leaves open whether a write took effect, as core.KV says.
+// The errors that core.KV defines are sent as status codes. After any other error it is not known
+// whether a write took effect, as documented at core.KV.
 //
 // # Usage
 //
@@ -28,7 +28,7 @@
 
 const maxMessage = 8 << 20
 
-// Client is a core.KV at an address.
+// Client implements core.KV by calls to a server.
 type Client struct {
 	rpc  KVClient
 	conn *grpc.ClientConn
@@ -37,7 +37,7 @@
 
 var _ core.KV = (*Client)(nil)
 
-// Dial makes a client; the connection is opened by the first call.
+// Dial creates a client. The first call opens the connection.
 func Dial(addr string) (*Client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -53,8 +53,7 @@
 // Close closes the connection.
 func (cl *Client) Close() error { return cl.conn.Close() }
 
-// fromStatus turns the status codes of meaning back into core's errors and gives the
-// others step and peer.
+// fromStatus converts status codes to the errors of core and adds step and peer to other errors.
 func (cl *Client) fromStatus(step string, err error) error {
 	switch status.Code(err) {
 	case codes.OK:
@@ -69,7 +68,7 @@
 	return oops.In("kv "+step).With("peer", cl.addr).Wrap(err)
 }
 
-// Get reads an entry.
+// Get returns an entry.
 func (cl *Client) Get(ctx context.Context, key string) (core.Entry, error) {
 	got, err := cl.rpc.Get(ctx, &GetCall{Key: key})
 	if err != nil {
@@ -78,7 +77,7 @@
 	return fromWire(got), nil
 }
 
-// Put writes an entry.
+// Put writes an entry and returns its new version.
 func (cl *Client) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
 	got, err := cl.rpc.Put(ctx, &PutCall{Key: key, Value: value, Expect: uint64(expect), Lease: uint64(le)})
 	if err != nil {
@@ -93,7 +92,7 @@
 	return cl.fromStatus("delete", err)
 }
 
-// List reads a range.
+// List returns the entries of a key range.
 func (cl *Client) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
 	got, err := cl.rpc.List(ctx, &ListCall{From: from, To: to, Limit: int32(limit)})
 	if err != nil {
@@ -115,13 +114,13 @@
 	return core.LeaseID(got.ID), nil
 }
 
-// Renew prolongs a lease.
+// Renew extends a lease.
 func (cl *Client) Renew(ctx context.Context, le core.LeaseID) error {
 	_, err := cl.rpc.Renew(ctx, &Lease{ID: uint64(le)})
 	return cl.fromStatus("renew", err)
 }
 
-// Watch waits for a newer entry.
+// Watch waits for an entry under the prefix that is newer than a version.
 func (cl *Client) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
 	got, err := cl.rpc.Watch(ctx, &WatchCall{Prefix: prefix, After: uint64(after)})
 	if err != nil {
@@ -138,7 +137,7 @@
 	return &Entry{Key: en.Key, Value: en.Value, Version: uint64(en.Version)}
 }
 
-// Serve registers a KV with a grpc server.
+// Serve registers kv with a gRPC server.
 func Serve(sr grpc.ServiceRegistrar, kv core.KV) { RegisterKVServer(sr, &server{kv: kv}) }
 
 type server struct {
