--- a/io/node/guard.go
+++ b/io/node/guard.go
@@ -8,7 +8,8 @@
 	"almondrill/io/guard"
 )
 
-// buildQuarantine makes what keeps a router from sending requests on that crash endpoints.
+// buildQuarantine creates the ledger of requests that crash endpoints, which the router must not
+// send to agents.
 func (pr *Process) buildQuarantine() {
 	log := pr.Logs.Part("guard")
 	pr.ledger = &guard.Ledger{
@@ -19,6 +20,7 @@
 	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.ledger.Hear(time.Now(), "peer", *no) }
 }
 
+// watchQuarantines keeps the ledger up to date with the quarantines in the KV until ctx ends.
 func (pr *Process) watchQuarantines(ctx context.Context) error {
 	store := &guard.KVStore{KV: pr.kv}
 	return store.Follow(ctx, pr.ledger, pr.clock, func() int { return len(pr.board.Snapshot().Routers) })
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -1,17 +1,17 @@
-// Package node assembles a router's or an agent's process from its parts and
-// runs it as a kratos application.
+// Package node assembles a router or agent process from its components and runs it as a kratos
+// application.
 //
 // # Concepts
 //
-// A Process listens first (Listen), so that its addresses are known, then runs
-// until Stop or a signal. Leaving goes in order: it tells that it leaves, waits
-// until no more new work comes, lets work in progress end, then closes.
+// A Process first opens its listeners (Listen), so that its addresses are known, and then runs until
+// Stop or a signal. It shuts down in this order: it announces that it is draining, waits until no
+// new work arrives, waits for work in progress, and closes its listeners and connections.
 //
 // # Invariants
 //
-//   - Control loops end only after the last request has.
-//   - The callers' port never serves what others registered with the library's
-//     default mux, such as expvar's page.
+//   - The control loops run until the last request has ended.
+//   - The callers' port never serves handlers that are registered on http.DefaultServeMux, such as
+//     the expvar page.
 //
 // # Usage
 //
@@ -61,9 +61,9 @@
 	Role     core.Role
 	Settings *conf.Settings
 	Logs     *logs.Logs
-	// Seed of the process's randomness; 0 draws one.
+	// Seed is the seed of the process's random numbers. 0 means a random seed.
 	Seed uint64
-	// Signals makes SIGTERM, SIGINT and SIGQUIT stop the process.
+	// Signals enables graceful shutdown on SIGTERM, SIGINT and SIGQUIT.
 	Signals bool
 
 	Stats *stats.Set
@@ -92,28 +92,28 @@
 
 type listeners struct{ peers, callers, admin net.Listener }
 
-// PeersAddr, CallersAddr and AdminAddr are where it listens; valid after Listen.
+// PeersAddr returns the address for peers. It is valid after Listen, as are CallersAddr and AdminAddr.
 func (pr *Process) PeersAddr() string { return pr.listeners.peers.Addr().String() }
 
-// CallersAddr is the callers' address of a router.
+// CallersAddr returns the address for callers. Only routers have one.
 func (pr *Process) CallersAddr() string { return pr.listeners.callers.Addr().String() }
 
-// AdminAddr is the address of health and counters.
+// AdminAddr returns the address of the health checks and counters.
 func (pr *Process) AdminAddr() string { return pr.listeners.admin.Addr().String() }
 
-// Agent is the agent's core, nil on a router.
+// Agent returns the agent, nil on a router.
 func (pr *Process) Agent() *agent.Agent { return pr.agent }
 
-// Board is the process's blackboard.
+// Board returns the process's board.
 func (pr *Process) Board() *board.Board { return pr.board }
 
-// Revision is the configuration in force here.
+// Revision returns the configuration revision in force in this process.
 func (pr *Process) Revision() core.Revision { return pr.configLog.Revision() }
 
-// ControlBytes is what the process has sent in control messages.
+// ControlBytes returns the size of all control messages that the process has sent.
 func (pr *Process) ControlBytes() core.Bytes { return pr.controlBucket.Sent() }
 
-// Listen opens the addresses of the settings.
+// Listen opens the listeners at the addresses in the settings.
 func (pr *Process) Listen() error {
 	var err error
 	se := pr.Settings
@@ -137,7 +137,7 @@
 	return li, nil
 }
 
-// Run runs the process until Stop, a signal or an error.
+// Run runs the process until Stop is called, a signal arrives or an error occurs.
 func (pr *Process) Run(ctx context.Context) error {
 	if pr.listeners.peers == nil {
 		if err := pr.Listen(); err != nil {
@@ -158,11 +158,11 @@
 	return err
 }
 
-// Stop leaves gracefully; Run returns once it is done.
+// Stop shuts down gracefully. Run returns when the shutdown is complete.
 func (pr *Process) Stop() error { return pr.app.Stop() }
 
-// Build makes the parts; Run calls it. It is called before Run where Stop may
-// come from another goroutine at any time.
+// Build creates the components. Run calls it if necessary; call it before Run if another goroutine
+// may call Stop at any time.
 func (pr *Process) Build() error {
 	if pr.app != nil {
 		return nil
@@ -200,7 +200,7 @@
 	return core.VM{ID: se.Name, Zone: se.Zone, Region: se.Region, Role: pr.Role}
 }
 
-// buildConfig makes what brings the accepted configuration here.
+// buildConfig creates the configuration log and the syncer that keeps it up to date.
 func (pr *Process) buildConfig() {
 	pr.configLog = &revlog.Log{KV: pr.kv, Clock: pr.clock, Rand: pr.rand, Adopt: pr.configAdopted, Behind: pr.storeBehind}
 	pr.syncer = &syncer.Syncer{
@@ -232,10 +232,10 @@
 	pr.buildAgent()
 }
 
-// configAdopted hands a new configuration to the board.
+// configAdopted delivers a new configuration to the board.
 func (pr *Process) configAdopted(cfg *decl.Config) {
 	pr.logger.Info("Adopted a configuration.", zap.Uint64("Revision", uint64(cfg.Revision)))
-	// The board's goroutine always takes events, so this does not wait long.
+	// The board's goroutine always receives events, so this does not block for long.
 	_ = pr.board.Deliver(context.Background(), board.ConfigAdopted{Config: cfg})
 	pr.syncer.NoteAdopted()
 }
@@ -248,14 +248,14 @@
 
 func (pr *Process) storeBehind(own core.Revision) {
 	pr.Stats.Add(stats.ConfigReverted, 1)
-	pr.logger.Warn("The KV holds older configuration than is in force.", zap.Uint64("InForce", uint64(own)))
+	pr.logger.Warn("The configuration in the KV is older than the one in force.", zap.Uint64("InForce", uint64(own)))
 }
 
 func (pr *Process) logFailure(message string) func(err error) {
 	return func(err error) { pr.logger.Warn(message, logs.Fields(err)...) }
 }
 
-// digest tells the own state.
+// digest returns this process's state for peers.
 func (pr *Process) digest() *core.Digest {
 	if pr.agent != nil {
 		return pr.agent.Digest(agent.MaxEntries)
@@ -265,7 +265,7 @@
 	}
 }
 
-// answerDigest answers a peer's digest.
+// answerDigest applies a peer's digest and returns this process's own.
 func (pr *Process) answerDigest(di *core.Digest) *core.Digest {
 	own := pr.digest()
 	if len(di.Loads) == 0 {
@@ -299,10 +299,10 @@
 	}
 }
 
-// listedDraining stops taking work as soon as the list says that the VM leaves;
-// the platform will end the process in its own time.
+// listedDraining stops accepting work when the VM list marks this VM as draining. The platform stops
+// the process later.
 func (pr *Process) listedDraining() {
-	pr.logger.Info("The list marks this VM as leaving.")
+	pr.logger.Info("The VM list marks this VM as draining.")
 	pr.draining.Store(true)
 	if pr.agent != nil {
 		pr.agent.StopAccepting()
@@ -314,8 +314,8 @@
 	if pr.Role == core.RoleRouter {
 		servers = append(servers, pr.callersServer())
 	}
-	// Without any signal the library would listen to all of them, and take the
-	// runtime's own preemption signals for an order to stop.
+	// Given no signals, kratos would listen for all of them and treat the runtime's own preemption
+	// signals as a request to stop.
 	signals := []os.Signal{noSignal{}}
 	if pr.Signals {
 		signals = []os.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGQUIT}
@@ -331,26 +331,27 @@
 	)
 }
 
-// noSignal is a signal that nobody can send.
+// noSignal is a signal that is never sent.
 type noSignal struct{}
 
 func (noSignal) String() string { return "none" }
 func (noSignal) Signal()        {}
 
-// beforeStop makes sure that no new work comes before anything is closed.
+// beforeStop waits, before anything is closed, until no new work arrives and, on an agent, until work
+// in progress has ended.
 func (pr *Process) beforeStop(context.Context) error {
 	pr.logger.Info("Leaving.", zap.String("Name", string(pr.Settings.Name)))
 	pr.draining.Store(true)
 	if pr.agent == nil {
-		// The balancer needs a moment to see /readyz and send callers elsewhere.
+		// The load balancer needs time to poll /readyz and send callers elsewhere.
 		return pr.clock.Sleep(context.Background(), pr.Settings.DrainDelay)
 	}
 	return pr.drainAgent()
 }
 
-// httpServer makes one of kratos' HTTP servers. Its default mux for unknown
-// paths is the library's global one, on which expvar and others register: on the
-// callers' port that would show counters to anyone.
+// httpServer creates a kratos HTTP server. By default kratos passes unknown paths to
+// http.DefaultServeMux, on which expvar and other packages register handlers: on the callers' port
+// that would expose the counters to anyone.
 func (pr *Process) httpServer(li net.Listener, handler http.Handler) *kratoshttp.Server {
 	srv := kratoshttp.NewServer(
 		kratoshttp.Listener(li),
@@ -383,7 +384,7 @@
 	return pr.httpServer(pr.listeners.admin, mux)
 }
 
-// readyz tells the balancer whether to send callers here.
+// readyz reports to the load balancer whether to send callers here.
 func (pr *Process) readyz(wr http.ResponseWriter, _ *http.Request) {
 	switch {
 	case pr.draining.Load():
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -9,7 +9,7 @@
 	"almondrill/io/stats"
 )
 
-// buildOrderController makes the part of a router that gives orders to engines.
+// buildOrderController creates the component of a router that gives orders to engines.
 func (pr *Process) buildOrderController() {
 	logger := pr.Logs.Part("orders")
 	pr.orderController = &order.Controller{
@@ -19,11 +19,11 @@
 		},
 		Board: pr.board, Peers: pr.peers, Clock: pr.clock, Rand: pr.rand, AllowSend: pr.controlBucket.Allow,
 		LeaseAcquired: func(fence core.Fence) {
-			logger.Info("This process gives the orders now.", zap.Uint64("Fence", uint64(fence)))
+			logger.Info("This process now holds the lease for issuing orders.", zap.Uint64("Fence", uint64(fence)))
 		},
 		RolloutPaused: func(po core.PoolID, or core.Order, failures int) {
 			pr.Stats.Add(stats.OrdersGivenUp, 1)
-			logger.Error("An order failed on several engines; no further one gets it for now.", zap.String("Pool", string(po)),
+			logger.Error("An order failed on several engines and is suspended for the others.", zap.String("Pool", string(po)),
 				zap.String("Kind", string(or.Kind)), zap.String("Name", or.Name), zap.String("Version", or.Version), zap.Int("Failures", failures))
 		},
 		Issued: func(gi order.Assignment) {
@@ -32,12 +32,12 @@
 		},
 		Refused: func(gi order.Assignment, re *core.Refusal) {
 			pr.Stats.Refuse(re.Reason)
-			logger.Warn("An order was not taken.", append(orderFields(&gi.Order, gi.VM), zap.Error(re))...)
+			logger.Warn("An order was refused.", append(orderFields(&gi.Order, gi.VM), zap.Error(re))...)
 		},
 	}
 }
 
-// buildOrderGate makes the part of an agent that takes orders.
+// buildOrderGate creates the component of an agent that carries out orders.
 func (pr *Process) buildOrderGate(endpoints []*back.Endpoint) {
 	logger := pr.Logs.Part("orders")
 	pr.orderGate = &order.Executor{KV: pr.kv, Clock: pr.clock, Self: pr.Settings.Name}
@@ -48,7 +48,7 @@
 			return
 		}
 		pr.Stats.Refuse(re.Reason)
-		logger.Warn("An order was not carried out.", append(orderFields(or, pr.Settings.Name), zap.Error(re))...)
+		logger.Warn("An order failed.", append(orderFields(or, pr.Settings.Name), zap.Error(re))...)
 	}
 	for ix, sl := range pr.agent.Slots {
 		se := &order.Endpoint{ID: sl.ID, Pool: sl.Pool, Drain: sl.Pause, Resume: sl.Resume}
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -18,7 +18,7 @@
 	"almondrill/io/stats"
 )
 
-// callersServer is a router's side towards callers.
+// callersServer returns a router's HTTP server for callers.
 func (pr *Process) callersServer() transport.Server {
 	se := pr.Settings
 	fr := &front.Front{
@@ -29,7 +29,7 @@
 	return pr.httpServer(pr.listeners.callers, fr.Handler())
 }
 
-// registerOperators adds the operators' calls to a router's listener for peers.
+// registerOperators registers the operators' API on a router's gRPC server for peers.
 func (pr *Process) registerOperators(sr grpc.ServiceRegistrar) {
 	oper.Register(sr, &oper.Server{
 		Log: pr.configLog, Board: pr.board, Peers: pr.peers, Operators: pr.Settings.Operators,
@@ -37,7 +37,7 @@
 	})
 }
 
-// buildAgent makes an agent's core and the adapters to its endpoints.
+// buildAgent creates an agent and the adapters to its endpoints.
 func (pr *Process) buildAgent() {
 	se := pr.Settings
 	pr.agent = &agent.Agent{
@@ -57,7 +57,7 @@
 		if ep.Engine {
 			pr.followers = append(pr.followers, &back.Follower{
 				Endpoint: ep, Clock: pr.clock, Book: pr.agent.Book, Gate: pr.agent.Slots[ix].Gate(),
-				Failed: pr.logFailure("Following an engine failed."),
+				Failed: pr.logFailure("Polling an engine's cache events and load failed."),
 			})
 		}
 	}
@@ -68,15 +68,15 @@
 }
 
 const (
-	// claimWritesPerSecond is the part of the KV's writes that claims may take.
+	// claimWritesPerSecond is the share of the KV's write rate that claims of all shards may use.
 	claimWritesPerSecond = 300
-	// maxReplayBytes bounds the answers an agent keeps for replay.
+	// maxReplayBytes limits the size of the responses that an agent keeps for replay.
 	maxReplayBytes core.Bytes = 8 << 20
-	// claimTimeout bounds the wait for a claim.
+	// claimTimeout limits the wait for a claim.
 	claimTimeout = 3 * time.Second
 )
 
-// buildClaims makes the agent's table of keys and its keeper of claim shards.
+// buildClaims creates the agent's table of idempotency keys and its owner of claim shards.
 func (pr *Process) buildClaims() *claim.Keys {
 	se := pr.Settings
 	self := core.Claimant{VM: se.Name, Incarnation: pr.incarnation}
@@ -104,7 +104,7 @@
 	}
 }
 
-// serve runs a call and counts how it ended.
+// serve runs a call and counts its outcome.
 func (pr *Process) serve(ctx context.Context, ca *core.Call, si core.Sink) (*core.Report, error) {
 	pr.Stats.Add(stats.Requests, 1)
 	pr.Stats.Add(stats.InProgress, 1)
@@ -120,7 +120,7 @@
 	return rep, re
 }
 
-// registerStats lets counters read what the parts keep themselves.
+// registerStats registers the counters whose values components maintain themselves.
 func (pr *Process) registerStats() {
 	st := pr.Stats
 	st.Read(stats.ControlBytes, func() int64 { return int64(pr.controlBucket.Sent()) })
