--- a/core/trial/config_test.go
+++ b/core/trial/config_test.go
@@ -12,7 +12,7 @@
 	"almondrill/io/stand/kvsrv"
 )
 
-// commitCustomer has one more customer accepted through a member.
+// commitCustomer commits a configuration with one more customer through a member.
 func (st *harness) commitCustomer(me *inmem.Member, name string) core.Revision {
 	st.t.Helper()
 	doc, rev := me.Log.Document()
@@ -33,21 +33,21 @@
 	return true
 }
 
-// checkRevisionsIncrease checks the order in which every process adopted revisions.
+// checkRevisionsIncrease checks that every process adopted only increasing revisions.
 func (st *harness) checkRevisionsIncrease() {
 	st.t.Helper()
 	for _, me := range st.fl.All() {
 		adopted := me.Adopted()
 		for ix := 1; ix < len(adopted); ix++ {
 			if adopted[ix] <= adopted[ix-1] {
-				st.t.Errorf("%s adopted %v", me.ID, adopted)
+				st.t.Errorf("%s adopted revisions %v, want increasing ones", me.ID, adopted)
 			}
 		}
 	}
 }
 
-// An operator is told "accepted", and the KV goes down in the same moment. Within
-// nine seconds the change is in force on every process all the same.
+// The KV fails right after a change has been accepted. The change must still be in force on every
+// process within nine seconds.
 func TestAcceptedChangeSpreadsDuringKVOutage(t *testing.T) {
 	runHarness(t, 11, func(st *harness) {
 		for n := range 10 {
@@ -64,9 +64,8 @@
 	})
 }
 
-// The KV is down for long while VMs are replaced. A new agent and a new router
-// take the configuration from their peers and serve; nobody goes back when the KV
-// returns.
+// VMs are replaced during a long KV outage. A new agent and a new router must fetch the
+// configuration from peers and serve. No process may revert to an older revision when the KV returns.
 func TestStartDuringKVOutageFetchesFromPeers(t *testing.T) {
 	runHarness(t, 12, func(st *harness) {
 		rev := st.commitCustomer(st.fl.RouterAt(0), "before")
@@ -77,10 +76,10 @@
 		fresh := st.fl.AddRouter("router-new", 0)
 		time.Sleep(15 * time.Second)
 		if !st.allHaveRevision(rev) {
-			t.Errorf("not all have revision %d", rev)
+			t.Errorf("revision %d is not in force everywhere", rev)
 		}
 		if te, re := st.send(3, "hello", "", true); re != nil || te.String() != "hello" || fresh.Log.Revision() != rev {
-			t.Errorf("through the new router: %v", re)
+			t.Errorf("a request through the new router: %v", re)
 		}
 		st.fl.Store.SetFaults(kvsrv.Faults{})
 		time.Sleep(time.Minute)
@@ -88,8 +87,8 @@
 	})
 }
 
-// The KV answers reads from an old copy for a while. No process goes back, and a
-// change that would build on the old content is not accepted.
+// The KV serves stale reads for a while. No process may revert to an older revision, and a change
+// based on stale reads must not be accepted.
 func TestStaleReadsDoNotRevertConfig(t *testing.T) {
 	runHarness(t, 13, func(st *harness) {
 		me := st.fl.RouterAt(0)
@@ -97,11 +96,11 @@
 		rev := st.commitCustomer(me, "new")
 		time.Sleep(20 * time.Second)
 		if !st.allHaveRevision(rev) {
-			t.Error("the change did not spread past the old reads")
+			t.Error("the change did not spread despite stale reads")
 		}
 		doc, _ := me.Log.Document()
 		if _, err := me.Log.Commit(st.ctx, rev, doc, revlog.Meta{ID: "late"}); err == nil {
-			t.Error("a change was accepted over old reads")
+			t.Error("a change was accepted on the basis of stale reads")
 		}
 		st.fl.Store.SetFaults(kvsrv.Faults{})
 		st.commitCustomer(me, "after")
@@ -110,8 +109,8 @@
 	})
 }
 
-// A router hears nothing for a minute, cut off from everybody and the KV's
-// changes unread. When it is back it takes up all it missed, in order.
+// A router is partitioned from all peers and from the KV for a minute. After the partition heals it
+// must catch up on all revisions, in order.
 func TestPartitionedRouterCatchesUp(t *testing.T) {
 	runHarness(t, 14, func(st *harness) {
 		partitioned := st.fl.RouterAt(2)
@@ -125,14 +124,14 @@
 			time.Sleep(12 * time.Second)
 		}
 		if partitioned.Log.Revision() == rev {
-			t.Fatal("it was not cut off: this shows nothing")
+			t.Fatal("the router received the changes: it was not partitioned, so the test proves nothing")
 		}
 		for _, me := range st.fl.All() {
 			st.fl.Net.Cut(partitioned.ID, me.ID, false)
 		}
 		time.Sleep(9 * time.Second)
 		if !st.allHaveRevision(rev) {
-			t.Errorf("it has revision %d of %d", partitioned.Log.Revision(), rev)
+			t.Errorf("the partitioned router has revision %d, want %d", partitioned.Log.Revision(), rev)
 		}
 		st.checkRevisionsIncrease()
 	})
--- a/core/trial/control_test.go
+++ b/core/trial/control_test.go
@@ -16,7 +16,7 @@
 
 var fleetSizes = []int{50, 150, 500}
 
-// controlFleet has a router to every five agents, as at the target.
+// controlFleet returns a fleet with one router per five agents, the ratio of the target deployment.
 func controlFleet(nodes int, customers ...decl.Customer) *inmem.Fleet {
 	return &inmem.Fleet{
 		Seed: 5, Routers: nodes / 6, Agents: nodes - nodes/6, Pool: poolID,
@@ -25,8 +25,8 @@
 	}
 }
 
-// BenchmarkControl: bytes a second that a node sends for control, all agents in
-// one pool, over 20 s without requests. The agents' share is the larger.
+// BenchmarkControl measures the control traffic that a process sends, in bytes per second, with all
+// agents in one pool and without requests for 20 s. Agents send the larger share.
 func BenchmarkControl(b *testing.B) {
 	for _, nodes := range fleetSizes {
 		b.Run(fmt.Sprint("own/nodes=", nodes), func(b *testing.B) {
@@ -56,8 +56,8 @@
 	return sum
 }
 
-// BenchmarkInForce: seconds from accepted to in force on every process, over some
-// changes; with the KV well, and lost right after each acceptance.
+// BenchmarkInForce measures the seconds from the acceptance of a change until it is in force on every
+// process, with the KV available and with a KV that fails right after each acceptance.
 func BenchmarkInForce(b *testing.B) {
 	for _, nodes := range fleetSizes {
 		for _, lost := range []bool{false, true} {
@@ -115,16 +115,15 @@
 			}
 		}
 		if time.Since(start) > time.Minute {
-			t.Fatalf("%d of %d have revision %d after a minute", len(done), len(fl.All()), rev)
+			t.Fatalf("%d of %d processes have revision %d after a minute", len(done), len(fl.All()), rev)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return times
 }
 
-// BenchmarkConfig: what spreading costs at 1,600 customers and 3,800 changes a
-// day: bytes a second for each process, the KV's calls a second, and what it
-// takes to start from a snapshot.
+// BenchmarkConfig measures the cost of distributing the configuration, with 1,600 customers and 3,800
+// changes a day: bytes per second and process, and KV calls per second.
 func BenchmarkConfig(b *testing.B) {
 	for _, nodes := range fleetSizes {
 		b.Run(fmt.Sprint("own/nodes=", nodes), func(b *testing.B) {
@@ -172,7 +171,7 @@
 	b.ReportMetric(float64(after.Reads+after.Writes-calls.Reads-calls.Writes)/took, "kv-calls/s")
 }
 
-// BenchmarkSnapshotStart: one process takes over 1,600 customers from a peer.
+// BenchmarkSnapshotStart measures how a process loads a snapshot with 1,600 customers from a peer.
 func BenchmarkSnapshotStart(b *testing.B) {
 	doc := document(decl.Limits{}, 0, manyCustomers(1600)...)
 	ctx := context.Background()
--- a/core/trial/crash_test.go
+++ b/core/trial/crash_test.go
@@ -10,9 +10,11 @@
 	"almondrill/core/router"
 )
 
-// crash has engines crash under calls whose bodies begin so.
+// crashBody is the start of the body of requests that crash engines.
 const crashBody = "crash"
 
+// crashOnBody makes engines crash when they have run a request with crashBody for the duration after,
+// and return when downtime has passed.
 func (st *harness) crashOnBody(after, downtime time.Duration) {
 	for _, me := range st.fl.LiveAgents() {
 		for _, en := range me.Engines {
@@ -31,10 +33,10 @@
 	return count
 }
 
-// A caller comes back with a request that crashes the engine that runs it, through one router
-// after the other, while others chat. Each agent sees its own engine crash and refuses nothing
-// afterwards, and routers try the next engine within an attempt, so that 20 returns cost
-// more than 20 engines. It is to cost three, and three more at most while all hear of it.
+// A caller retries a request that crashes the engine that runs it, through alternating routers and
+// while other callers chat. Without a quarantine, each agent sees only its own engine's crash, and
+// routers retry on the next engine, so 20 retries crash more than 20 engines. The limit is three
+// crashes, plus three while the notices about them reach all routers.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	const returns, maxCrashes = 20, 6
 	for seed, repeat := range map[uint64]bool{41: true, 42: false} {
@@ -46,30 +48,30 @@
 				time.Sleep(2 * time.Second)
 				for ix := range returns {
 					if te, re := st.send(ix%3, crashBody, "", repeat); re == nil {
-						t.Errorf("it was answered: %v", te)
+						t.Errorf("the crashing request was answered: %v", te)
 					}
 					time.Sleep(time.Second)
 				}
 				all.Wait()
-				// By now one return may be the trial that shows whether it still crashes engines.
+				// By now one retry may be the trial that tests whether the request still crashes engines.
 				_, _ = st.send(0, crashBody, "", repeat)
 				if _, re := st.send(0, crashBody, "", repeat); re == nil || re.Outcome != core.NotRun || re.RetryAfter == 0 {
-					t.Errorf("in the end it is told %v, want not run and when to return", re)
+					t.Errorf("the last retry got %v, want NotRun with RetryAfter", re)
 				}
 				if got := st.crashCount(); got > maxCrashes {
-					t.Errorf("%d engines crashed in %d returns, at most %d allowed", got, returns+2, maxCrashes)
+					t.Errorf("%d engines crashed in %d retries, want at most %d", got, returns+2, maxCrashes)
 				}
 				time.Sleep(5 * time.Second)
 				if te, re := st.send(1, "harmless", "", repeat); re != nil {
-					t.Errorf("a harmless request: %v %v", te, re)
+					t.Errorf("a harmless request got %v %v", te, re)
 				}
 			})
 		})
 	}
 }
 
-// A request has crashed three engines, and all routers are lost. New ones know nothing but the
-// KV, and refuse it at once.
+// All routers are lost after a request has been quarantined. A new router must load the quarantine
+// from the KV and refuse the request at once.
 func TestQuarantineSurvivesRouterLoss(t *testing.T) {
 	runHarness(t, 43, func(st *harness) {
 		st.crashOnBody(100*time.Millisecond, 3*time.Second)
@@ -92,13 +94,13 @@
 		}, &response{})
 		re := core.AsRefusal(err, "", "")
 		if re.Reason != core.ReasonQuarantined || st.crashCount() != before || before == 0 {
-			t.Errorf("a new router: %v; %d crashes before, %d after", re, before, st.crashCount())
+			t.Errorf("the new router returned %v; %d crashes before, %d after", re, before, st.crashCount())
 		}
 	})
 }
 
-// A third of the engines crash for no request's reason, while many callers send the same
-// lookup. It is served by the others all along.
+// Half of the engines crash for reasons other than requests, while many callers send identical
+// requests. These must not be quarantined: the other engines serve them throughout.
 func TestIdenticalRequestsAreNotQuarantinedInOutage(t *testing.T) {
 	runHarness(t, 44, func(st *harness) {
 		st.crashOnBody(0, 3*time.Second)
@@ -123,7 +125,7 @@
 		}
 		all.Wait()
 		if refused > 0 || st.crashCount() != 3 {
-			t.Errorf("%d lookups were refused as if they had crashed %d engines", refused, st.crashCount())
+			t.Errorf("%d lookups were refused as quarantined; %d engines crashed, want 3", refused, st.crashCount())
 		}
 	})
 }
--- a/core/trial/doc.go
+++ b/core/trial/doc.go
@@ -1,10 +1,10 @@
-// Package trial measures the policies of core: its benchmarks and tests run the
-// real routers and agents over the fakes of io/stand/inmem, on virtual time.
+// Package trial contains end-to-end tests and benchmarks of the policies in core. They run real
+// routers and agents on the fakes of io/fakes/inmem, in virtual time.
 //
 // # Usage
 //
 //	go test -run '^$' -bench . -benchtime 1x ./core/trial
 //
-// Each benchmark has sub-benchmarks for the product's own policy ("own") and for
-// baselines, over the same seeded workload.
+// Benchmarks of policies have sub-benchmarks for the product's policy ("own") and for baselines, with
+// the same seeded workload.
 package trial
--- a/core/trial/failure_test.go
+++ b/core/trial/failure_test.go
@@ -13,6 +13,7 @@
 	"almondrill/io/stand/kvsrv"
 )
 
+// executions returns how many calls all engines have run.
 func (st *harness) executions() int {
 	sum := 0
 	for _, me := range st.fl.All() {
@@ -23,9 +24,9 @@
 	return sum
 }
 
-// A VM is about to be replaced. Its own process sees the mark at once, half of
-// the routers only 5 s later. They go on sending; the agent refuses, and callers
-// are served by others. From 3 s on nothing new runs there, though lists lag.
+// The VM list marks a VM as draining. Its own process sees the mark at once, half of the routers only
+// 5 s later and keep sending calls until then. The agent must refuse these, so that from 3 s after
+// the mark nothing new runs there and callers are served by other agents.
 func TestDrainingAgentGetsNoNewCalls(t *testing.T) {
 	runHarness(t, 1, func(st *harness) {
 		draining := st.fl.LiveAgents()[0]
@@ -37,17 +38,17 @@
 		before := draining.Engines[0].Ran()
 		all.Wait()
 		if after := draining.Engines[0].Ran(); before == 0 || after != before {
-			t.Errorf("%d calls ran by 3 s after the mark, %d in the end", before, after)
+			t.Errorf("%d calls had run 3 s after the mark, %d in the end", before, after)
 		}
 		if st.counts[core.NotRun]+st.counts[core.Unknown]+st.counts[core.Failed] > 0 {
-			t.Errorf("callers noticed: %v", st.counts)
+			t.Errorf("callers got errors: %v", st.counts)
 		}
 		st.checkAudit("leaving")
 	})
 }
 
-// An agent is shut down in the middle of answers. It takes nothing new, and every
-// answer that it has begun ends whole.
+// Agents are drained while they serve responses. They must accept no new calls and complete every
+// response that they have started.
 func TestDrainCompletesResponses(t *testing.T) {
 	runHarness(t, 2, func(st *harness) {
 		var all sync.WaitGroup
@@ -55,23 +56,23 @@
 		time.Sleep(4 * time.Second)
 		for _, me := range st.fl.LiveAgents()[:2] {
 			if me.Agent.InProgress() == 0 {
-				t.Error("nothing in progress: this shows nothing")
+				t.Error("no calls in progress: the test proves nothing")
 			}
 			if err := me.Agent.Drain(st.ctx); err != nil || me.Agent.InProgress() != 0 {
-				t.Errorf("%v, %d inside", err, me.Agent.InProgress())
+				t.Errorf("drain: %v, %d calls in progress", err, me.Agent.InProgress())
 			}
 			me.Kill()
 		}
 		all.Wait()
 		if st.counts[core.Unknown]+st.counts[core.Failed]+st.counts[core.NotRun] > 0 {
-			t.Errorf("cut off: %v", st.counts)
+			t.Errorf("incomplete responses: %v", st.counts)
 		}
 		st.checkAudit("drain")
 	})
 }
 
-// The KV is down when a draft comes. The editor is told "not run" with the reason
-// within four seconds, and it has not run; chats go on as if nothing were.
+// A request with an idempotency key arrives during a KV outage. It must be refused as NotRun with the
+// reason KVDown within four seconds and must not run. Requests without a key are still served.
 func TestKeyedRequestDuringKVOutageIsNotRun(t *testing.T) {
 	runHarness(t, 3, func(st *harness) {
 		st.fl.Store.SetFaults(kvsrv.Faults{Down: true})
@@ -81,7 +82,7 @@
 			t.Fatalf("%v", re)
 		}
 		if took := time.Since(start); took > 4*time.Second || re.RetryAfter == 0 || st.executions() != 0 {
-			t.Errorf("told after %s, retry after %s, %d ran", took, re.RetryAfter, st.executions())
+			t.Errorf("refused after %s with RetryAfter %s, %d executions", took, re.RetryAfter, st.executions())
 		}
 		if te, re := st.send(0, "chat", "", true); re != nil || te.String() != "chat" {
 			t.Errorf("%v", re)
@@ -93,15 +94,15 @@
 	})
 }
 
-// The agent that runs a marshal's flag dies in the middle. The marshal's device
-// asks again through another router. Nobody can know whether the flag was set, so
-// the answer is "unknown" and never a second run.
+// The agent that runs a request with an idempotency key crashes during the execution, and the caller
+// retries through other routers. As it cannot be known whether the request took effect, the outcome
+// must be Unknown and the request must not run again.
 func TestClaimSurvivesClaimantCrash(t *testing.T) {
 	runHarness(t, 4, func(st *harness) {
 		var asked sync.WaitGroup
 		asked.Go(func() {
 			if _, re := st.send(0, "flag", "key", false); re == nil || re.Outcome != core.Unknown {
-				t.Errorf("first: %v", re)
+				t.Errorf("first request: %v, want Unknown", re)
 			}
 		})
 		time.Sleep(100 * time.Millisecond)
@@ -113,18 +114,18 @@
 		asked.Wait()
 		for from := range 3 {
 			if _, re := st.send(from, "flag", "key", false); re == nil || re.Outcome != core.Unknown {
-				t.Errorf("through router %d: %v", from, re)
+				t.Errorf("retry through router %d: %v, want Unknown", from, re)
 			}
 			time.Sleep(4 * time.Second)
 		}
 		if st.executions() != 1 {
-			t.Errorf("ran %d times", st.executions())
+			t.Errorf("%d executions, want 1", st.executions())
 		}
 	})
 }
 
-// An editor's connection breaks while the draft runs. The run goes on, and the
-// editor's retry through another router gets the whole answer of that run.
+// A caller disconnects while its request with an idempotency key runs. The execution must continue,
+// and a retry through another router must get the complete response of that execution.
 func TestExecutionContinuesAfterDisconnect(t *testing.T) {
 	runHarness(t, 5, func(st *harness) {
 		outer := st.ctx
@@ -138,14 +139,14 @@
 		st.ctx = outer
 		te, re := st.send(1, "draft", "key", false)
 		if re != nil || te.String() != "draft" || st.executions() != 1 {
-			t.Errorf("%v, %q, ran %d times", re, te.String(), st.executions())
+			t.Errorf("retry: %v, response %q, %d executions", re, te.String(), st.executions())
 		}
 	})
 }
 
-// A switch fails: the routers lose the agents of a zone, not those agents the
-// KV or each other. Callers are served by the other zones, nothing runs twice,
-// and when the switch is back its agents get work again.
+// A switch failure partitions the agents of one zone from the routers, but not from the KV or each
+// other. Callers must be served by the other zones, no keyed request may run twice, and the zone's
+// agents must get calls again after the partition heals.
 func TestZonePartitionedFromRouters(t *testing.T) {
 	runHarness(t, 6, func(st *harness) {
 		cut := func(broken bool) {
@@ -160,7 +161,7 @@
 		cut(true)
 		st.runCallers(6, 15*time.Second)
 		if st.counts[core.Whole] < 100 || st.counts[core.NotRun]+st.counts[core.Failed] > 0 {
-			t.Errorf("while cut: %v", st.counts)
+			t.Errorf("outcomes during the partition: %v", st.counts)
 		}
 		st.checkAudit("cut")
 		cut(false)
@@ -168,12 +169,13 @@
 		before := st.zoneExecutions("zone-1")
 		st.runCallers(6, 15*time.Second)
 		if st.zoneExecutions("zone-1") == before {
-			t.Error("the zone's agents got no work again")
+			t.Error("the zone's agents got no calls after the partition healed")
 		}
 		st.checkAudit("healed")
 	})
 }
 
+// zoneExecutions returns how many calls the engines of a zone have run.
 func (st *harness) zoneExecutions(zone core.Zone) int {
 	sum := 0
 	for _, me := range st.fl.All() {
@@ -184,8 +186,8 @@
 	return sum
 }
 
-// An engine breaks off every answer. Chats, which may repeat, are answered by
-// others; a call that may not repeat fails with the reason and runs once.
+// Two engines truncate every response. A non-idempotent request that hits one of them must fail with
+// the reason CutShort and must run only once.
 func TestEngineTruncatesResponses(t *testing.T) {
 	runHarness(t, 7, func(st *harness) {
 		broken := map[core.VMID]bool{}
@@ -201,23 +203,22 @@
 				t.Errorf("%v", re)
 			}
 			if re == nil && te.String() != nonce {
-				t.Errorf("answer %q", te.String())
+				t.Errorf("wrong response %q", te.String())
 			}
 			if re != nil {
 				failed++
 			}
 		}
 		if failed == 0 || st.executions() != 40 {
-			t.Errorf("%d failed, %d ran of 40", failed, st.executions())
+			t.Errorf("%d requests failed, %d executions of 40", failed, st.executions())
 		}
 	})
 }
 
-// A hot engine's context is wanted while its pool is far below it: the cap sends
-// the chats on, and no engine is given work beyond LoadFactor times the mean and
-// four calls, seen at the gates themselves: one that an engine below the mean may
-// always take, the rest for figures of the others that are up to a second old.
-// Without the cap it is over ten.
+// Callers send many chats at once. The load cap must divert them from engines that are far above the
+// pool's mean: no engine's load, read at its gate, may exceed LoadFactor times the mean by more than
+// four calls. One of the four is the call that an engine below the mean always admits; the others
+// allow for peers' loads that are up to a second old. Without the cap the excess is over ten calls.
 func TestLoadCapHolds(t *testing.T) {
 	runHarness(t, 8, func(st *harness) {
 		stop, cancel := context.WithCancel(st.ctx)
@@ -227,15 +228,15 @@
 		cancel()
 		const oneCall = 30 + 25
 		if excess := <-worst; excess > 4*oneCall {
-			t.Errorf("an engine stood %.0f beyond the cap", excess)
+			t.Errorf("an engine's load exceeded the cap by %.0f, more than four calls", excess)
 		}
 		st.checkAudit("cap")
 	})
 }
 
-// maxOverCap is the most that a gate's load stood above the larger of FloorWork and
-// 1.25 times the true mean, whenever that mean was not falling: what was within
-// the cap when it was admitted may stand above it when others finish first.
+// maxOverCap returns the largest excess of a gate's load over the cap, which is the larger of FloorWork
+// and 1.25 times the true mean. It ignores moments when the mean falls: load that was within the cap
+// when it was admitted may exceed it when other engines finish first.
 func (st *harness) maxOverCap(ctx context.Context) float64 {
 	worst, last := 0.0, 0.0
 	for st.fl.Clock.Sleep(ctx, 5*time.Millisecond) == nil {
@@ -255,8 +256,8 @@
 	return worst
 }
 
-// Returning chats find their context again after the pool has changed: the agents
-// that hold it tell the new homes.
+// Agents join the pool and become the homes of existing chats. Returning chats must still find their
+// cached contexts, because the agents that hold them notify the new homes.
 func TestContextFoundAfterJoin(t *testing.T) {
 	runHarness(t, 9, func(st *harness) {
 		const chats = 60
@@ -279,19 +280,20 @@
 			st.send(n%3, fmt.Sprint(n), "", true)
 		}
 		if extra := cached() - before; extra > chats/20 {
-			t.Errorf("%d of %d chats were prefilled anew", extra, chats)
+			t.Errorf("%d of %d chats were prefilled again", extra, chats)
 		}
 	})
 }
 
+// cachedContexts returns the number of contexts in an agent's directory.
 func cachedContexts(me *inmem.Member) int {
 	held, _, _ := me.Agent.Book.Sizes()
 	return held
 }
 
-// An agent leaves; routers know, the other agents' lists lag. An agent that is
-// asked for a chat without having its context points to the one that left. The
-// router does not give up with "held elsewhere" but has the chat run where it is.
+// Routers know that some agents are draining, but the other agents' lists lag. An agent without a
+// chat's context redirects to a draining one. The router must not fail with HeldElsewhere but have
+// the agent run the chat itself.
 func TestPointerToDrainingAgent(t *testing.T) {
 	runHarness(t, 10, func(st *harness) {
 		live := st.fl.LiveAgents()
@@ -314,16 +316,16 @@
 	})
 }
 
-// A chat runs on an agent that dies; it may repeat, so the router tries others,
-// which are all leaving and refuse as not run. The caller must not be told "not
-// run": the first attempt did (history of seed 817761, one in some 2,000).
+// An agent crashes while it runs an idempotent request. The router retries on other agents, which are
+// all draining and refuse with NotRun. The caller must not get NotRun, as the first attempt ran.
+// Found by the random history of seed 817761; one in some 2,000 histories shows it.
 func TestLaterRefusalDoesNotHideExecution(t *testing.T) {
 	runHarness(t, 15, func(st *harness) {
 		var asked sync.WaitGroup
 		asked.Go(func() {
 			_, re := st.send(0, "chat", "", true)
 			if re == nil || re.Outcome != core.Unknown {
-				t.Errorf("told %v", re)
+				t.Errorf("got %v, want Unknown", re)
 			}
 		})
 		time.Sleep(50 * time.Millisecond)
@@ -336,7 +338,7 @@
 		}
 		asked.Wait()
 		if st.executions() != 1 {
-			t.Errorf("ran %d times: this shows nothing", st.executions())
+			t.Errorf("%d executions, want 1: the test proves nothing", st.executions())
 		}
 	})
 }
--- a/core/trial/history_test.go
+++ b/core/trial/history_test.go
@@ -19,21 +19,23 @@
 	"almondrill/io/stand/kvsrv"
 )
 
-// explore runs histories of new seeds, such as -explore 100.
-var explore = flag.Int("explore", 0, "check this many histories of new seeds")
+// explore is the number of random histories to run in addition to those of the fixed seeds, for example
+// with -explore 100.
+var explore = flag.Int("explore", 0, "number of additional histories with random seeds")
 
-// harness is a small fleet with an audit, for tests of failures.
+// harness runs a small fleet with an audit of what callers got and what engines ran.
 type harness struct {
 	t     *testing.T
 	fl    *inmem.Fleet
 	audit *audit.Audit
 	ctx   context.Context
-	phase int // tells apart the requests of several calls of callers
+	phase int // makes nonces unique across calls of runCallers
 
 	mu     sync.Mutex // guards counts
 	counts map[core.Outcome]int
 }
 
+// runHarness runs a test on a fleet of 3 routers and 6 agents in virtual time.
 func runHarness(t *testing.T, seed uint64, test func(st *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -54,27 +56,27 @@
 			t.Fatal(err)
 		}
 		test(st)
-		// Keepers end what they have begun.
+		// Let the owners of claim shards finish what they have started.
 		cancel()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// response collects an answer.
+// response is a sink that collects a response.
 type response struct {
 	strings.Builder
 	whole bool
 }
 
-// Send takes a part.
+// Send appends a part.
 func (te *response) Send(pa *core.Part) error {
 	te.Write(pa.Data)
 	te.whole = te.whole || pa.End
 	return nil
 }
 
-// send sends a request through a router and returns its answer and end. One that
-// may not repeat need not have a key.
+// send sends a request through a router and returns its response and, if it failed, the refusal. A
+// non-idempotent request need not have a key.
 func (st *harness) send(from int, nonce string, key core.IdemKey, repeat bool) (*response, *core.Refusal) {
 	me := st.fl.RouterAt(from)
 	te := &response{}
@@ -94,7 +96,8 @@
 	return te, core.AsRefusal(err, "", "")
 }
 
-// recordOutcome takes in the ends of all attempts that a caller made at one request.
+// recordOutcome records the results of all tries of a caller at one request in the audit and counts
+// the best outcome.
 func (st *harness) recordOutcome(nonce string, answers []*response, refusals []*core.Refusal) {
 	best, allNotRun := core.Unknown, true
 	for ix, response := range answers {
@@ -104,7 +107,7 @@
 		} else {
 			st.audit.Got(nonce, response.String())
 			if !response.whole {
-				st.t.Errorf("%s: no end mark, but told whole", nonce)
+				st.t.Errorf("%s: success reported without the end mark", nonce)
 			}
 		}
 		best = min(best, outcome)
@@ -118,6 +121,7 @@
 	st.counts[best]++
 }
 
+// checkAudit fails the test if the audit found violations of the guarantees.
 func (st *harness) checkAudit(what string) {
 	st.t.Helper()
 	if bad := st.audit.Counts(); bad != (audit.Counts{}) {
@@ -125,8 +129,8 @@
 	}
 }
 
-// runCallers has that many callers send chats and drafts for d. A draft goes through
-// two routers at once, and again if its end is unknown.
+// runCallers runs count callers, which send chats without and drafts with an idempotency key, for the
+// duration d.
 func (st *harness) runCallers(count int, d time.Duration) {
 	st.phase++
 	phase, end := st.phase, time.Now().Add(d)
@@ -149,6 +153,8 @@
 	all.Wait()
 }
 
+// sendDraft sends a request with an idempotency key through two routers at once, and if both tries
+// fail a third time through another router.
 func (st *harness) sendDraft(nonce string, ra core.Rand) {
 	answers, refusals := make([]*response, 3), make([]*core.Refusal, 3)
 	first := int(ra.Uint64() % 3)
@@ -166,7 +172,7 @@
 	st.recordOutcome(nonce, answers[:count], refusals[:count])
 }
 
-// injectFaults makes failures at random, two at once at times, until ctx ends.
+// injectFaults injects random faults until ctx ends. Several may be active at a time.
 func (st *harness) injectFaults(ctx context.Context, ra core.Rand) {
 	fl := st.fl
 	for round := 0; fl.Clock.Sleep(ctx, time.Duration(300+ra.Uint64()%700)*time.Millisecond) == nil; round++ {
@@ -190,12 +196,12 @@
 			if len(live) > 3 {
 				one.Kill()
 				fl.SetState(one, core.VMGone)
-				// The same VM comes back as a new process.
+				// The same VM returns with a new process.
 				fl.AddAgent(string(one.ID), round)
 			}
 		case 6:
 			if len(live) > 3 {
-				// Marked by the list alone, or leaving with care.
+				// Either only marked in the VM list or shut down gracefully as well.
 				if fl.SetState(one, core.VMDraining); round%2 == 0 {
 					fl.Leave(one, 1<<20)
 				}
@@ -210,10 +216,10 @@
 	fl.Net.Lose(0)
 }
 
-// Editors send drafts, readers chat, while VMs die, return, leave and join, ways
-// are cut, answers are lost and the KV fails, often two of these at once. No
-// draft runs twice, no caller gets another's answer or a cut one as whole, and
-// what is called not run has not run.
+// Callers send requests with and without idempotency keys while VMs crash, return, drain and join,
+// connections are cut, replies are lost and the KV fails, often several of these at a time. No keyed
+// request may run twice, no caller may get another's response or a truncated one as complete, and a
+// request that is reported as NotRun must not have run.
 func TestGuaranteesHoldUnderFailures(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5, 6}
 	for range *explore {
@@ -227,7 +233,7 @@
 			stop()
 			st.checkAudit(fmt.Sprint("seed ", seed))
 			if st.counts[core.Whole] < 100 || st.counts[core.NotRun]+st.counts[core.Unknown]+st.counts[core.Failed] == 0 {
-				t.Errorf("seed %d: %v: this history shows little", seed, st.counts)
+				t.Errorf("seed %d: %v: too few successes or no failures, the history proves little", seed, st.counts)
 			}
 		})
 	}
--- a/core/trial/leave_test.go
+++ b/core/trial/leave_test.go
@@ -11,7 +11,7 @@
 	"almondrill/io/stand/inmem"
 )
 
-// cachedTurn sends a turn of a chat and returns how many tokens were cached.
+// cachedTurn sends a turn of a chat and returns how many prompt tokens the engine had cached.
 func (st *harness) cachedTurn(chat string, prompt core.Tokens) core.Tokens {
 	st.t.Helper()
 	me := st.fl.RouterAt(0)
@@ -29,8 +29,8 @@
 	return rep.Cached
 }
 
-// shutDownOne has chats served, lets one agent leave with at most that many bytes of
-// contexts, and returns how many of its chats found their context afterwards.
+// shutDownOne serves chats, shuts one agent down with at most maxBytes of contexts handed over, and
+// returns how many of its chats found their context afterwards.
 func (st *harness) shutDownOne(maxBytes core.Bytes) (found, of int) {
 	const chats = 60
 	for n := range chats {
@@ -54,8 +54,8 @@
 	return found, len(own)
 }
 
-// A VM is replaced on an ordinary day. The pupils whose chats its engine held ask
-// on, and find their context at the next home; nothing is prefilled anew.
+// An agent shuts down. The chats whose contexts its engine had cached must find them at their next
+// home, without another prefill.
 func TestDrainingAgentHandsOverContexts(t *testing.T) {
 	runHarness(t, 41, func(st *harness) {
 		if found, of := st.shutDownOne(1 << 20); found != of || of < 5 {
@@ -64,19 +64,19 @@
 	})
 }
 
-// The same, but the operator allows few bytes. The agent leaves all the same, and
-// the chats used last have moved.
+// An agent shuts down with a low limit on handed-over bytes. The shutdown must complete, with some
+// of the contexts handed over.
 func TestHandoverIsBounded(t *testing.T) {
 	runHarness(t, 41, func(st *harness) {
-		// A context is a few bytes here; some are under way when the bound is met.
+		// A context has only a few bytes here; some are in transit when the limit is reached.
 		if found, of := st.shutDownOne(8); found == 0 || found == of {
 			t.Errorf("%d of %d chats found their context", found, of)
 		}
 	})
 }
 
-// An agent is the home of chats that others serve, and leaves. The next home gets
-// its pointers, so that those chats still find the context where it is.
+// An agent that is the home of chats which other agents serve shuts down. The next home must get its
+// pointers, so that the chats still find their contexts.
 func TestDrainingAgentHandsOverPointers(t *testing.T) {
 	runHarness(t, 42, func(st *harness) {
 		live := st.fl.LiveAgents()
@@ -90,12 +90,12 @@
 				return
 			}
 		}
-		t.Error("no agent has the pointer")
+		t.Error("no agent has the pointer after the shutdown")
 	})
 }
 
-// A translator's answer is being written when the agent begins to leave. It is
-// finished here, and its context follows the others afterwards.
+// A response is in progress when the agent's shutdown starts. It must be completed, and its context
+// must then be handed over like the others.
 func TestLastContextIsHandedOver(t *testing.T) {
 	runHarness(t, 43, func(st *harness) {
 		st.cachedTurn("chat", 400)
@@ -110,7 +110,7 @@
 		st.fl.Leave(holder, 1<<20)
 		time.Sleep(5 * time.Second)
 		if cached := st.cachedTurn("chat", 2100); cached < 2000 {
-			t.Errorf("%d tokens of the context were found", cached)
+			t.Errorf("%d tokens were cached, want at least 2000", cached)
 		}
 	})
 }
--- a/core/trial/orders_test.go
+++ b/core/trial/orders_test.go
@@ -18,7 +18,7 @@
 	"almondrill/io/stand/wstore"
 )
 
-// rollout is a fleet whose pool declares a version, and its weight store.
+// rollout is a harness whose pool declares a model version, with a fake weight store.
 type rollout struct {
 	*harness
 	store   *wstore.Store
@@ -26,7 +26,7 @@
 	minimum int
 }
 
-// runRollout starts a pool of engines that all have version v1 of the model.
+// runRollout runs a test in virtual time on a pool whose engines all have version v1 of the model.
 func runRollout(t *testing.T, seed uint64, agents, minimum int, test func(ro *rollout)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { startRollout(t, seed, agents, minimum, test) })
@@ -50,11 +50,11 @@
 	if err := ro.fl.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	// By then somebody holds the lease.
+	// By then a router holds the lease.
 	time.Sleep(30 * time.Second)
 	test(ro)
 	cancel()
-	// An order's own time to run is the longest that anything here waits.
+	// The time limit of an order is the longest wait of any goroutine here.
 	time.Sleep(30 * time.Minute)
 }
 
@@ -77,7 +77,7 @@
 
 const modelName = "m"
 
-// declare has a version accepted through a router.
+// declare commits a document with the version through a router.
 func (ro *rollout) declare(from int, version string) {
 	ro.t.Helper()
 	me := ro.fl.RouterAt(from)
@@ -93,7 +93,7 @@
 	}
 }
 
-// enginesAt counts the engines that have the version loaded.
+// enginesAt returns the number of engines that have the version loaded.
 func (ro *rollout) enginesAt(version string) int {
 	count := 0
 	for _, en := range ro.engines {
@@ -104,7 +104,7 @@
 	return count
 }
 
-// serving counts the agents whose endpoint takes calls.
+// serving returns the number of agents whose endpoint is not paused.
 func (ro *rollout) serving() int {
 	count := 0
 	for _, me := range ro.fl.All() {
@@ -115,7 +115,7 @@
 	return count
 }
 
-// waitUntil waits for a condition and returns how long it took.
+// waitUntil waits for a condition, at most for limit, and returns how long it waited.
 func (ro *rollout) waitUntil(limit time.Duration, done func() bool) time.Duration {
 	start := time.Now()
 	for !done() && time.Since(start) < limit {
@@ -124,23 +124,23 @@
 	return time.Since(start)
 }
 
-// checkFences checks that no engine was given an order of an earlier holder after
-// one of a later holder, and that none cut a call off.
+// checkFences checks that no engine ran an order of an earlier lease holder after one of a later
+// holder, and that no order interrupted a call.
 func (ro *rollout) checkFences() {
 	ro.t.Helper()
 	for ix, en := range ro.engines {
 		fences, interrupted := en.Fences()
 		if !slices.IsSorted(fences) {
-			ro.t.Errorf("engine %d ran orders numbered %v", ix, fences)
+			ro.t.Errorf("engine %d ran orders with fences %v, want nondecreasing ones", ix, fences)
 		}
 		if interrupted > 0 {
-			ro.t.Errorf("engine %d cut off %d calls", ix, interrupted)
+			ro.t.Errorf("engine %d: orders interrupted %d calls", ix, interrupted)
 		}
 	}
 }
 
-// A new version is declared on a busy pool of six. The weight store bears two
-// loads at a time; four engines must go on serving. Callers notice nothing.
+// A new version is declared for a busy pool of six engines. The weight store serves two loads at a
+// time, and at least four engines must keep serving. Callers must not get errors.
 func TestVersionRollsUnderLoad(t *testing.T) {
 	runRollout(t, 21, 6, 4, func(ro *rollout) {
 		minServing := len(ro.engines)
@@ -160,20 +160,19 @@
 			t.Errorf("%d of %d engines have the new version", ro.enginesAt("v2"), len(ro.engines))
 		}
 		if minServing < 4 || minServing == len(ro.engines) {
-			t.Errorf("at least %d engines were serving", minServing)
+			t.Errorf("the minimum number of serving engines was %d, want 4 or 5", minServing)
 		}
 		if ro.counts[core.Failed]+ro.counts[core.Unknown] > 0 || ro.counts[core.Whole] == 0 {
-			t.Errorf("ends of calls: %v", ro.counts)
+			t.Errorf("outcomes of calls: %v", ro.counts)
 		}
 		ro.checkFences()
 		ro.checkAudit("roll")
 	})
 }
 
-// The holder of the lease decides on orders and is paused before it sends them.
-// Its lease lapses, another router takes over, the operator rolls the pool back,
-// and an agent is replaced by one that remembers nothing. Then the old orders
-// arrive, at engines that do not check their numbers: none may run.
+// The lease holder decides on orders and is paused before it sends them. Its lease expires, another
+// router takes over, the operator rolls the pool back, and agents are restarted without state. Then
+// the old orders arrive, at engines that do not check fences: the agents must refuse them.
 func TestOrdersOfPausedHolderAreRefused(t *testing.T) {
 	runRollout(t, 22, 4, 1, func(ro *rollout) {
 		holder := ro.leaseHolder()
@@ -188,29 +187,29 @@
 		ro.declare(1, "v1")
 		ro.waitUntil(2*time.Minute, func() bool { return ro.enginesAt("v2") == 0 })
 		if successor := ro.leaseHolder(); successor == nil || successor == holder {
-			t.Fatal("nobody took over: this shows nothing")
+			t.Fatal("no other router acquired the lease: the test proves nothing")
 		}
 		for ix := range ro.engines {
 			ro.restart(ix)
 		}
 		time.Sleep(3 * time.Minute)
 		if ro.enginesAt("v1") != len(ro.engines) {
-			t.Errorf("%d engines have the version declared", ro.enginesAt("v1"))
+			t.Errorf("only %d engines have the declared version", ro.enginesAt("v1"))
 		}
 		ro.checkFences()
 	})
 }
 
-// restart replaces an agent by a new process beside the same engine.
+// restart replaces an agent with a new process for the same engine.
 func (ro *rollout) restart(ix int) {
 	name := fmt.Sprintf("agent-%04d", ix)
 	ro.fl.AgentAt(core.VMID(name)).Kill()
 	ro.fl.AddAgent(name, ix)
 }
 
-// The holder's budget for control messages is nearly used up by other messages.
-// Orders go out as the budget allows; none is reported as refused by an agent
-// that it never reached, and the version still rolls.
+// Other messages nearly use up the lease holder's budget for control messages. Orders must be sent as
+// the budget allows, none may be reported as refused by an agent that it never reached, and the
+// rollout must complete.
 func TestOrdersWaitForControlBudget(t *testing.T) {
 	runRollout(t, 23, 8, 1, func(ro *rollout) {
 		holder := ro.leaseHolder()
@@ -227,11 +226,12 @@
 		ro.waitUntil(10*time.Minute, func() bool { return ro.enginesAt("v2") == len(ro.engines) })
 		stop()
 		if ro.enginesAt("v2") != len(ro.engines) || holder.OrdersRefused.Load() > 0 {
-			t.Errorf("%d engines rolled, %d orders refused", ro.enginesAt("v2"), holder.OrdersRefused.Load())
+			t.Errorf("%d engines have the new version, %d orders were refused", ro.enginesAt("v2"), holder.OrdersRefused.Load())
 		}
 	})
 }
 
+// leaseHolder returns the router that holds the lease for giving orders, or nil.
 func (ro *rollout) leaseHolder() *inmem.Member {
 	for _, me := range ro.fl.All() {
 		if me.Control == nil {
@@ -244,10 +244,10 @@
 	return nil
 }
 
-// A version is declared that crashes each engine that loads it; the engine is back half a
-// minute later with what it had. Given on to the next engine each time, the order takes the
-// pool down to its Minimum for as long as the version stands: what fails is the order, not the
-// engine. The next version, which is sound, rolls at once.
+// A declared version crashes each engine that loads it; the engine returns half a minute later with
+// the previous version. If the order were given to one engine after the other, the pool would stay
+// at its Minimum for as long as the version is declared. The order must be given up after a few
+// crashes, and the next version, which works, must roll out at once.
 func TestCrashingVersionIsNotRolledOut(t *testing.T) {
 	t.Run("while it is loaded", func(t *testing.T) { testCrashingVersion(t, 24, false) })
 	t.Run("once it is loaded", func(t *testing.T) { testCrashingVersion(t, 25, true) })
@@ -266,21 +266,20 @@
 			crashes += en.CrashCount()
 		}
 		if crashes == 0 || crashes > maxCrashes {
-			t.Errorf("%d crashes of engines in five minutes, want one to %d", crashes, maxCrashes)
+			t.Errorf("%d engine crashes in five minutes, want 1 to %d", crashes, maxCrashes)
 		}
 		ro.declare(0, "good")
 		took := ro.waitUntil(20*time.Minute, func() bool { return ro.enginesAt("good") == len(ro.engines) })
 		if took > 5*time.Minute {
-			t.Errorf("the next version is on %d of %d engines after %s", ro.enginesAt("good"), len(ro.engines), took)
+			t.Errorf("%d of %d engines have the next version after %s", ro.enginesAt("good"), len(ro.engines), took)
 		}
 		ro.checkFences()
 	})
 }
 
-// Operators change the version every half minute while routers are paused in
-// turn, the KV fails and loses answers, and agents are replaced. No engine runs
-// an order after one with a higher number; once all is well again, every engine
-// has what is declared.
+// Operators change the version about every half minute while routers are paused in turn, the KV fails
+// and loses replies, and agents are restarted. No engine may run an order after one with a higher
+// fence, and after the faults have ended every engine must have the declared version.
 func TestOrderHistories(t *testing.T) {
 	seeds := []uint64{31, 32, 33}
 	for range *explore {
@@ -290,14 +289,14 @@
 		runRollout(t, seed, 4, 2, func(ro *rollout) {
 			ro.orderHistory(clock.NewRand(seed))
 			if ro.enginesAt("last") != len(ro.engines) {
-				t.Errorf("seed %d: %d engines have the version declared last", seed, ro.enginesAt("last"))
+				t.Errorf("seed %d: only %d engines have the last declared version", seed, ro.enginesAt("last"))
 			}
 			ro.checkFences()
 		})
 	}
 }
 
-// orderHistory goes through ten minutes of faults.
+// orderHistory runs 20 rounds of version changes and faults.
 func (ro *rollout) orderHistory(ra core.Rand) {
 	kinds := []kvsrv.Faults{{}, {Down: true}, {LoseAnswers: 0.5}, {Delay: 200 * time.Millisecond}}
 	for turn := range 20 {
@@ -321,8 +320,8 @@
 	ro.waitUntil(20*time.Minute, func() bool { return ro.enginesAt("last") == len(ro.engines) })
 }
 
-// pause has the holder decide on orders that arrive only after d, by when its
-// lease has often lapsed, as it cannot renew it either.
+// pause delays the orders that the holder sends by d and cuts it off from the KV, so that its lease
+// has often expired when they arrive.
 func (ro *rollout) pause(holder *inmem.Member, d time.Duration, turn int) {
 	ro.resume()
 	ro.fl.Net.PauseOrders(holder.ID, d)
@@ -336,7 +335,7 @@
 	holder.KVCut.Store(true)
 }
 
-// resume lets all routers go on.
+// resume ends the pauses of all routers.
 func (ro *rollout) resume() {
 	for ix := range 3 {
 		ro.fl.Net.PauseOrders(ro.fl.RouterAt(ix).ID, 0)
@@ -349,10 +348,9 @@
 	return time.Duration(ra.Uint64() % uint64(limit))
 }
 
-// BenchmarkRoll rolls a version over a pool, of which nine in ten are to go on
-// serving and whose weight store bears two loads of 20 s at a time: how much
-// longer it took than the store needs, what the store refused for each load, and
-// the KV's calls for each engine.
+// BenchmarkRoll rolls out a version on a pool in which nine of ten engines must keep serving, with a
+// weight store that serves two loads of 20 s at a time. It reports the time relative to what the
+// store needs, the loads that the store refused per completed load, and KV calls per second.
 func BenchmarkRoll(b *testing.B) {
 	for _, agents := range []int{20, 40, 80} {
 		b.Run(fmt.Sprint("own/engines=", agents), func(b *testing.B) {
--- a/core/trial/policy_test.go
+++ b/core/trial/policy_test.go
@@ -13,10 +13,10 @@
 	"almondrill/io/stand/inmem"
 )
 
-// engineProfile is a size of engines and of the answers they give.
+// engineProfile describes the capacity of engines and the size of their responses.
 type engineProfile struct {
 	name string
-	// saturationRate is the requests a second at which an engine's slots are all busy.
+	// saturationRate is the rate, in requests per second, at which all slots of an engine are busy.
 	saturationRate float64
 	slots          int
 	output         core.Tokens
@@ -26,9 +26,9 @@
 
 const engineCount = 24
 
-// smallProfile is like today's workers, some dozen calls at a time; large is like the
-// target's, where 25,000 requests and 7 million tokens a second over 2,100
-// workers come to 12 requests a second and nearly 200 calls at a time for each.
+// smallProfile resembles today's engines with some dozen concurrent calls. largeProfile resembles
+// those of the target deployment, where 25,000 requests and 7 million tokens per second on 2,100
+// engines make 12 requests per second and nearly 200 concurrent calls for each engine.
 var (
 	smallProfile = engineProfile{
 		name: "small", saturationRate: 11.9, slots: 32, output: 100, floor: 1000,
@@ -55,11 +55,11 @@
 	policy     policy
 	loadFactor float64
 	reuseBias  float64
-	// headroom is the part of slots kept for customers within their share.
+	// headroom is the fraction of slots reserved for customers within their share.
 	headroom float64
 }
 
-// uncapped takes the cap away from baselines.
+// uncapped is a load factor that disables the load cap, for baselines.
 const uncapped = 100
 
 var variants = []variant{
@@ -87,8 +87,8 @@
 	}
 }
 
-// BenchmarkReuse: Zipf chats at 85 % load while engines join, leave and flap and
-// half of the processes see the list 5 s late.
+// BenchmarkReuse measures the reuse of cached contexts by Zipf-distributed chats at 85 % load, while
+// engines join, drain and restart and half of the processes see the VM list 5 s late.
 func BenchmarkReuse(b *testing.B) {
 	eachVariant(b, func(b *testing.B, re engineProfile, va variant) {
 		for b.Loop() {
@@ -120,7 +120,7 @@
 	return wl
 }
 
-// churnAgents lets, by turns, one engine leave, one join and one flap.
+// churnAgents, in turn, drains one agent, adds one and restarts one.
 func churnAgents(ctx context.Context, fl *inmem.Fleet) {
 	for round := 0; fl.Clock.Sleep(ctx, 10*time.Second) == nil; round++ {
 		live := fl.LiveAgents()
@@ -140,9 +140,9 @@
 	}
 }
 
-// BenchmarkLeave: every ten seconds an engine leaves with care and a cold one
-// joins, at 60 % load; with and without handing contexts on. Reuse counts all
-// returning chats, whose contexts were lost or not.
+// BenchmarkLeave measures the reuse of cached contexts at 60 % load while every ten seconds an agent
+// shuts down gracefully and one with an empty cache joins, with and without handover of contexts.
+// Reuse is counted over all returning chats, also those whose contexts were lost.
 func BenchmarkLeave(b *testing.B) {
 	for _, re := range []engineProfile{largeProfile, smallProfile} {
 		for _, handOver := range []bool{true, false} {
@@ -173,7 +173,7 @@
 	return wl
 }
 
-// replaceAgents lets the engines leave one after another, each for a cold one.
+// replaceAgents replaces one agent after the other by one with an empty cache.
 func replaceAgents(ctx context.Context, fl *inmem.Fleet, handOver bool) {
 	for round := 0; fl.Clock.Sleep(ctx, 10*time.Second) == nil; round++ {
 		fl.AddAgent(fmt.Sprint("joiner-", round), round)
@@ -185,8 +185,8 @@
 	}
 }
 
-// BenchmarkSkew: two customers surge to four times their rate; the busiest
-// engine's load over the mean, at its worst moment and at p99.
+// BenchmarkSkew measures the ratio of the busiest engine's load to the mean, as maximum and p99, while
+// two customers surge to six times their rate.
 func BenchmarkSkew(b *testing.B) {
 	eachVariant(b, func(b *testing.B, re engineProfile, va variant) {
 		for b.Loop() {
@@ -200,7 +200,7 @@
 	})
 }
 
-// BenchmarkSurge: the other customers' p95 with the surge over that without.
+// BenchmarkSurge measures the ratio of the other customers' p95 latency during a surge to that without.
 func BenchmarkSurge(b *testing.B) {
 	eachVariant(b, func(b *testing.B, re engineProfile, va variant) {
 		for b.Loop() {
@@ -227,8 +227,8 @@
 	return quantile(times, 0.95)
 }
 
-// surgeRun has ten customers at 60 % load in all; for 20 s two of them send six
-// times as much.
+// surgeRun runs ten customers at a total of 60 % load. In a surge, two of them send six times as much
+// for 20 s.
 func surgeRun(t *testing.T, re engineProfile, va variant, surge bool) *workload {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -21,7 +21,8 @@
 	"almondrill/io/stand/kvsrv"
 )
 
-// bigSnapshot is a fleet of 2,100 agents in 14 pools of 150, as a router sees it.
+// bigSnapshot returns a router's snapshot of a fleet with the given number of agents in 14 pools. With
+// 2,100 agents each pool has 150.
 func bigSnapshot(b *testing.B, agents int) *board.Snapshot {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,7 +49,7 @@
 	return <-published
 }
 
-// BenchmarkPick: the choice for a chat in a pool of 150 in a fleet of 2,100.
+// BenchmarkPick measures the choice of an agent for a chat, in a pool of 150 in a fleet of 2,100.
 func BenchmarkPick(b *testing.B) {
 	po := bigSnapshot(b, 2100).Pools["pool-3"]
 	ra := clock.NewRand(1)
@@ -71,8 +72,8 @@
 	})
 }
 
-// BenchmarkAdmit: one call's passage through a gate that knows 1,600 customers
-// and 149 peers.
+// BenchmarkAdmit measures the admission and release of a call by a gate with 1,600 customers and 149
+// peers.
 func BenchmarkAdmit(b *testing.B) {
 	b.Run("own", func(b *testing.B) {
 		ta := &loads.Table{Clock: clock.Wall{}, Pool: poolID, Self: "self"}
@@ -103,8 +104,8 @@
 	})
 }
 
-// BenchmarkClaims: claims a second through a KV that takes 300 writes a second,
-// 64 keepers on as many agents, 5,000 claims a second offered.
+// BenchmarkClaims measures the throughput of claims with a KV that accepts 300 writes per second and
+// 64 shards, each with its own owner, at offered rates of up to 5,000 claims per second.
 func BenchmarkClaims(b *testing.B) {
 	for _, offered := range []int{250, 1250, 5000} {
 		b.Run(fmt.Sprint("own/offered=", offered), func(b *testing.B) {
@@ -160,7 +161,7 @@
 	b.ReportMetric(float64(failed), "failed")
 }
 
-// measureHeap is the heap that build leaves behind.
+// measureHeap returns the value that build returns and the growth of the heap in bytes.
 func measureHeap(build func() any) (any, float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -171,7 +172,7 @@
 	return kept, float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkMemory: bytes of heap for what grows with the fleet.
+// BenchmarkMemory measures the heap size of the data structures that grow with the fleet.
 func BenchmarkMemory(b *testing.B) {
 	measure := func(name string, count int, build func(count int) any) {
 		b.Run(fmt.Sprintf("%s/count=%d", name, count), func(b *testing.B) {
@@ -220,8 +221,7 @@
 	return ke
 }
 
-// discard keeps nothing of what it is given, so that only the keeper's own
-// memory counts.
+// discard is a KV whose Put stores nothing, so that only the memory of the claim shard's owner counts.
 type discard struct{ core.KV }
 
 func (discard) Put(context.Context, string, []byte, core.Version, core.LeaseID) (core.Version, error) {
--- a/core/trial/work_test.go
+++ b/core/trial/work_test.go
@@ -20,8 +20,8 @@
 
 const poolID core.PoolID = "chat"
 
-// inBubble runs f on virtual time within a benchmark. The package synctest only
-// takes a *testing.T, which RunTests provides.
+// inBubble runs f in a synctest bubble, on virtual time, within a benchmark. synctest.Test requires a
+// *testing.T, which testing.RunTests provides.
 func inBubble(b *testing.B, f func(t *testing.T)) {
 	b.Helper()
 	all := func(_, _ string) (bool, error) { return true, nil }
@@ -35,22 +35,24 @@
 	return &decl.Document{Customers: customers, Pools: []decl.Pool{{Name: poolID, Model: "m", Limits: li, ReuseBias: bias}}}
 }
 
-// workload is an open-loop stream of chats' turns.
+// workload generates turns of chats at a given rate, as an open loop.
 type workload struct {
 	fl *inmem.Fleet
-	// policy routes; nil is the product's own router.
+	// policy chooses the agents; nil means the product's own router.
 	policy policy
 	ra     *rand.Rand
 	chats  int
-	// rate is the rate of requests.
+	// rate is in requests per second.
 	rate  float64
 	turns map[string]int
 
-	mu        sync.Mutex // guards all below
-	returning int
-	possible  int
-	hits      int
-	// possibleHits counts those found whose context existed when they came.
+	mu sync.Mutex // guards all below
+	// returning counts the served turns of returning chats, possible those whose context was in some
+	// engine's cache when they were sent, hits those whose context was found, and possibleHits the
+	// hits among the possible ones.
+	returning          int
+	possible           int
+	hits               int
 	possibleHits       int
 	refused            int
 	reasons            map[core.Reason]int
@@ -61,7 +63,7 @@
 	pending            map[string]bool // chats whose last turn is not answered yet
 }
 
-// policy chooses the VM for a baseline, -1 for none.
+// policy chooses the VM for a call, as a baseline for the product's own routing.
 type policy func(wl *workload, me *inmem.Member, key uint64) core.VMID
 
 func newWorkload(fl *inmem.Fleet, seed uint64, po policy) *workload {
@@ -71,7 +73,8 @@
 	}
 }
 
-// run sends requests for d; sent asks for one request at a time.
+// run calls send for each request, at the workload's rate with exponentially distributed gaps, for the
+// duration d.
 func (wl *workload) run(ctx context.Context, d time.Duration, send func(wl *workload)) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
@@ -81,16 +84,16 @@
 	}
 }
 
-// zipfian draws a chat: popular ones return often, and the most popular makes up
-// about a hundredth of the requests.
+// zipfian draws a chat from a Zipf-like distribution, in which the most popular chat makes up about
+// 1 % of the requests.
 func (wl *workload) zipfian() int {
 	const flat = 60
 	top := math.Log(float64(wl.chats+flat) / flat)
 	return int(flat*math.Exp(wl.ra.Float64()*top)) - flat
 }
 
-// startTurn sends the next turn of one of the customer's chats from a random router.
-// Nobody asks again in a chat before the last answer has come.
+// startTurn sends the next turn of one of the customer's chats through a random router. It picks only
+// chats whose last turn has been answered.
 func (wl *workload) startTurn(ctx context.Context, all *sync.WaitGroup, cu core.CustomerID, output core.Tokens) {
 	name := wl.idleChat(cu)
 	wl.turns[name]++
@@ -175,8 +178,8 @@
 	return false
 }
 
-// sampleLoads records how far the busiest engine stands above the mean, while the
-// mean is above the floor under which the cap is not applied.
+// sampleLoads records the ratio of the busiest engine's load to the mean while the mean is at least
+// floor, below which the cap does not apply.
 func (wl *workload) sampleLoads(ctx context.Context, floor core.Work) {
 	for wl.fl.Clock.Sleep(ctx, 20*time.Millisecond) == nil {
 		var sum, highest core.Work
@@ -213,10 +216,10 @@
 
 func ratio(part, whole int) float64 { return float64(part) / math.Max(1, float64(whole)) }
 
-// firstPart takes an answer and notes when it began.
+// firstPart is a sink that records when the first part of a response arrived.
 type firstPart struct{ at time.Time }
 
-// Send notes the time of the first part.
+// Send records the time of the first part.
 func (fi *firstPart) Send(*core.Part) error {
 	if fi.at.IsZero() {
 		fi.at = time.Now()
@@ -224,14 +227,14 @@
 	return nil
 }
 
-// The baselines.
+// The functions below are the baseline policies.
 
 func hashPolicy(_ *workload, me *inmem.Member, key uint64) core.VMID {
 	po := me.Board.Snapshot().Pools[poolID]
 	return po.Members[ring.Best(po.Ring, key, po.EqualWeights)].VM
 }
 
-// leastLoadedPolicy knows what agents' answers have told the router, as routers do.
+// leastLoadedPolicy chooses the agent with the lowest current load.
 func leastLoadedPolicy(wl *workload, me *inmem.Member, _ uint64) core.VMID {
 	po := me.Board.Snapshot().Pools[poolID]
 	best := po.Members[0]
@@ -253,8 +256,8 @@
 	return one
 }
 
-// currentLoad gives the baselines better knowledge than they would have: the load as
-// it is now.
+// currentLoad returns an agent's exact load. Baselines would have only older reports in production, so
+// this favors them.
 func (wl *workload) currentLoad(vm core.VMID) core.Work {
 	if me := wl.fl.AgentAt(vm); me != nil {
 		return me.Agent.Slots[0].Gate().Load()
