--- a/core/trial/step_test.go
+++ b/core/trial/step_test.go
@@ -122,9 +122,9 @@
 	store := &kvsrv.Store{
 		Clock: clock.Wall{}, Rand: ra, Latency: 3 * time.Millisecond, WritesPerSecond: 300, ReadsPerSecond: 2000,
 	}
-	keepers := make([]*claim.Writer, shards)
-	for n := range keepers {
-		keepers[n] = &claim.Writer{
+	writers := make([]*claim.Writer, shards)
+	for n := range writers {
+		writers[n] = &claim.Writer{
 			KV: store, Clock: clock.Wall{}, Rand: ra, Shards: shards, Window: 15 * time.Minute,
 			WriteInterval: time.Second * shards / 270,
 		}
@@ -140,7 +140,7 @@
 			hash := claim.Hash("c", core.IdemKey(fmt.Sprint(n)))
 			by := core.Claimant{VM: core.VMID(fmt.Sprint("agent-", n%2100)), Incarnation: 1}
 			began := time.Now()
-			_, err := keepers[claim.ShardOf(hash, shards)].Claim(context.Background(), &core.Claim{Hash: hash, By: by})
+			_, err := writers[claim.ShardOf(hash, shards)].Claim(context.Background(), &core.Claim{Hash: hash, By: by})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/io/node/guard.go
+++ b/io/node/guard.go
@@ -12,16 +12,16 @@
 // send to agents.
 func (pr *Process) buildQuarantine() {
 	log := pr.Logs.Part("guard")
-	pr.ledger = &guard.Ledger{
+	pr.crashTracker = &guard.Ledger{
 		Peers: &guard.Fleet{Board: pr.board, Peers: pr.peers, Rand: pr.rand, Spent: pr.controlBucket.Spend, Log: log},
 		Store: &guard.KVStore{KV: pr.kv}, Stats: pr.Stats, Log: log,
 	}
-	pr.router.Crashes = pr.ledger
-	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.ledger.Hear(time.Now(), "peer", *no) }
+	pr.router.Crashes = pr.crashTracker
+	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.crashTracker.Hear(time.Now(), "peer", *no) }
 }
 
 // watchQuarantines keeps the ledger up to date with the quarantines in the KV until ctx ends.
 func (pr *Process) watchQuarantines(ctx context.Context) error {
 	store := &guard.KVStore{KV: pr.kv}
-	return store.Follow(ctx, pr.ledger, pr.clock, func() int { return len(pr.board.Snapshot().Routers) })
+	return store.Follow(ctx, pr.crashTracker, pr.clock, func() int { return len(pr.board.Snapshot().Routers) })
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -80,10 +80,10 @@
 	server          *rpc.Server
 	router          *router.Router
 	agent           *agent.Agent
-	orderGate       *order.Executor   // agents only
+	orderExecutor   *order.Executor   // agents only
 	orderController *order.Controller // routers only
-	ledger          *guard.Ledger     // routers only
-	followers       []*back.Follower
+	crashTracker    *guard.Ledger     // routers only
+	pollers         []*back.Follower
 	app             *kratos.App
 	logger          *zap.Logger
 	listeners       listeners
@@ -289,9 +289,9 @@
 	if pr.agent != nil {
 		loops = append(loops, pr.agent.Run)
 	} else {
-		loops = append(loops, pr.orderController.Run, pr.ledger.Run, pr.watchQuarantines)
+		loops = append(loops, pr.orderController.Run, pr.crashTracker.Run, pr.watchQuarantines)
 	}
-	for _, fo := range pr.followers {
+	for _, fo := range pr.pollers {
 		loops = append(loops, fo.Run)
 	}
 	for _, loop := range loops {
@@ -377,9 +377,9 @@
 	mux.HandleFunc("/healthz", func(wr http.ResponseWriter, _ *http.Request) { fmt.Fprintln(wr, "ok") })
 	mux.HandleFunc("/readyz", pr.readyz)
 	mux.Handle("/debug/vars", pr.Stats.Handler())
-	if pr.ledger != nil {
-		mux.Handle(guard.Path, pr.ledger.Handler())
-		mux.Handle(guard.Path+"/", pr.ledger.Handler())
+	if pr.crashTracker != nil {
+		mux.Handle(guard.Path, pr.crashTracker.Handler())
+		mux.Handle(guard.Path+"/", pr.crashTracker.Handler())
 	}
 	return pr.httpServer(pr.listeners.admin, mux)
 }
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -37,11 +37,11 @@
 	}
 }
 
-// buildOrderGate creates the component of an agent that carries out orders.
-func (pr *Process) buildOrderGate(endpoints []*back.Endpoint) {
+// buildOrderExecutor creates the component of an agent that carries out orders.
+func (pr *Process) buildOrderExecutor(endpoints []*back.Endpoint) {
 	logger := pr.Logs.Part("orders")
-	pr.orderGate = &order.Executor{KV: pr.kv, Clock: pr.clock, Self: pr.Settings.Name}
-	pr.orderGate.Ended = func(or *core.Order, re *core.Refusal) {
+	pr.orderExecutor = &order.Executor{KV: pr.kv, Clock: pr.clock, Self: pr.Settings.Name}
+	pr.orderExecutor.Ended = func(or *core.Order, re *core.Refusal) {
 		if re == nil {
 			pr.Stats.Add(stats.OrdersDone, 1)
 			logger.Info("An order was carried out.", orderFields(or, pr.Settings.Name)...)
@@ -55,10 +55,10 @@
 		if endpoints[ix].Engine {
 			se.Engine = endpoints[ix]
 		}
-		pr.orderGate.Endpoints = append(pr.orderGate.Endpoints, se)
+		pr.orderExecutor.Endpoints = append(pr.orderExecutor.Endpoints, se)
 	}
-	pr.server.Order = pr.orderGate.Order
-	pr.server.Inspect = pr.orderGate.States
+	pr.server.Order = pr.orderExecutor.Order
+	pr.server.Inspect = pr.orderExecutor.States
 }
 
 func orderFields(or *core.Order, vm core.VMID) []zap.Field {
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -52,10 +52,10 @@
 	}
 	pr.agent.Keys = pr.buildClaims()
 	pr.agent.Init()
-	pr.buildOrderGate(endpoints)
+	pr.buildOrderExecutor(endpoints)
 	for ix, ep := range endpoints {
 		if ep.Engine {
-			pr.followers = append(pr.followers, &back.Follower{
+			pr.pollers = append(pr.pollers, &back.Follower{
 				Endpoint: ep, Clock: pr.clock, Book: pr.agent.Book, Gate: pr.agent.Slots[ix].Gate(),
 				Failed: pr.logFailure("Polling an engine's cache events and load failed."),
 			})
@@ -80,15 +80,15 @@
 func (pr *Process) buildClaims() *claim.Keys {
 	se := pr.Settings
 	self := core.Claimant{VM: se.Name, Incarnation: pr.incarnation}
-	keeper := &claim.Writer{
+	writer := &claim.Writer{
 		KV: pr.kv, Clock: pr.clock, Rand: pr.rand, Shards: se.ClaimShards, Window: se.KeyWindow,
 		WriteInterval: time.Second * time.Duration(se.ClaimShards) / claimWritesPerSecond,
 	}
-	asker := &claim.Dispatcher{Board: pr.board, Peers: pr.peers, Clock: pr.clock, Writer: keeper, Self: self}
-	pr.server.Claim = keeper.Claim
+	dispatcher := &claim.Dispatcher{Board: pr.board, Peers: pr.peers, Clock: pr.clock, Writer: writer, Self: self}
+	pr.server.Claim = writer.Claim
 	return &claim.Keys{
 		Clock: pr.clock, Self: self, Window: se.KeyWindow, MaxBytes: maxReplayBytes, ClaimTimeout: claimTimeout,
-		Ask: asker.Claim, Alive: asker.Alive,
+		Ask: dispatcher.Claim, Alive: dispatcher.Alive,
 		Replayed: func() { pr.Stats.Add(stats.Replays, 1) },
 	}
 }
