--- a/io/node/guard.go
+++ b/io/node/guard.go
@@ -8,7 +8,7 @@
 	"almondrill/io/guard"
 )
 
-// buildQuarantine creates the ledger of requests that crash endpoints, which the router must not
+// buildQuarantine creates the tracker of requests that crash endpoints, which the router must not
 // send to agents.
 func (pr *Process) buildQuarantine() {
 	log := pr.Logs.Part("guard")
@@ -20,7 +20,7 @@
 	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.crashTracker.Hear(time.Now(), "peer", *no) }
 }
 
-// watchQuarantines keeps the ledger up to date with the quarantines in the KV until ctx ends.
+// watchQuarantines keeps the crash tracker up to date with the quarantines in the KV until ctx ends.
 func (pr *Process) watchQuarantines(ctx context.Context) error {
 	store := &guard.KVStore{KV: pr.kv}
 	return store.Follow(ctx, pr.crashTracker, pr.clock, func() int { return len(pr.board.Snapshot().Routers) })
--- a/io/node/orders.go
+++ b/io/node/orders.go
@@ -9,7 +9,7 @@
 	"almondrill/io/stats"
 )
 
-// buildOrderController creates the component of a router that gives orders to engines.
+// buildOrderController creates the component of a router that issues orders for engines.
 func (pr *Process) buildOrderController() {
 	logger := pr.Logs.Part("orders")
 	pr.orderController = &order.Controller{
@@ -28,7 +28,7 @@
 		},
 		Issued: func(gi order.Assignment) {
 			pr.Stats.Add(stats.OrdersGiven, 1)
-			logger.Info("An order was given.", orderFields(&gi.Order, gi.VM)...)
+			logger.Info("An order was issued.", orderFields(&gi.Order, gi.VM)...)
 		},
 		Refused: func(gi order.Assignment, re *core.Refusal) {
 			pr.Stats.Refuse(re.Reason)
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -76,7 +76,8 @@
 	claimTimeout = 3 * time.Second
 )
 
-// buildClaims creates the agent's table of idempotency keys and its owner of claim shards.
+// buildClaims creates the table of idempotency keys and the writer of the claim shards that the agent
+// owns.
 func (pr *Process) buildClaims() *claim.Keys {
 	se := pr.Settings
 	self := core.Claimant{VM: se.Name, Incarnation: pr.incarnation}
