--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent implements the process that runs on a VM next to its endpoints. Every call to
-// these endpoints passes through it, and it enforces the delivery guarantees: load caps,
-// idempotency keys and graceful draining.
+// these endpoints passes through it. It enforces the load cap, runs a call with an idempotency key at
+// most once, and drains without interrupting calls.
 //
 // # Concepts
 //
@@ -14,8 +14,8 @@
 // # Invariants
 //
 //   - A refusal with outcome NotRun is returned only before Endpoint.Do.
-//   - Admitting a call and counting it as in progress is one atomic step, so Drain waits for each
-//     call that was admitted before it.
+//   - Admitting a call and counting it as in progress is one atomic step, so Drain waits for every
+//     admitted call.
 //   - The memory used for chats and keys is bounded.
 //
 // # Usage
