--- a/core/trial/orders_test.go
+++ b/core/trial/orders_test.go
@@ -296,7 +296,7 @@
 	}
 }
 
-// orderHistory runs 20 rounds of version changes and faults.
+// orderHistory runs 20 rounds of version changes and faults, which take some ten minutes.
 func (ro *rollout) orderHistory(ra core.Rand) {
 	kinds := []kvsrv.Faults{{}, {Down: true}, {LoseAnswers: 0.5}, {Delay: 200 * time.Millisecond}}
 	for turn := range 20 {
