--- a/io/node/guard.go
+++ b/io/node/guard.go
@@ -8,18 +8,20 @@
 	"almondrill/io/deny"
 )
 
-// buildQuarantine makes what keeps a router from sending requests on that crash endpoints.
+// buildQuarantine creates the tracker of requests that crash endpoints, which the router must not
+// send to agents.
 func (pr *Process) buildQuarantine() {
 	log := pr.Logs.Part("guard")
-	pr.ledger = &deny.Tracker{
+	pr.crashTracker = &deny.Tracker{
 		Peers: &deny.BoardPeers{Board: pr.board, Peers: pr.peers, Rand: pr.rand, BytesSent: pr.controlBucket.Spend, Log: log},
 		Store: &deny.KVStore{KV: pr.kv}, Stats: pr.Stats, Log: log,
 	}
-	pr.router.Crashes = pr.ledger
-	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.ledger.ApplyNotice(time.Now(), "peer", *no) }
+	pr.router.Crashes = pr.crashTracker
+	pr.server.NotifyCrash = func(no *core.CrashNotice) { pr.crashTracker.ApplyNotice(time.Now(), "peer", *no) }
 }
 
+// watchQuarantines keeps the crash tracker up to date with the quarantines in the KV until ctx ends.
 func (pr *Process) watchQuarantines(ctx context.Context) error {
 	store := &deny.KVStore{KV: pr.kv}
-	return store.Watch(ctx, pr.ledger, pr.clock, func() int { return len(pr.board.Snapshot().Routers) })
+	return store.Watch(ctx, pr.crashTracker, pr.clock, func() int { return len(pr.board.Snapshot().Routers) })
 }
--- a/io/node/roles.go
+++ b/io/node/roles.go
@@ -18,7 +18,7 @@
 	"almondrill/io/stats"
 )
 
-// callersServer is a router's side towards callers.
+// callersServer returns a router's HTTP server for callers.
 func (pr *Process) callersServer() transport.Server {
 	se := pr.Settings
 	fr := &front.Front{
@@ -29,7 +29,7 @@
 	return pr.httpServer(pr.listeners.callers, fr.Handler())
 }
 
-// registerOperators adds the operators' calls to a router's listener for peers.
+// registerOperators registers the operators' API on a router's gRPC server for peers.
 func (pr *Process) registerOperators(sr grpc.ServiceRegistrar) {
 	oper.Register(sr, &oper.Server{
 		Log: pr.configLog, Board: pr.board, Peers: pr.peers, Operators: pr.Settings.Operators,
@@ -37,7 +37,7 @@
 	})
 }
 
-// buildAgent makes an agent's core and the adapters to its endpoints.
+// buildAgent creates an agent and the adapters to its endpoints.
 func (pr *Process) buildAgent() {
 	se := pr.Settings
 	pr.agent = &agent.Agent{
@@ -52,12 +52,12 @@
 	}
 	pr.agent.Keys = pr.buildClaims()
 	pr.agent.Init()
-	pr.buildOrderGate(endpoints)
+	pr.buildOrderExecutor(endpoints)
 	for ix, ep := range endpoints {
 		if ep.Engine {
-			pr.followers = append(pr.followers, &back.Poller{
+			pr.pollers = append(pr.pollers, &back.Poller{
 				Endpoint: ep, Clock: pr.clock, Book: pr.agent.Book, Gate: pr.agent.Slots[ix].Gate(),
-				Failed: pr.logFailure("Following an engine failed."),
+				Failed: pr.logFailure("Polling an engine's cache events and load failed."),
 			})
 		}
 	}
@@ -68,27 +68,28 @@
 }
 
 const (
-	// claimWritesPerSecond is the part of the KV's writes that claims may take.
+	// claimWritesPerSecond is the share of the KV's write rate that claims of all shards may use.
 	claimWritesPerSecond = 300
-	// maxReplayBytes bounds the answers an agent keeps for replay.
+	// maxReplayBytes limits the size of the responses that an agent keeps for replay.
 	maxReplayBytes core.Bytes = 8 << 20
-	// claimTimeout bounds the wait for a claim.
+	// claimTimeout limits the wait for a claim.
 	claimTimeout = 3 * time.Second
 )
 
-// buildClaims makes the agent's table of keys and its keeper of claim shards.
+// buildClaims creates the table of idempotency keys and the writer of the claim shards that the agent
+// owns.
 func (pr *Process) buildClaims() *claim.Keys {
 	se := pr.Settings
 	self := core.Claimant{VM: se.Name, Incarnation: pr.incarnation}
-	keeper := &claim.Writer{
+	writer := &claim.Writer{
 		KV: pr.kv, Clock: pr.clock, Rand: pr.rand, Shards: se.ClaimShards, Window: se.KeyWindow,
 		WriteInterval: time.Second * time.Duration(se.ClaimShards) / claimWritesPerSecond,
 	}
-	asker := &claim.Dispatcher{Board: pr.board, Peers: pr.peers, Clock: pr.clock, Writer: keeper, Self: self}
-	pr.server.Claim = keeper.Claim
+	dispatcher := &claim.Dispatcher{Board: pr.board, Peers: pr.peers, Clock: pr.clock, Writer: writer, Self: self}
+	pr.server.Claim = writer.Claim
 	return &claim.Keys{
 		Clock: pr.clock, Self: self, Window: se.KeyWindow, MaxBytes: maxReplayBytes, ClaimTimeout: claimTimeout,
-		Ask: asker.Claim, Alive: asker.Alive,
+		Ask: dispatcher.Claim, Alive: dispatcher.Alive,
 		Replayed: func() { pr.Stats.Add(stats.KeyReplays, 1) },
 	}
 }
@@ -104,7 +105,7 @@
 	}
 }
 
-// serve runs a call and counts how it ended.
+// serve runs a call and counts its outcome.
 func (pr *Process) serve(ctx context.Context, ca *core.Call, si core.Sink) (*core.Report, error) {
 	pr.Stats.Add(stats.Requests, 1)
 	pr.Stats.Add(stats.InProgress, 1)
@@ -120,7 +121,7 @@
 	return rep, re
 }
 
-// registerStats lets counters read what the parts keep themselves.
+// registerStats registers the counters whose values components maintain themselves.
 func (pr *Process) registerStats() {
 	st := pr.Stats
 	st.SetFunc(stats.ControlBytesSent, func() int64 { return int64(pr.controlBucket.Sent()) })
