--- a/core/order/control.go
+++ b/core/order/control.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// sweepInterval is the pace at which the holder looks at engines: those with an
-	// order in progress or not seen yet, and idleMost others, at most sweepMost.
+	// sweepInterval is the time between sweeps. A sweep inspects the agents that have an order in
+	// progress or were not inspected yet, and maxIdleInspected others, at most maxInspected in all.
 	sweepInterval    = time.Second
 	maxInspected     = 16
 	maxIdleInspected = 4
-	// acquireInterval is the whole fleet's pace of looking whether the lease is free.
+	// acquireInterval is the mean time between attempts of the whole fleet to acquire the lease.
 	acquireInterval = 500 * time.Millisecond
-	// issueTimeout bounds handing an order over, in which the agent reads the KV.
+	// issueTimeout bounds sending an order to an agent, which reads the KV before it answers.
 	issueTimeout = 3 * time.Second
-	// An order that failed is given again after firstAgain, doubled up to lastAgain.
+	// An engine whose order failed gets no other for minEngineRetryDelay, which doubles with every
+	// further failure up to maxEngineRetryDelay.
 	minEngineRetryDelay = 2 * time.Second
 	maxEngineRetryDelay = time.Minute
 
@@ -30,7 +31,7 @@
 	orderSize   core.Bytes = 96
 )
 
-// Controller gives orders while its process holds the lease. Set the exported
+// Controller issues orders while its process holds the lease. Set the exported
 // fields before Run.
 type Controller struct {
 	Lease *Lease
@@ -38,42 +39,44 @@
 	Peers core.Peers
 	Clock core.Clock
 	Rand  core.Rand
-	// Sending, if set, is asked before a control message is sent.
+	// AllowSend, if set, decides whether a control message of that size may be sent now.
 	AllowSend func(size core.Bytes) bool
-	// Issued, if set, is told of each order that an agent took, Refused of each
-	// that it did not, Held of the number under which this process gives orders.
-	Issued        func(gi Assignment)
-	Refused       func(gi Assignment, re *core.Refusal)
+	// Issued, if set, is called for each order that an agent accepted, Refused for each whose
+	// delivery returned an error, and LeaseAcquired with the fencing number under which this process
+	// begins to issue orders.
+	Issued        func(as Assignment)
+	Refused       func(as Assignment, re *core.Refusal)
 	LeaseAcquired func(fence core.Fence)
-	// GivenUp, if set, is told of an order that has failed on several engines and on none
-	// gone well: no further engine of the pool gets it for now.
+	// RolloutPaused, if set, is called when an order has failed on several engines and succeeded
+	// on none: for now, no further engine of the pool gets it.
 	RolloutPaused func(po core.PoolID, or core.Order, failures int)
 
-	// Owned by the goroutine of sweeps.
+	// Owned by the goroutine that sweeps.
 	fence  core.Fence
 	window LoadWindow
 	agents map[core.VMID]*agentState
-	// rollouts are what is known of the orders of this holder; those of a later one begin anew.
+	// rollouts holds the results of the orders issued under the present lease; each new holder
+	// starts with none.
 	rollouts map[orderSpec]*rollout
 }
 
-// agentState is what an agent last told.
+// agentState is an agent's last report and what this holder has issued to it.
 type agentState struct {
 	incarnation core.Incarnation
 	inspectedAt time.Time
 	states      []core.EndpointState
 	backoffs    map[core.EndpointID]*backoff
-	// issued are the orders in progress.
+	// issued holds the orders in progress.
 	issued map[core.EndpointID]core.Order
 }
 
-// backoff delays an order that failed.
+// backoff delays the next order to an engine whose last ones failed.
 type backoff struct {
 	failures int
 	until    time.Time
 }
 
-// Run competes for the lease and gives orders until ctx ends.
+// Run competes for the lease and issues orders until ctx ends.
 func (co *Controller) Run(ctx context.Context) error {
 	go co.maintainLease(ctx)
 	for co.Clock.Sleep(ctx, co.jitter(sweepInterval)) == nil {
@@ -86,8 +89,8 @@
 	return time.Duration(float64(d) * (0.75 + co.Rand.Float64()/2))
 }
 
-// maintainLease renews the lease, or looks now and then whether it is free. It has its own
-// goroutine, so that a sweep that takes long does not let the lease lapse.
+// maintainLease renews the lease while it is held and tries to acquire it otherwise. It has its
+// own goroutine, so that the lease does not expire during a slow sweep.
 func (co *Controller) maintainLease(ctx context.Context) {
 	delay := time.Duration(float64(co.acquireDelay()) * co.Rand.Float64())
 	for co.Clock.Sleep(ctx, delay) == nil {
@@ -95,7 +98,8 @@
 		if len(ManagedPools(co.Board.Snapshot().Config)) == 0 {
 			continue
 		}
-		// What went wrong shows in that no orders are given; the next try is near.
+		// The error is dropped: the next attempt follows soon, and until one succeeds no orders are
+		// issued.
 		_ = co.Lease.RenewOrAcquire(ctx)
 		if _, held := co.Lease.Fence(); held {
 			delay = co.Lease.TTL / marginDivisor
@@ -103,13 +107,14 @@
 	}
 }
 
-// acquireDelay keeps the whole fleet's looks at the lease to one per tryEvery.
+// acquireDelay limits the attempts of the whole fleet to acquire the lease to about one per
+// acquireInterval.
 func (co *Controller) acquireDelay() time.Duration {
 	routers := time.Duration(len(co.Board.Snapshot().Routers))
 	return co.jitter(max(co.Lease.TTL/2, routers*acquireInterval))
 }
 
-// ManagedPools lists the pools whose engines are given orders.
+// ManagedPools lists the pools whose engines are given orders: those that declare a version.
 func ManagedPools(cfg *decl.Config) []*decl.Pool {
 	if cfg == nil {
 		return nil
@@ -123,7 +128,7 @@
 	return pools
 }
 
-// sweep looks at some engines and gives the next orders.
+// sweep inspects some agents and issues the next orders.
 func (co *Controller) sweep(ctx context.Context) {
 	fence, held := co.Lease.Fence()
 	if !held {
@@ -148,8 +153,8 @@
 	}
 }
 
-// inspectAgents asks the agents that matter most: those with an order in progress, then
-// those not seen yet, then those not seen for longest.
+// inspectAgents inspects the most urgent agents: first those with an order in progress or not yet
+// inspected, then those whose last inspection is the oldest.
 func (co *Controller) inspectAgents(ctx context.Context, sn *board.Snapshot, pools []*decl.Pool) {
 	inspected := map[core.VMID]time.Time{}
 	for _, po := range pools {
@@ -182,8 +187,8 @@
 	}
 }
 
-// shuffled lists the agents in random order, so that some that never answer do
-// not keep the others from their turn.
+// shuffled lists the agents in random order, so that agents that never answer do not starve the
+// others.
 func (co *Controller) shuffled(inspected map[core.VMID]time.Time) []core.VMID {
 	vms := slices.Sorted(maps.Keys(inspected))
 	for ix := len(vms) - 1; ix > 0; ix-- {
@@ -200,8 +205,9 @@
 	return nil
 }
 
-// inspectedAt orders the agents for look; the zero time is first. One whose process has
-// started anew is as good as not seen.
+// inspectedAt is the time of the member's last inspection, by which inspectAgents sorts. It is zero,
+// which sorts first, if the agent has an order in progress, was not inspected yet or has restarted
+// since.
 func (co *Controller) inspectedAt(me *board.Member) time.Time {
 	st := co.agents[me.VM]
 	if st == nil || (me.Incarnation != 0 && st.incarnation != me.Incarnation) {
@@ -223,7 +229,7 @@
 	return states
 }
 
-// recordStates takes in what an agent told; nil if it did not answer.
+// recordStates records an agent's report; states is nil if it did not answer.
 func (co *Controller) recordStates(sn *board.Snapshot, vm core.VMID, states []core.EndpointState) {
 	if states == nil {
 		return
@@ -244,7 +250,8 @@
 	}
 }
 
-// recordOrderEnd learns from an order that was in progress and no longer is.
+// recordOrderEnd records the result of an order that was in progress at the last inspection and no
+// longer is.
 func (co *Controller) recordOrderEnd(st *agentState, now *core.EndpointState) {
 	ix := slices.IndexFunc(st.states, func(es core.EndpointState) bool { return es.Endpoint == now.Endpoint })
 	if ix < 0 || st.states[ix].Phase != core.PhaseOrdered || now.Phase == core.PhaseOrdered {
@@ -269,8 +276,8 @@
 	}
 }
 
-// engineFailed tells whether the engine itself did not bear the order, and not that it was not
-// handed over, or that there were no weights.
+// engineFailed reports whether the order failed at the engine itself, rather than because it never
+// reached the engine or because the weight store was busy.
 func engineFailed(es *core.EndpointState) bool {
 	if es.Phase == core.PhaseUnreachable {
 		return true
@@ -306,7 +313,7 @@
 	bo.until = co.Clock.Now().Add(co.jitter(delay))
 }
 
-// loadsInProgress counts the orders in progress anywhere.
+// loadsInProgress counts the orders in progress on all engines.
 func (co *Controller) loadsInProgress() int {
 	count := 0
 	for _, st := range co.agents {
@@ -319,8 +326,8 @@
 	return count
 }
 
-// views is the pool as the planner sees it. A member that has not been seen
-// stands there as one unknown endpoint.
+// views lists the pool's endpoints for Next. An agent that has not been inspected since its last
+// start counts as one unknown endpoint.
 func (co *Controller) views(sn *board.Snapshot, po *decl.Pool) []View {
 	var views []View
 	for _, me := range members(sn, po) {
@@ -342,9 +349,9 @@
 	return views
 }
 
-// issue hands orders over, and returns how many loads it has begun.
+// issue sends orders to their agents and returns how many loads it has started.
 func (co *Controller) issue(ctx context.Context, assignments []Assignment) int {
-	// What the budget holds back is planned again in the next sweep.
+	// Orders that exceed the send budget are planned again in the next sweep.
 	for ix := range assignments {
 		if co.AllowSend != nil && !co.AllowSend(orderSize) {
 			assignments = assignments[:ix]
@@ -366,11 +373,11 @@
 	return loads
 }
 
-// issueOne stamps an order and hands it over, if the lease still allows it.
+// issueOne stamps an order with the fencing number and sends it, if the lease is still held.
 func (co *Controller) issueOne(ctx context.Context, as *Assignment) *core.Refusal {
 	fence, held := co.Lease.Fence()
 	if !held || fence != co.fence {
-		return &core.Refusal{Outcome: core.NotRun, Reason: core.ReasonOldFence, Step: "give", Peer: string(as.VM), Detail: "the lease has lapsed"}
+		return &core.Refusal{Outcome: core.NotRun, Reason: core.ReasonOldFence, Step: "give", Peer: string(as.VM), Detail: "the lease has expired"}
 	}
 	as.Fence = fence
 	ctx, cancel := context.WithTimeout(ctx, issueTimeout)
@@ -381,8 +388,8 @@
 	return nil
 }
 
-// recordIssue notes how handing over ended. An order whose fate is unknown counts as
-// in progress until the agent tells otherwise.
+// recordIssue records the result of sending an order and reports whether it may have started. An
+// order with an unknown result counts as in progress until an inspection shows otherwise.
 func (co *Controller) recordIssue(as Assignment, re *core.Refusal) bool {
 	st := co.agents[as.VM]
 	if st == nil {
--- a/core/order/gate.go
+++ b/core/order/gate.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	// executionTimeout bounds an order from when it is taken until the engine is done.
+	// executionTimeout bounds an order from its acceptance until the engine is done.
 	executionTimeout = 20 * time.Minute
-	// stateTimeout bounds reading an engine's state, lookWithin reading the KV.
+	// stateTimeout bounds reading an engine's state, kvReadTimeout reading the KV.
 	stateTimeout  = 2 * time.Second
 	kvReadTimeout = 2 * time.Second
 )
 
-// Endpoint is an endpoint as the Gate sees it.
+// Endpoint is one of an agent's endpoints as the Executor sees it.
 type Endpoint struct {
 	ID     core.EndpointID
 	Pool   core.PoolID
 	Engine core.Orderable
-	// Drain keeps new calls away and waits for those in progress; Release lets
-	// them come again.
+	// Drain stops new calls and waits for those in progress; Resume admits new ones again.
 	Drain  func(ctx context.Context) error
 	Resume func()
 
@@ -33,38 +32,38 @@
 	problem *core.Refusal
 }
 
-// Executor takes orders on an agent. Set the exported fields before use.
+// Executor checks and executes orders on an agent. Set the exported fields before use.
 type Executor struct {
 	KV        core.KV
 	Clock     core.Clock
 	Self      core.VMID
 	Endpoints []*Endpoint
-	// Ended, if set, is told how an order ended: nil is well.
+	// Ended, if set, is called with the result of each accepted order; nil means success.
 	Ended func(or *core.Order, re *core.Refusal)
 }
 
-// Order takes an order and starts on it. The error is a *core.Refusal; nil means
-// that the order was taken or is met already, not that the engine is done.
+// Order checks an order and starts to execute it. The error is a *core.Refusal; nil means that the
+// order was accepted, not that the engine is done.
 func (ex *Executor) Order(ctx context.Context, or *core.Order) error {
 	ep := ex.endpoint(or.Endpoint)
 	if ep == nil {
 		return ex.refuse(core.ReasonNoEndpoint, "no such endpoint here: "+string(or.Endpoint))
 	}
-	// The seat is taken before the number is looked up: a new holder, who raises
-	// the number before it looks at engines, then sees this order in progress or
-	// has it refused.
+	// The endpoint is reserved before the fencing number is read. A new holder raises the number
+	// before it inspects engines, so either it sees this order in progress, or the order is
+	// refused.
 	if !ep.reserve() {
 		return ex.refuse(core.ReasonOrderBusy, "another order is in progress")
 	}
 	re := ex.checkFence(ctx, or)
 	if re == nil && !ep.acceptFence(or.Fence) {
-		re = ex.refuse(core.ReasonOldFence, "a later holder has given an order here")
+		re = ex.refuse(core.ReasonOldFence, "a later holder of the lease has issued an order here")
 	}
 	if re != nil {
 		ep.release(re)
 		return re
 	}
-	// The order outlives the call that brought it: loading takes minutes.
+	// The order outlives the call that delivered it, as loading takes minutes.
 	runCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), executionTimeout)
 	go func() {
 		defer cancel()
@@ -73,9 +72,9 @@
 	return nil
 }
 
-// execute carries an order out. The number is looked up again at the last moment:
-// waiting for calls in progress may take minutes, in which the lease can lapse
-// and another holder decide otherwise.
+// execute executes an order, unless the engine satisfies it already. It checks the fencing number
+// again just before it calls the engine: draining may take minutes, in which the lease can expire
+// and another holder can issue a different order.
 func (ex *Executor) execute(ctx context.Context, ep *Endpoint, or *core.Order) *core.Refusal {
 	if st, err := ex.engineState(ctx, ep); err == nil && st.Satisfies(or) {
 		return nil
@@ -95,13 +94,12 @@
 	return nil
 }
 
-// checkFence refuses an order whose number is not the one that stands in the KV. It
-// guards against a past holder: one that was paused while its lease lapsed goes
-// on where it stopped, and its order arrives after the next holder's. A number
-// remembered here would not do, as an agent that was restarted in between has
-// none, and one that the new holder has not reached yet has the old one. An order
-// costs a read or two of the KV, and there are few. While the KV is down no order
-// is taken; then nobody holds the lease for long either.
+// checkFence refuses an order whose fencing number is not the one in the KV. It guards against a
+// past holder: one that was paused while its lease expired resumes where it stopped, and its order
+// arrives after the next holder's. A number remembered by the agent would not suffice: an agent
+// that restarted in between has none, and one that the new holder has not reached yet has the old
+// one. An order costs one or two reads of the KV, and orders are rare. While the KV is down no
+// order is accepted; then no process holds the lease for long either.
 func (ex *Executor) checkFence(ctx context.Context, or *core.Order) *core.Refusal {
 	ctx, cancel := context.WithTimeout(ctx, kvReadTimeout)
 	defer cancel()
@@ -113,14 +111,14 @@
 	case or.Fence < now:
 		return ex.refuse(core.ReasonOldFence, "the order is from a past holder of the lease")
 	case or.Fence > now:
-		// The holder wrote its number before it gave any order.
-		return ex.refuse(core.ReasonKVDown, "the KV answers with older content than the order's holder wrote")
+		// The holder wrote its number before it issued any order.
+		return ex.refuse(core.ReasonKVDown, "the KV returned older content than the order's issuer had written")
 	}
 	return nil
 }
 
-// reserve reserves the seat; one order runs at a time, so that the check of a later
-// number comes after the run of an earlier one has ended.
+// reserve marks the endpoint as busy; false if it is already. Orders of an endpoint run one at a
+// time, so that a higher fencing number is checked only after the order with a lower one has ended.
 func (ep *Endpoint) reserve() bool {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -131,8 +129,8 @@
 	return true
 }
 
-// acceptFence notes a number that the KV has confirmed, unless a higher one was
-// confirmed here before: the KV may answer with older content.
+// acceptFence records a fencing number that the KV has confirmed. It returns false if a higher one
+// was confirmed here before, as the KV may return older content.
 func (ep *Endpoint) acceptFence(fence core.Fence) bool {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -156,7 +154,7 @@
 	}
 }
 
-// States tells what the endpoints have loaded and how far their orders are.
+// States returns what the endpoints have loaded and the progress of their orders.
 func (ex *Executor) States(ctx context.Context) []core.EndpointState {
 	states := make([]core.EndpointState, len(ex.Endpoints))
 	var reading sync.WaitGroup
--- a/core/order/lease.go
+++ b/core/order/lease.go
@@ -1,35 +1,35 @@
-// Package order has engines load what the declarations say: who may give orders,
-// which ones, and when an agent takes them.
+// Package order brings engines to the declared model versions, adapters and roles. It decides
+// which router may issue orders to engines, which orders it issues, and which ones an agent accepts.
 //
 // # Concepts
 //
-// Any router may give orders while it holds the one lease in the KV (Lease). The
-// version of the entry it created under the lease is its fencing number. The
-// number also stands in an entry that outlives every lease, so that an agent that
-// has just started can tell a past holder from the present one.
+// Any router may issue orders while it holds the single lease in the KV (Lease). The version of the
+// entry that it created under the lease is its fencing number. The number is also written to an
+// entry that outlives every lease, so that an agent that has just started can tell a past holder
+// from the present one.
 //
-// The holder compares the declarations with what agents tell of their engines
-// (Controller), plans the next orders (Next) and gives them. It keeps nothing: a
-// new holder sees the same engines and goes on.
+// The holder compares the declarations with the states that agents report of their engines
+// (Controller), plans the next orders (Next) and issues them. It stores nothing: a new holder
+// inspects the same engines and continues.
 //
-// The agent (Gate) reads the current number from the KV before it hands an order
-// to an engine, and runs one order at a time for each engine.
+// The agent (Executor) reads the current fencing number from the KV before it passes an order to an
+// engine, and executes one order at a time for each engine.
 //
 // # Invariants
 //
-//   - An engine is given orders in the order of their fencing numbers, though
-//     its agent restarts and though the engine does not check them itself.
-//   - No order is given past the lease's end by the holder's own clock.
-//   - A pool's serving engines do not fall below its Minimum through orders.
-//   - A call that an engine has begun is not cut off by an order.
+//   - An engine receives orders by rising fencing number, even if its agent restarts, and even if
+//     the engine does not check the numbers itself.
+//   - No order is issued after the lease's end by the holder's own clock.
+//   - Orders do not bring the number of a pool's serving engines below its Minimum.
+//   - An order does not interrupt a call that an engine has begun.
 //
 // # Usage
 //
 //	co := &order.Controller{Lease: lease, Board: bo, Peers: peers, Clock: clock, Rand: rand}
 //	go co.Run(ctx)
 //
-//	ga := &order.Gate{KV: kv, Clock: clock, Self: vm, Seats: seats}
-//	err := ga.Order(ctx, or)
+//	ex := &order.Executor{KV: kv, Clock: clock, Self: vm, Endpoints: endpoints}
+//	err := ex.Order(ctx, or)
 package order
 
 import (
@@ -47,21 +47,22 @@
 )
 
 const (
-	// holderKey exists while somebody holds the lease; fenceKey stays and has the
-	// highest number under which orders may have been given.
+	// holderKey exists while a process holds the lease. fenceKey is permanent and holds the highest
+	// fencing number under which orders may have been issued.
 	holderKey = "orders/holder"
 	fenceKey  = "orders/fence"
 	// DefaultTTL is the lease's time to live.
 	DefaultTTL = 12 * time.Second
-	// marginDivisor is the part of the time to live that the holder does not use: its
-	// clock may run slower than the KV's.
+	// The holder does not use the last TTL/marginDivisor of the lease, as its clock may run slower
+	// than the KV's.
 	marginDivisor = 4
 )
 
 // ErrHeld: another process holds the lease.
 var ErrLeaseHeld = errors.New("another process holds the lease")
 
-// Lease is a process's claim to give orders. Set the exported fields before use.
+// Lease is a process's handle on the lease under which orders are issued. Set the exported fields
+// before use.
 type Lease struct {
 	KV    core.KV
 	Clock core.Clock
@@ -75,16 +76,16 @@
 	attempts   int
 }
 
-// Fence is the number to stamp orders with; false if the process may give none.
-// The lease counts from before the call that granted or renewed it was sent, so
-// that however late the answer came it ends here before it ends in the KV.
+// Fence is the number to stamp orders with; false if the process does not hold the lease. The lease
+// counts from the time before the call that granted or renewed it was sent: however late the
+// response arrived, it ends here before it ends in the KV.
 func (le *Lease) Fence() (core.Fence, bool) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	return le.fence, le.fence != 0 && le.Clock.Now().Before(le.validUntil)
 }
 
-// RenewOrAcquire renews the lease if it is held, else tries to get it.
+// RenewOrAcquire renews the lease if it is held, and otherwise tries to acquire it.
 func (le *Lease) RenewOrAcquire(ctx context.Context) error {
 	if _, held := le.Fence(); held {
 		return le.renew(ctx)
@@ -101,8 +102,7 @@
 	case errors.Is(err, core.ErrLeaseExpired):
 		le.drop()
 	}
-	// Any other error leaves the lease as it was: it may have been renewed, but
-	// what is not known is not used.
+	// After any other error the lease may have been renewed, but the old end stays in force.
 	return wrap("renew", err)
 }
 
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// create makes the holder's entry. If the answer is lost, the entry itself tells
-// by its value, which no other try writes, whether it was made.
+// create creates the holder's entry. Each attempt writes a value of its own, so after a lost
+// response the value read back shows whether this attempt created the entry.
 func (le *Lease) create(ctx context.Context, id core.LeaseID) (core.Version, error) {
 	le.attempts++
 	name := fmt.Appendf(nil, "%s/%d/%d", le.Self.VM, le.Self.Incarnation, le.attempts)
@@ -152,9 +152,9 @@
 	return 0, err
 }
 
-// raiseFence puts the number into the entry that stays. Orders may only be given once
-// it is there: an agent that starts reads it from nowhere else. A higher number
-// there means that the lease has lapsed meanwhile and another has it.
+// raiseFence writes the fencing number to the permanent entry. No order may be issued before that,
+// as it is the only place where an agent that has just started finds the number. A higher number
+// there means that the lease has expired in the meantime and another process holds it.
 func raiseFence(ctx context.Context, kv core.KV, to core.Fence) error {
 	const tries = 3
 	var err error
@@ -178,8 +178,8 @@
 	return err
 }
 
-// currentFence is the highest number under which orders may have been given, with its
-// entry's version; 0 if there were none.
+// currentFence is the highest number under which orders may have been issued, and the version of
+// its entry; both are 0 if there is none.
 func currentFence(ctx context.Context, kv core.KV) (core.Fence, core.Version, error) {
 	en, err := kv.Get(ctx, fenceKey)
 	if errors.Is(err, core.ErrNotFound) {
--- a/core/order/main_test.go
+++ b/core/order/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives rapid a fixed seed, so that every run draws the same; another is
-// tried with -rapid.seed.
+// TestMain gives rapid a fixed seed, so that every run draws the same values; pass -rapid.seed for
+// another.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Routers compete for the lease while the KV fails, slows and loses answers.
-// Nobody ever holds it beside another, though answers come late, and numbers
-// rise from one holder to the next.
+// Routers compete for the lease while the KV fails, slows down and loses responses. Two must never
+// hold it at once, however late responses arrive, and fencing numbers must rise from one holder to
+// the next.
 func TestLeaseHasOneHolder(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) { compete(t, seed) })
@@ -68,21 +68,21 @@
 				last = max(last, fence)
 				holders[fence] = true
 				if fence < last {
-					t.Errorf("seed %d: number %d is held after %d", seed, fence, last)
+					t.Errorf("seed %d: fencing number %d is held after %d", seed, fence, last)
 				}
 			}
 		}
 		if held > 1 {
-			t.Fatalf("seed %d: %d hold the lease at once", seed, held)
+			t.Fatalf("seed %d: %d processes hold the lease at once", seed, held)
 		}
 	}
 	if len(holders) < 3 {
-		t.Errorf("seed %d: %d holders: this history shows nothing", seed, len(holders))
+		t.Errorf("seed %d: only %d holders in turn; the history is too quiet to test anything", seed, len(holders))
 	}
 }
 
-// The KV creates the holder's entry, but its answer is lost. The process finds
-// its own entry there and holds the lease rather than waiting for it to lapse.
+// The KV creates the holder's entry, but the response is lost. The process must read its own entry
+// back and hold the lease, rather than wait until it expires.
 func TestLostAnswerToAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := &lossyStore{Store: newStore(), key: "orders/holder"}
@@ -96,14 +96,14 @@
 	})
 }
 
-// lossyStore loses the answer to the first write of a key.
+// lossyStore loses the response to the first write of a key.
 type lossyStore struct {
 	*kvsrv.Store
 	key  string
 	lost bool
 }
 
-// Put writes an entry.
+// Put applies the write, and reports the first write of the key as lost.
 func (lo *lossyStore) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
 	version, err := lo.Store.Put(ctx, key, value, expect, le)
 	if key == lo.key && !lo.lost {
@@ -113,8 +113,8 @@
 	return version, err
 }
 
-// An order waits until the engine's calls have ended, which takes minutes. In
-// that time the lease passes to another holder. The order must not run then.
+// An order waits for the engine's calls to end, which takes minutes. Meanwhile another process
+// acquires the lease. The order must then not be executed.
 func TestFenceIsCheckedAgainAfterDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
@@ -139,12 +139,12 @@
 			t.Errorf("ran orders numbered %v", fences)
 		}
 		if problem := ex.States(t.Context())[0].Problem; problem == nil || problem.Reason != core.ReasonOldFence {
-			t.Errorf("the agent tells %v", problem)
+			t.Errorf("the agent reports %v, want a refusal for an old fencing number", problem)
 		}
 	})
 }
 
-// writeFence writes the current number as a holder does.
+// writeFence writes the current fencing number as a holder does.
 func writeFence(t *testing.T, store *kvsrv.Store, expect core.Version, to core.Fence) {
 	t.Helper()
 	if _, err := store.Put(t.Context(), "orders/fence", strconv.AppendUint(nil, uint64(to), 10), expect, 0); err != nil {
@@ -152,9 +152,9 @@
 	}
 }
 
-// An agent that has just started is given an order while the KV cannot be read,
-// or answers with content older than the holder's own write. It takes none, and
-// says why.
+// An agent that has just started gets an order while the KV cannot be read or returns content older
+// than the holder's own write, or from a past holder. It must refuse each one with the matching
+// reason.
 func TestNoOrderWithoutTheCurrentFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
@@ -179,8 +179,8 @@
 	})
 }
 
-// Whatever the engines' states, the orders given together leave Minimum engines
-// serving, begin no more loads than allowed, and go to ready engines only.
+// Whatever the engines' states, the orders of one plan must leave Minimum engines serving and start
+// no more loads than allowed.
 func TestNextKeepsTheMinimum(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		po := &decl.Pool{Name: "p", Model: "m", Version: "v2", Minimum: rapid.IntRange(0, 6).Draw(rt, "minimum"), Adapters: []string{"a"}}
@@ -204,10 +204,10 @@
 			}
 		}
 		if after := count(serving); after < before && after < max(1, po.Minimum) {
-			rt.Errorf("%d of %d go on serving, of at least %d", after, before, po.Minimum)
+			rt.Errorf("%d of %d engines keep serving, want at least %d", after, before, po.Minimum)
 		}
 		if begun > loads {
-			rt.Errorf("%d loads of %d allowed", begun, loads)
+			rt.Errorf("%d loads started, %d allowed", begun, loads)
 		}
 	})
 }
@@ -236,8 +236,8 @@
 	return sum
 }
 
-// The weight store bears few loads at a time and says so. Fewer are begun from
-// then on, and more again as loads go well.
+// The weight store rejects loads beyond its capacity. The window must grow with successful loads, be
+// halved by a rejection, and never fall below one.
 func TestLoadWindowAdaptsToTheStore(t *testing.T) {
 	var lw order.LoadWindow
 	for range 40 {
@@ -246,12 +246,12 @@
 	grown := lw.Size()
 	lw.Rejected()
 	if shrunk := lw.Size(); grown < 6 || shrunk != grown/2 {
-		t.Errorf("%d after 40 loads, %d after a refusal", grown, shrunk)
+		t.Errorf("window is %d after 40 loads, %d after a rejection", grown, shrunk)
 	}
 	for range 20 {
 		lw.Rejected()
 	}
 	if lw.Size() != 1 {
-		t.Errorf("%d: at least one load must go on", lw.Size())
+		t.Errorf("window is %d after many rejections, want 1", lw.Size())
 	}
 }
--- a/core/order/pace.go
+++ b/core/order/pace.go
@@ -1,8 +1,8 @@
 package order
 
-// LoadWindow finds out how many loads the weight store bears at a time: one more for
-// each window of loads that went well, half as many after one that it refused.
-// Nobody needs to know the store's rate, and it may change.
+// LoadWindow adapts the number of concurrent loads to the capacity of the weight store, by additive
+// increase and multiplicative decrease: it grows by one for each window of successful loads and is
+// halved when the store rejects one. The store's rate need not be known, and it may change.
 type LoadWindow struct {
 	size float64
 }
@@ -20,8 +20,8 @@
 	return int(lw.size)
 }
 
-// Succeeded notes a load that succeeded.
+// Succeeded records a load that succeeded.
 func (lw *LoadWindow) Succeeded() { lw.size = min(maxLoads, lw.size+1/float64(lw.Size())) }
 
-// Rejected notes a load that the store had no room for.
+// Rejected records a load that the store rejected for lack of capacity.
 func (lw *LoadWindow) Rejected() { lw.size = max(1, float64(lw.Size())/2) }
--- a/core/order/plan.go
+++ b/core/order/plan.go
@@ -11,15 +11,14 @@
 type View struct {
 	VM core.VMID
 	core.EndpointState
-	// Known is set once the holder has seen its state; Usable while routers send
-	// it calls.
+	// Known is set once the holder has inspected it; Usable while routers send it calls.
 	Known  bool
 	Usable bool
-	// BackingOff is set while an order that failed is not to be given again yet.
+	// BackingOff is set while no order may be issued to it because its last one failed.
 	BackingOff bool
 }
 
-// serving tells whether it serves the pool's model, in any version.
+// serving reports whether it serves the pool's model, in any version.
 func (vi *View) serving(po *decl.Pool) bool {
 	if !vi.Known || !vi.Usable {
 		return false
@@ -27,17 +26,17 @@
 	return vi.Phase == core.PhaseUnmanaged || (vi.Phase == core.PhaseReady && vi.Engine.Model == po.Model)
 }
 
-// Assignment is an order and the VM whose agent it goes to.
+// Assignment is an order and the VM to whose agent it is sent.
 type Assignment struct {
 	VM core.VMID
 	core.Order
 }
 
-// Next picks the orders to give now for a pool, of which at most loads fetch from
-// the weight store. Engines that serve are only taken away while Minimum others
-// go on serving. An endpoint not seen yet counts as not serving: it may be in the
-// middle of an earlier holder's order. allow tells whether one more engine may get an
-// order, beside those with one in progress; nil allows all.
+// Next plans the orders to issue now for a pool, of which at most loads fetch from the weight
+// store. It takes a serving engine out of service only while Minimum others keep serving. An
+// endpoint that was not inspected yet counts as not serving, as it may be executing an earlier
+// holder's order. allow reports whether one more engine may get the order while open engines of the
+// pool have one in progress; nil allows all.
 func Next(po *decl.Pool, views []View, loads int, allow func(or *core.Order, open int) bool) []Assignment {
 	if po.Version == "" {
 		return nil
@@ -83,8 +82,8 @@
 	return ki == core.OrderLoadModel || ki == core.OrderLoadAdapter
 }
 
-// Wanted is the next order that brings an endpoint towards what its pool
-// declares, nil if it is there. A pool that declares no version wants nothing.
+// Wanted is the next order that brings an endpoint closer to the state that its pool declares; nil
+// if it is in that state, or if the pool declares no version.
 func Wanted(po *decl.Pool, es *core.EndpointState) *core.Order {
 	if po.Version == "" || es.Phase == core.PhaseUnmanaged || es.Phase == core.PhaseUnreachable {
 		return nil
@@ -97,8 +96,8 @@
 	return nil
 }
 
-// desiredOrders lists everything that the pool wants of the endpoint. The model comes
-// first, as loading one drops its adapters.
+// desiredOrders lists the orders that make up the declared state of the endpoint. The model comes
+// first, as loading a model drops its adapters.
 func desiredOrders(po *decl.Pool, es *core.EndpointState) []core.Order {
 	role := po.Role
 	if role == "" {
--- a/core/order/proof.go
+++ b/core/order/proof.go
@@ -6,23 +6,23 @@
 	"almondrill/core"
 )
 
-// Failure: a pool declares a version, an adapter or a role that crashes the engines that take
-// it on. Given to the next engine when one has failed, the order takes the pool down to its
-// Minimum for as long as it is declared: what fails is the order, not the engine. Until an
-// order has gone well on one engine of its pool, few have it; when these fail, the others
-// keep what they have.
+// The failure guarded against: a pool declares a version, an adapter or a role that crashes the
+// engines that adopt it. If the order went to the next engine each time one had failed, it would
+// bring the pool down to its Minimum for as long as it is declared, since the fault lies in the
+// order and not in the engine. So until an order has succeeded on one engine of its pool, only a
+// few engines get it; if these fail, the others keep their present state.
 
 const (
-	// maxUnprovenEngines is how many engines may have an order of which none has gone well, those
-	// at which it failed included: a single engine may fail for a reason of its own.
+	// maxUnprovenEngines is how many engines may get an order that has not succeeded yet, including
+	// those on which it failed. It is above one, as a single engine may fail for a reason of its own.
 	maxUnprovenEngines = 3
-	// minRolloutRetryDelay is when an order that failed on so many is given to one more, mostRetry the
-	// longest pause, doubled from try to try.
+	// An order that failed on maxUnprovenEngines is issued to one more after minRolloutRetryDelay,
+	// which doubles with every further failure up to maxRolloutRetryDelay.
 	minRolloutRetryDelay = 10 * time.Minute
 	maxRolloutRetryDelay = 2 * time.Hour
 )
 
-// orderSpec is what an order asks, whichever engine gets it.
+// orderSpec is the content of an order, whichever engine it is issued to.
 type orderSpec struct {
 	pool          core.PoolID
 	kind          core.OrderKind
@@ -33,14 +33,14 @@
 	return orderSpec{po, or.Kind, or.Name, or.Version}
 }
 
-// rollout is what is known of an order's content.
+// rollout records the results of all orders with the same orderSpec.
 type rollout struct {
 	proven   bool
 	failures int
 	until    time.Time
 }
 
-// allows tells whether one more engine may get the order, while open have one in progress.
+// allows reports whether one more engine may get the order while open engines have one in progress.
 func (ro *rollout) allows(now time.Time, open int) bool {
 	switch {
 	case ro == nil:
@@ -53,8 +53,8 @@
 	return open == 0 && !now.Before(ro.until)
 }
 
-// recordFailure notes that the order failed on an engine. It returns true if no further engine gets it
-// for now.
+// recordFailure records that the order failed on an engine. It returns true if this pauses the
+// rollout: no further engine gets the order for now.
 func (ro *rollout) recordFailure(now time.Time) bool {
 	ro.failures++
 	beyond := ro.failures - maxUnprovenEngines
