--- a/core/claim/ask.go
+++ b/core/claim/ask.go
@@ -10,11 +10,11 @@
 	"almondrill/core/ring"
 )
 
-// ownerTimeout bounds the wait for a keeper on another VM. After it the agent
-// writes the claim itself: that is as safe, only not grouped with others.
+// ownerTimeout bounds the wait for an owner on another VM. After it the agent writes the claim
+// itself, which is as safe, but does not share a write with other claims.
 const ownerTimeout = 700 * time.Millisecond
 
-// Dispatcher brings claims to their keepers. Set the exported fields before use.
+// Dispatcher sends each claim to the owner of its shard. Set the exported fields before use.
 type Dispatcher struct {
 	Board  *board.Board
 	Peers  core.Peers
@@ -23,8 +23,8 @@
 	Self   core.Claimant
 }
 
-// Claim asks the keeper of the claim's shard, or the own one where that cannot be
-// reached or does not answer in time.
+// Claim sends the claim to the owner of its shard. If this process is the owner, or the owner cannot
+// be reached or does not answer in time, the local Writer writes the claim.
 func (di *Dispatcher) Claim(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error) {
 	to := di.ownerOf(ShardOf(cl.Hash, di.Writer.Shards))
 	if to == di.Self.VM || to == "" {
@@ -38,7 +38,7 @@
 	return di.Writer.Claim(ctx, cl)
 }
 
-// ownerOf names the agent that rendezvous hashing gives the shard to.
+// ownerOf is the agent that rendezvous hashing selects for the shard; empty if no agent is known.
 func (di *Dispatcher) ownerOf(shard int) core.VMID {
 	sn := di.Board.Snapshot()
 	ix := ring.Best(sn.AgentRing, ring.Mix(uint64(shard)+1, claimSalt), true)
@@ -50,8 +50,8 @@
 
 const claimSalt = 0xc1a1
 
-// Alive tells whether the claimant is, as far as this process knows, still the
-// one that runs on its VM.
+// Alive reports whether the claimant is, as far as this process knows, still the process that runs
+// on its VM.
 func (di *Dispatcher) Alive(by core.Claimant) bool {
 	sn := di.Board.Snapshot()
 	if !slices.Contains(sn.Agents, by.VM) {
--- a/core/claim/chain.go
+++ b/core/claim/chain.go
@@ -14,12 +14,12 @@
 // head is the value of a shard's head entry: the claims since the last segment.
 type head struct {
 	_ struct{} `cbor:",toarray"`
-	// Segments counts those written so far; the next gets that number.
+	// Segments counts the segments written so far; the next one gets that number.
 	Segments uint64
 	Batches  []batch
 }
 
-// batch is what one write added.
+// batch holds the claims that one write added.
 type batch struct {
 	_ struct{} `cbor:",toarray"`
 	// At is the writer's time, in Unix milliseconds.
@@ -46,9 +46,9 @@
 	return fmt.Sprintf("claims/%04d/seg/%020d", shard, number)
 }
 
-// sync reads the shard if this keeper does not have it as of its version. The
-// head is read before the segments: what moves from head to segment in between
-// is then seen twice rather than not at all.
+// sync reads the shard unless the copy in memory is current. The head is read before the segments,
+// so that claims that move from the head to a segment in between are seen twice rather than not at
+// all.
 func (sh *shard) sync(ctx context.Context) error {
 	if sh.synced {
 		return nil
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// readSegments reads the segments from a number up to another. Those that have
-// lapsed are older than Window and are not missed.
+// readSegments reads the segments numbered from up to, not including, to. Expired segments are
+// absent; their claims are older than Window and no longer needed.
 func (sh *shard) readSegments(ctx context.Context, from, to uint64) error {
 	for from < to {
 		page, err := sh.writer.KV.List(ctx, segmentKey(sh.shardNo, from), segmentKey(sh.shardNo, to), segmentPage)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// addBatch takes a batch's claims into memory. The first claim of a key stands: a
-// keeper only adds a key that it has not found.
+// addBatch adds a batch's claims to memory. The first claim of a key stands: a later batch can only
+// repeat it, as a writer claims only keys that it has not found.
 func (sh *shard) addBatch(ba batch) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -129,9 +129,9 @@
 	}
 }
 
-// write swaps the batch into the head. Whatever error comes back, the shard is
-// read again before anything else is written: the swap may have taken effect, and
-// then shows in the head; or another keeper was first, and then its claims do.
+// write adds the pending claims to the head by compare-and-swap. After any error of the swap the
+// shard is read again before anything else is written: the head then shows this batch if the swap
+// took effect after all, or the claims of another writer that was first.
 func (sh *shard) write(ctx context.Context, pending []*pendingClaim) error {
 	next, err := sh.rollHead(ctx)
 	if err != nil {
@@ -154,10 +154,10 @@
 	return nil
 }
 
-// rollHead returns the head to add to. A full one is written to a segment first.
-// The segment's entry is created only if absent: if another keeper has written
-// that number, it did so from the same version of the head or a later one, and
-// this keeper's swap will fail in the latter case and be right in the former.
+// rollHead returns the head to add to. A full head is first written to a segment, whose entry is
+// created only if absent. If another writer has already written the segment of that number, it did
+// so from the same version of the head or from a later one: in the first case the content is the
+// same, in the second this writer's swap of the head will fail.
 func (sh *shard) rollHead(ctx context.Context) (head, error) {
 	kept := head{Segments: sh.head.Segments, Batches: append([]batch(nil), sh.head.Batches...)}
 	size := 0
@@ -183,7 +183,7 @@
 	return head{Segments: kept.Segments + 1}, nil
 }
 
-// Sizes of a claim and a claimant in the encoding, near enough.
+// Approximate sizes of an encoded claim and an encoded claimant, in bytes.
 const (
 	claimBytes    = 20
 	claimantBytes = 28
@@ -195,7 +195,7 @@
 	seen := map[core.KeyHash]bool{}
 	for _, pc := range pending {
 		if seen[pc.claim.Hash] {
-			// Two claimants want the key at once: the first in the batch has it.
+			// Two claimants want the key at once: the first in the batch gets it.
 			continue
 		}
 		seen[pc.claim.Hash] = true
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -19,8 +19,8 @@
 	return &core.Claim{Hash: claim.Hash("c", core.IdemKey(key)), By: core.Claimant{VM: vm, Incarnation: in}}
 }
 
-// An editor's draft is claimed; the write takes effect but its answer is lost.
-// The keeper reads back, finds the claim there and grants it, once.
+// The write of a claim takes effect but its response is lost. The writer must read the shard back,
+// find the claim there and grant it, without a second write.
 func TestLostReplyIsResolvedByReadingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ra := clock.NewRand(1)
@@ -37,8 +37,8 @@
 	})
 }
 
-// The KV is down when a draft comes. The claim is refused within two seconds and
-// a little, so that the caller hears "not run" long before its deadline.
+// The KV is down when a key is claimed. The claim must fail after little more than two seconds, so
+// that the caller learns that the call was not run long before its deadline.
 func TestOutageIsReportedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ra := clock.NewRand(1)
@@ -50,14 +50,14 @@
 			t.Fatal(err)
 		}
 		if took := time.Since(start); took > 4*time.Second {
-			t.Errorf("told after %s", took)
+			t.Errorf("the claim failed only after %s", took)
 		}
 	})
 }
 
-// A claim was written during an outage's start and its answer never came. Its
-// claimant asks again later: it is granted the claim it already has, while
-// another agent is told who holds it.
+// A claim was written as an outage began, and its response never arrived. When its claimant claims
+// the key again, it must be granted the claim that it already has; another agent, or a restarted
+// one, must get the holder's name instead.
 func TestSameClaimantIsGrantedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ra := clock.NewRand(1)
@@ -78,9 +78,9 @@
 	})
 }
 
-// A keeper's VM is replaced under load. The new one reads head and segments, of
-// which there are several pages, and knows every key the old one granted; once
-// the window has passed, segments are gone from the KV by themselves.
+// An owner's VM is replaced under load. The new writer must read the head and the segments and know
+// every key that the old one granted. Once the window has passed, the segments must have expired
+// from the KV and the claims from memory.
 func TestNewWriterKnowsOldClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ra := clock.NewRand(1)
--- a/core/claim/history_test.go
+++ b/core/claim/history_test.go
@@ -17,7 +17,7 @@
 	"almondrill/io/stand/kvsrv"
 )
 
-// explore runs histories of new seeds, such as -explore 1000.
+// explore adds that many histories with random seeds, such as -explore 1000.
 var explore = flag.Int("explore", 0, "check this many histories of new seeds")
 
 const window = 15 * time.Minute
@@ -33,7 +33,7 @@
 	holder  core.Claimant
 }
 
-// claimModel is the truth: the first claimant of a key holds it for ever.
+// claimModel is the sequential specification: the first claimant of a key holds it for ever.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -58,12 +58,12 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%v -> %v", input, output) },
 }
 
-// history runs claimants against several keepers, as when lists differ, over a
-// KV that goes down, slows and loses answers, and returns what they saw.
+// history runs claimants against several writers, as when the lists of agents differ, over a KV that
+// fails, slows down and loses responses, and returns their operations.
 func history(seed uint64) []porcupine.Operation {
 	wall := clock.Wall{}
-	// Each part has its own source: were one shared, the order in which goroutines
-	// draw from it would decide what a history meets.
+	// Each part has its own source of randomness. From a shared one, the order in which goroutines
+	// draw would decide which faults a history meets.
 	source := func(part int) *clock.Rand { return clock.NewRand(seed*100 + uint64(part)) }
 	store := &kvsrv.Store{Clock: wall, Rand: source(0), Latency: 2 * time.Millisecond}
 	var writers []*claim.Writer
@@ -110,7 +110,7 @@
 	rp, err := wr.Claim(ctx, &core.Claim{Hash: claim.Hash("customer", core.IdemKey(key)), By: by})
 	op.Return = time.Now().UnixNano()
 	if err != nil {
-		// It may take effect at any later time.
+		// The claim may take effect at any later time.
 		op.Return = time.Now().Add(time.Hour).UnixNano()
 		op.Output = claimOutput{}
 		return op
@@ -119,9 +119,9 @@
 	return op
 }
 
-// A marshal's medical flag is sent through two routers at once. Their lists
-// differ, so two keepers write the claim while the KV fails and loses answers.
-// Whoever is told first that it holds the key must be the only one ever told so.
+// A request is sent through two routers at once. Their lists of agents differ, so several writers
+// write the claim of its key while the KV fails and loses responses. Only one claimant may ever be
+// told that it holds the key.
 func TestClaimHistoriesAreLinearizable(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	for range *explore {
--- a/core/claim/keeper.go
+++ b/core/claim/keeper.go
@@ -1,30 +1,30 @@
-// Package claim lets work that must not repeat run at most once.
+// Package claim ensures that a request with an idempotency key is executed at most once.
 //
 // # Concepts
 //
-// A key is claimed before its call reaches an endpoint. Claims are spread over
-// shards by the key's hash. A shard is a chain of writes to one KV entry, its
-// head, by compare-and-swap; full heads are moved to segments that lapse with a
-// lease. Any process may write to any shard: the swap decides. So that many
-// claims share a write, processes send them to the shard's keeper, the agent that
-// rendezvous hashing names; if lists differ there are two keepers for a moment,
-// one of whom loses each swap, reads, and tries again.
+// A key is claimed before its call reaches an endpoint. Claims are distributed over shards by the
+// key's hash. A shard is a chain of compare-and-swap writes to one KV entry, its head; full heads
+// are moved to segments, which expire with a lease. Any process may write to any shard: the swap
+// decides who is first. So that many claims share a write, processes send them to the shard's owner,
+// the agent that rendezvous hashing selects. If the processes' lists of agents differ, a shard has
+// two owners for a moment; in each round one of them loses the swap, reads the head and tries again.
 //
-// Keeper is the keeper's side, Keys the claimant's: the table of keys that an
-// agent took, which joins retries to a run in progress and replays its outcome.
+// Writer is the owner's side. Keys is the claimant's: the table of the keys that an agent accepted,
+// which makes retries wait for an execution in progress and replays its outcome to them.
 //
 // # Invariants
 //
-//   - A claim counts only once a swap of the head that contains it succeeded, and
-//     a swap only succeeds on the version whose claims the keeper had all read.
-//     No clock, lease or list of members takes part in that.
-//   - A claim is never taken back and lapses only after Window.
-//   - The same claimant asking again is granted again: a lost answer does no harm.
+//   - A claim counts only once a swap of a head that contains it has succeeded, and a swap succeeds
+//     only on the version whose claims the writer has read completely. This depends on no clock, no
+//     lease and no list of members.
+//   - A claim is never withdrawn and expires only after Window.
+//   - The same claimant is granted its key again when it repeats the claim, so a lost response does
+//     no harm.
 //
 // # Usage
 //
-//	ke := &claim.Keeper{KV: kv, Clock: clock, Rand: rand, Shards: 64, Window: window}
-//	verdict, err := ke.Claim(ctx, &core.Claim{Hash: claim.Hash(customer, key), By: self})
+//	wr := &claim.Writer{KV: kv, Clock: clock, Rand: rand, Shards: 64, Window: window}
+//	reply, err := wr.Claim(ctx, &core.Claim{Hash: claim.Hash(customer, key), By: self})
 package claim
 
 import (
@@ -43,22 +43,22 @@
 )
 
 const (
-	// maxHeadBytes is the size from which a head is moved to a segment. A larger one
-	// costs bytes with every write, a smaller one more writes.
+	// maxHeadBytes is the size from which a head is moved to a segment. A larger limit costs more
+	// bytes with every write, a smaller one more writes.
 	maxHeadBytes = 2 << 10
 	// maxBatchClaims bounds the claims of one write.
 	maxBatchClaims = 1000
-	// segmentLeaseInterval is how long one lease serves new segments.
+	// segmentLeaseInterval is how long one lease is used for new segments.
 	segmentLeaseInterval = time.Minute
-	// batchTimeout bounds the attempts at one batch while the KV fails.
+	// batchTimeout is how long a failing batch is tried again.
 	batchTimeout = 2 * time.Second
 	segmentPage  = 400
 )
 
-// ErrUnsettled: the KV did not tell in time whether the claim was made.
-var ErrUnsettled = errors.New("the key-value service did not settle the claim in time")
+// ErrUnsettled means that the KV did not confirm in time whether the claim was made.
+var ErrUnsettled = errors.New("the key-value service did not confirm the claim in time")
 
-// Hash is a key's hash, which names it in claims.
+// Hash is the hash that identifies a customer's key in claims.
 func Hash(cu core.CustomerID, key core.IdemKey) core.KeyHash {
 	var hash core.KeyHash
 	one := xxhash.New()
@@ -70,12 +70,12 @@
 	return hash
 }
 
-// ShardOf is the shard of a hash among that many.
+// ShardOf is the number of the hash's shard, from 0 to shards-1.
 func ShardOf(hash core.KeyHash, shards int) int {
 	return int(binary.BigEndian.Uint64(hash[:8]) % uint64(shards))
 }
 
-// Writer writes claims. Set the exported fields before use.
+// Writer writes claims to the KV in batches. Set the exported fields before use.
 type Writer struct {
 	KV     core.KV
 	Clock  core.Clock
@@ -83,9 +83,8 @@
 	Shards int
 	// Window is how long claims are kept.
 	Window time.Duration
-	// WriteInterval is the time that each write to a shard's entries takes up, head or
-	// segment; it bounds the KV's writes by Shards/Pace however many claims there
-	// are.
+	// WriteInterval is the shortest mean time between writes to a shard, whether to its head or to a
+	// segment. It bounds the KV's load to Shards/WriteInterval writes, however many claims there are.
 	WriteInterval time.Duration
 
 	mu       sync.Mutex // guards all below
@@ -94,7 +93,7 @@
 	leasedAt time.Time
 }
 
-// Claim asks for a key and waits for the verdict, ErrUnsettled or ctx's end.
+// Claim claims a key and waits for the reply. It fails with ErrUnsettled, or when ctx ends.
 func (wr *Writer) Claim(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error) {
 	return wr.shard(ShardOf(cl.Hash, wr.Shards)).claim(ctx, cl)
 }
@@ -127,8 +126,8 @@
 	return sum
 }
 
-// segmentLease is a lease that outlives Window, shared by a minute's segments.
-// It is not renewed: segments lapse by themselves, without a call each.
+// segmentLease returns a lease that outlives Window. It is shared by the segments written within
+// segmentLeaseInterval and not renewed, so that segments expire without a call for each.
 func (wr *Writer) segmentLease(ctx context.Context) (core.LeaseID, error) {
 	wr.mu.Lock()
 	lease, leasedAt := wr.lease, wr.leasedAt
@@ -147,17 +146,17 @@
 	return lease, nil
 }
 
-// heldClaim is who claimed a key and when, in few bytes: there is one for every claim
-// of the window.
+// heldClaim is who claimed a key and when. It is compact, as memory holds one for every claim of the
+// window.
 type heldClaim struct {
 	by uint32 // index into claimants
 	at uint32 // Unix seconds
 }
 
-// unixSeconds is good until 2106.
+// unixSeconds overflows in 2106.
 func unixSeconds(at time.Time) uint32 { return uint32(at.Unix()) }
 
-// pendingClaim is one waiting claim.
+// pendingClaim is a claim that waits for its result.
 type pendingClaim struct {
 	claim *core.Claim
 	done  chan result
@@ -168,14 +167,14 @@
 	err   error
 }
 
-// shard is a keeper's view of one shard.
+// shard is a writer's copy of one shard and the queue of claims for it.
 type shard struct {
 	writer  *Writer
 	shardNo int
 
 	mu sync.Mutex // guards all up to busy
-	// recent holds the claims learnt since turned, old those of the window before:
-	// dropping a map whole costs nothing for the claims in it.
+	// recent holds the claims added since rotatedAt, previous those of the window before. Expired
+	// claims are dropped with their whole map, which needs no work per claim.
 	recent        map[core.KeyHash]heldClaim
 	previous      map[core.KeyHash]heldClaim
 	rotatedAt     time.Time
@@ -184,11 +183,11 @@
 	queue         []*pendingClaim
 	busy          bool
 
-	// The rest belongs to the one worker that runs while busy.
+	// The rest is owned by the worker goroutine, of which one runs while busy is set.
 	head    head
 	version core.Version
 	synced  bool
-	// nextWriteAt is when the writes so far have used up their time.
+	// nextWriteAt is the time from which the next write may start.
 	nextWriteAt time.Time
 }
 
@@ -219,7 +218,8 @@
 	}
 }
 
-// knownReply answers from what is known, nil if the key is not. Called locked.
+// knownReply replies from the claims in memory; nil if the key is not among them. The caller holds
+// mu.
 func (sh *shard) knownReply(cl *core.Claim) *core.ClaimReply {
 	he, known := sh.find(cl.Hash)
 	if !known {
@@ -229,7 +229,7 @@
 	return &core.ClaimReply{Granted: by == cl.By, Holder: by}
 }
 
-// find looks a claim up that is not older than the window. Called locked.
+// find looks up a claim that is not older than the window. The caller holds mu.
 func (sh *shard) find(hash core.KeyHash) (heldClaim, bool) {
 	he, known := sh.recent[hash]
 	if !known {
@@ -239,7 +239,7 @@
 	return he, known && he.at >= limit
 }
 
-// indexOf is the claimant's index. Called locked.
+// indexOf is the claimant's index in claimants; a new one is added. The caller holds mu.
 func (sh *shard) indexOf(by core.Claimant) uint32 {
 	ix, known := sh.claimantIndex[by]
 	if !known {
@@ -250,7 +250,7 @@
 	return ix
 }
 
-// run writes batches until nothing waits.
+// run processes batches until the queue is empty.
 func (sh *shard) run() {
 	for !sh.stopIfIdle() {
 		sh.waitForWrite()
@@ -258,7 +258,7 @@
 	}
 }
 
-// stopIfIdle ends the worker if nothing waits.
+// stopIfIdle reports whether the queue is empty, and if so clears busy: the worker then ends.
 func (sh *shard) stopIfIdle() bool {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -266,16 +266,15 @@
 	return !sh.busy
 }
 
-// waitForWrite waits until the writes so far have used up their time. What arrives
-// meanwhile joins the next batch; the first claim after a quiet time does not
-// wait.
+// waitForWrite waits until the next write may start. Claims that arrive meanwhile join the next
+// batch; the first claim after an idle time does not wait.
 func (sh *shard) waitForWrite() {
 	if wait := sh.nextWriteAt.Sub(sh.writer.Clock.Now()); wait > 0 {
 		_ = sh.writer.Clock.Sleep(context.Background(), wait)
 	}
 }
 
-// chargeWrite takes a write's time.
+// chargeWrite postpones the next write by WriteInterval.
 func (sh *shard) chargeWrite() {
 	now := sh.writer.Clock.Now()
 	if sh.nextWriteAt.Before(now) {
@@ -290,12 +289,13 @@
 	sh.rotate()
 	count := min(maxBatchClaims, len(sh.queue))
 	batch := sh.queue[:count:count]
-	// A copy, so that answered asks do not stay in memory behind the others.
+	// The rest is copied, so that completed claims do not stay in memory with the queue's array.
 	sh.queue = slices.Clone(sh.queue[count:])
 	return batch
 }
 
-// rotate drops the claims of the window before last. Called locked.
+// rotate starts a new map of claims once the recent one spans Window, and drops the previous one.
+// The caller holds mu.
 func (sh *shard) rotate() {
 	now := sh.writer.Clock.Now()
 	if now.Sub(sh.rotatedAt) <= sh.writer.Window {
@@ -306,8 +306,9 @@
 	sh.recent = map[core.KeyHash]heldClaim{}
 }
 
-// processBatch brings each ask of a batch to its answer: read if needed, answer what is
-// known, swap the rest in; on any doubt, start over from reading. Time bounds it.
+// processBatch completes each claim of a batch. It reads the shard if needed, replies to the claims
+// whose keys are known and writes the rest. After an error it starts again from reading, until
+// batchTimeout has passed.
 func (sh *shard) processBatch(batch []*pendingClaim) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -340,7 +341,7 @@
 	}
 }
 
-// replyKnown answers the asks whose keys are known and returns the others.
+// replyKnown replies to the claims whose keys are known and returns the others.
 func (sh *shard) replyKnown(batch []*pendingClaim) []*pendingClaim {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
--- a/core/claim/keys.go
+++ b/core/claim/keys.go
@@ -11,24 +11,24 @@
 	"almondrill/core/agent"
 )
 
-// maxStoredResponse bounds an answer that is kept for replay.
+// maxStoredResponse bounds a response that is kept for replay.
 const maxStoredResponse = 256 << 10
 
-// Keys is an agent's table of the idempotency keys it took. Set the exported
+// Keys is an agent's table of the idempotency keys that it accepted. Set the exported
 // fields before use.
 type Keys struct {
 	Clock core.Clock
 	Self  core.Claimant
-	// Window is how long a key is kept; MaxBytes bounds the answers kept.
+	// Window is how long a key is kept; MaxBytes bounds the responses kept.
 	Window   time.Duration
 	MaxBytes core.Bytes
 	// ClaimTimeout bounds the time that a claim may take.
 	ClaimTimeout time.Duration
-	// Ask asks the key's keeper.
+	// Ask sends a claim to the owner of the key's shard.
 	Ask func(ctx context.Context, cl *core.Claim) (*core.ClaimReply, error)
-	// Alive tells whether a claimant is, as far as known, still there.
+	// Alive reports whether a claimant is, as far as known, still running.
 	Alive func(by core.Claimant) bool
-	// Replayed, if set, counts a replay.
+	// Replayed, if set, is called for each replay.
 	Replayed func()
 
 	mu          sync.Mutex // guards all below and the records
@@ -42,28 +42,28 @@
 type state uint8
 
 const (
-	// open: not run so far; the next call with the key may run.
+	// open: not executed so far; the next call with the key may be.
 	open state = iota
 	running
 	done
 )
 
-// record is one key's standing here.
+// record is the state of one key on this agent.
 type record struct {
 	hash            core.KeyHash
-	fingerprint     uint64 // of the request, to tell a key that was used for another
+	fingerprint     uint64 // of the request, to detect a key that is reused for another one
 	at              time.Time
 	state           state
 	claimed         bool
 	changed         chan struct{} // closed when state leaves running
-	refusal         *core.Refusal // how it ended, nil for whole
+	refusal         *core.Refusal // why the call failed, nil after success
 	parts           []core.Part
 	bytes           core.Bytes
-	responseDropped bool // the answer was too large or had to make room
+	responseDropped bool // the response was too large or was evicted
 }
 
-// Seen tells whether the key was taken here, so that a leaving agent still
-// replays its outcome.
+// Seen reports whether the key was accepted here, so that an agent that shuts down still replays its
+// outcome.
 func (ke *Keys) Seen(ca *core.Call) bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -71,8 +71,8 @@
 	return re != nil && re.state != open
 }
 
-// Begin lets one call of a key through at a time. Others wait for its end, then
-// get the same outcome, or run if it was not run.
+// Begin admits one call of a key at a time. Other calls wait for its end; they then get the same
+// outcome, or the next one is admitted if it was not executed.
 func (ke *Keys) Begin(ctx context.Context, ca *core.Call, si core.Sink) (agent.Execution, error) {
 	hash := Hash(ca.Customer, ca.Key)
 	fp := fingerprint(ca)
@@ -89,14 +89,15 @@
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			// The run goes on; how it ends is not known to this caller.
+			// The execution continues; this caller does not learn its outcome.
 			return nil, ke.refuse(core.Unknown, core.ReasonDeadline, "a call with the same key is still running")
 		}
 	}
 }
 
-// acquire finds or makes the key's record. With wait nil and state running it is the
-// caller's to run; with wait nil and state done it is to be replayed.
+// acquire finds or creates the key's record. If the returned channel is not nil, another call with
+// the key is running. If it is nil, the caller replays the outcome of a record in state done, and
+// executes the call of a record in state running. The caller has to compare the fingerprint first.
 func (ke *Keys) acquire(hash core.KeyHash, fp uint64) (*record, chan struct{}) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -121,8 +122,8 @@
 	return re, nil
 }
 
-// expire drops records older than Window. A running one stays: it is its call
-// that ends it.
+// expire drops records older than Window. It stops at one whose call is running; that record is
+// dropped after its call has ended.
 func (ke *Keys) expire() {
 	limit := ke.Clock.Now().Add(-ke.Window)
 	for len(ke.byAge) > 0 && ke.byAge[0].at.Before(limit) {
@@ -143,7 +144,7 @@
 	return di.Sum64()
 }
 
-// replay sends the outcome again, under the new attempt's id.
+// replay sends the stored outcome under the new attempt's ID.
 func (ke *Keys) replay(re *record, ca *core.Call, si core.Sink) error {
 	if ke.Replayed != nil {
 		ke.Replayed()
@@ -155,7 +156,7 @@
 	parts, gone := re.parts, re.responseDropped
 	ke.mu.Unlock()
 	if gone {
-		return ke.refuse(core.Unknown, core.ReasonAnswerGone, "it ran to its end, but the answer is no longer kept")
+		return ke.refuse(core.Unknown, core.ReasonAnswerGone, "the call completed, but its response is no longer kept")
 	}
 	for ix := range parts {
 		pa := parts[ix]
@@ -173,7 +174,7 @@
 	}
 }
 
-// Size is the number of keys kept and the bytes of their answers.
+// Size is the number of keys kept and the bytes of their responses.
 func (ke *Keys) Size() (int, core.Bytes) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -191,8 +192,8 @@
 	callerGone bool
 }
 
-// Claim makes the claim in the KV, through the key's keeper. Once made it stands
-// for as long as the record: a call that was then not run may try again without.
+// Claim claims the key in the KV, through the owner of its shard. A claim lasts as long as the
+// record, so a call that was not executed may be tried again without a new claim.
 func (ru *run) Claim(ctx context.Context) *core.Refusal {
 	ke := ru.keys
 	if ru.record.claimed {
@@ -212,18 +213,18 @@
 	}
 	if rp.Holder.VM == ke.Self.VM || !ke.Alive(rp.Holder) {
 		return ke.refuse(core.Unknown, core.ReasonClaimLost,
-			"the key was claimed by a process that is gone: "+string(rp.Holder.VM))
+			"the key was claimed by a process that no longer runs: "+string(rp.Holder.VM))
 	}
 	re := ke.refuse(core.NotRun, core.ReasonHeldElsewhere, "the key was claimed by another agent")
 	re.Alternatives = []core.VMID{rp.Holder.VM}
 	return re
 }
 
-// Sink records the answer on its way to the caller.
+// Sink returns the sink that records the response while it is sent to the caller.
 func (ru *run) Sink() core.Sink { return ru }
 
-// Send keeps a copy of the part. A caller that has left does not stop the run:
-// its retry is to find the outcome.
+// Send keeps a copy of the part and forwards it. A caller that disconnects does not stop the
+// execution, as its retry has to find the outcome.
 func (ru *run) Send(pa *core.Part) error {
 	if !ru.tooLarge {
 		kept := *pa
@@ -238,7 +239,8 @@
 	return nil
 }
 
-// End settles the key. Not run leaves it open for another try here.
+// End records the outcome. If the call was not executed, the key stays open for another attempt on
+// this agent.
 func (ru *run) End(re *core.Refusal) {
 	ke, rec := ru.keys, ru.record
 	ke.mu.Lock()
@@ -258,7 +260,7 @@
 	}
 }
 
-// evictResponses drops the oldest answers while they take too much.
+// evictResponses drops the oldest responses while all together exceed MaxBytes.
 func (ke *Keys) evictResponses() {
 	for _, re := range ke.byAge {
 		if ke.storedBytes <= ke.MaxBytes {
--- a/core/order/control.go
+++ b/core/order/control.go
@@ -18,7 +18,7 @@
 	sweepInterval    = time.Second
 	maxInspected     = 16
 	maxIdleInspected = 4
-	// acquireInterval is the mean time between attempts of the whole fleet to acquire the lease.
+	// acquireInterval is the shortest mean time between the whole fleet's attempts to acquire the lease.
 	acquireInterval = 500 * time.Millisecond
 	// issueTimeout bounds sending an order to an agent, which reads the KV before it answers.
 	issueTimeout = 3 * time.Second
--- a/core/order/lease.go
+++ b/core/order/lease.go
@@ -58,7 +58,7 @@
 	marginDivisor = 4
 )
 
-// ErrHeld: another process holds the lease.
+// ErrLeaseHeld means that another process holds the lease.
 var ErrLeaseHeld = errors.New("another process holds the lease")
 
 // Lease is a process's handle on the lease under which orders are issued. Set the exported fields
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -136,7 +136,7 @@
 		close(free)
 		time.Sleep(time.Second)
 		if fences, _ := en.Fences(); len(fences) > 0 {
-			t.Errorf("ran orders numbered %v", fences)
+			t.Errorf("executed orders with fencing numbers %v", fences)
 		}
 		if problem := ex.States(t.Context())[0].Problem; problem == nil || problem.Reason != core.ReasonOldFence {
 			t.Errorf("the agent reports %v, want a refusal for an old fencing number", problem)
@@ -174,7 +174,7 @@
 			}
 		}
 		if fences, _ := en.Fences(); len(fences) > 0 {
-			t.Errorf("ran orders numbered %v", fences)
+			t.Errorf("executed orders with fencing numbers %v", fences)
 		}
 	})
 }
