--- a/core/revlog/commit.go
+++ b/core/revlog/commit.go
@@ -11,7 +11,7 @@
 	"almondrill/core/retry"
 )
 
-// Conflict tells that another change was accepted since the plan was made.
+// Conflict is the error of a commit when another change was accepted since it was planned.
 type Conflict struct {
 	Planned core.Revision
 	Other   decl.Delta
@@ -23,23 +23,23 @@
 		co.Planned, co.Other.Author, co.Other.Revision, co.Other.ID, co.Other.At.Format(time.RFC3339))
 }
 
-// Uncertain tells that it could not be settled in time whether a change was
-// accepted; ask again with its ID.
+// Uncertain is the error of a commit when the KV did not confirm in time whether the change was
+// accepted. Commit it again with the same ID to find out.
 type Uncertain struct {
 	ID    string
 	Cause error
 }
 
-// Error tells the ID to ask by.
+// Error includes the ID to commit again with.
 func (un *Uncertain) Error() string {
 	return fmt.Sprintf("it is not known whether change %s was accepted: %v", un.ID, un.Cause)
 }
 
-// Unwrap is the last error of the KV.
+// Unwrap returns the last error of the KV.
 func (un *Uncertain) Unwrap() error { return un.Cause }
 
-// ErrBehind: the KV holds less than this process has adopted, so it was reset to
-// older content; nothing is committed until it is repaired.
+// ErrKVBehind means that the KV lacks revisions that this process has adopted, so it was reset to
+// older content. Nothing is committed until it is repaired.
 var ErrKVBehind = errors.New("the KV holds older configuration than is in force; restore it before applying")
 
 // Meta describes a change to commit.
@@ -50,9 +50,9 @@
 	Note   string
 }
 
-// Commit has doc accepted as the next revision after planned, or not at all. It
-// returns the accepted revision, or a *Conflict, an *Uncertain, or another error
-// that means not accepted. Sent again with the same ID it returns the same.
+// Commit commits doc as the revision after planned. It returns the accepted revision or an error: a
+// *Conflict; an *Uncertain; or another one, which means that the change was not accepted. Called
+// again with the same ID after the change was accepted, it returns the same revision.
 func (lo *Log) Commit(ctx context.Context, planned core.Revision, doc *decl.Document, me Meta) (core.Revision, error) {
 	if err := lo.Refresh(ctx); err != nil {
 		return 0, err
@@ -82,8 +82,8 @@
 	return de.Revision, nil
 }
 
-// createEntry creates the log entry. After an error that leaves its fate open it
-// writes the same again until the KV tells, or ctx ends.
+// createEntry creates the log entry. After an error that leaves the result open it writes the same
+// entry again, until the KV confirms the result or ctx ends.
 func (lo *Log) createEntry(ctx context.Context, de *decl.Delta, data []byte, planned core.Revision) error {
 	for try := 1; ; try++ {
 		_, err := lo.KV.Put(ctx, logKey(de.Revision), data, 0, 0)
@@ -99,10 +99,10 @@
 	}
 }
 
-// checkNewest makes sure that a log entry just created is the log's end. A writer
-// that was paused while more than keepLog changes were accepted could create the
-// entry of a number that has been deleted; it shows by later entries, and is
-// taken back. Only such a writer pays for more than one read.
+// checkNewest verifies that the log entry just created directly follows the previous one. A writer
+// that was paused while more than retainedEntries changes were accepted could create the entry of a
+// revision whose entry has been deleted. The missing predecessor shows it, and the entry is deleted
+// again. Any other writer needs only the one read.
 func (lo *Log) checkNewest(ctx context.Context, de *decl.Delta) error {
 	page, err := lo.KV.List(ctx, logKey(de.Revision-1), logPrefix+prefixEnd, 3)
 	if err != nil {
@@ -119,7 +119,8 @@
 	return &Conflict{Planned: de.Revision - 1, Other: decl.Delta{Author: "others", ID: "more changes than are kept"}}
 }
 
-// resolveConflict finds out who holds the number that this change wanted.
+// resolveConflict reads the entry that already has this change's revision. It returns nil if the
+// entry is this change itself, written by an earlier attempt.
 func (lo *Log) resolveConflict(ctx context.Context, de *decl.Delta, planned core.Revision) error {
 	for try := 1; ; try++ {
 		en, err := lo.KV.Get(ctx, logKey(de.Revision))
@@ -139,7 +140,7 @@
 	}
 }
 
-// revisionOf is the revision that a change with that ID got, 0 if none is known.
+// revisionOf is the revision of a recently accepted change with that ID, 0 if none is known.
 func (lo *Log) revisionOf(id string) core.Revision {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
--- a/core/revlog/history.go
+++ b/core/revlog/history.go
@@ -8,8 +8,8 @@
 	"almondrill/core/decl"
 )
 
-// DocumentAt makes the document of an earlier revision anew, from the KV's newest
-// snapshot at or below it and the deltas that follow.
+// DocumentAt rebuilds the document of an earlier revision from the KV's newest snapshot at or below
+// it and the deltas that follow.
 func (lo *Log) DocumentAt(ctx context.Context, rev core.Revision) (*decl.Document, error) {
 	if doc, own := lo.Document(); own == rev {
 		return doc, nil
@@ -39,13 +39,13 @@
 	}
 	doc, got := past.Document()
 	if got != rev {
-		return nil, fmt.Errorf("revision %d is not kept any more", rev)
+		return nil, fmt.Errorf("revision %d is no longer kept", rev)
 	}
 	return doc, nil
 }
 
-// History lists the newest accepted changes, newest first, from the KV, or from
-// memory where that cannot be read.
+// History lists the newest accepted changes, newest first, from the KV or, if that cannot be read,
+// from memory.
 func (lo *Log) History(ctx context.Context, limit int) []decl.Delta {
 	own := lo.Revision()
 	from := core.Revision(1)
--- a/core/revlog/revlog.go
+++ b/core/revlog/revlog.go
@@ -1,24 +1,23 @@
-// Package revlog keeps the accepted configuration: an append-only log of deltas
-// with snapshots in the KV, and each process's copy of it.
+// Package revlog stores the accepted configuration: an append-only log of deltas with snapshots in
+// the KV, and each process's copy of it.
 //
 // # Concepts
 //
-// Revision n is accepted once the KV holds the log entry n, which is created only
-// if absent: of two operators one gets the number, the other a conflict. A
-// process holds one document at one revision and takes further ones from the KV
-// or from any peer; whatever the way, deltas are applied in order and a lower
-// revision changes nothing.
+// Revision n is accepted once the KV holds log entry n, which is created only if absent: of two
+// operators who commit at once, one gets the revision and the other a conflict. A process holds one
+// document at one revision and receives later ones from the KV or from any peer. Either way, deltas
+// are applied in order, and a lower revision changes nothing.
 //
 // # Invariants
 //
-//   - Commit says accepted only when the KV holds the very delta. A lost answer
-//     is settled by writing the same entry again: the entry can only be created
-//     once, so the second write either makes it or finds whose it is.
-//   - A process never goes back, even if the KV does.
-//   - Log entries are deleted only once keepLog more follow: a writer that was
-//     paused for less than keepLog changes finds its number taken, and one that
-//     was paused for longer finds the log ahead of it gone, so it reads again
-//     before and checks after writing, see settle.
+//   - Commit reports success only when the KV holds this very delta. After a lost response it writes
+//     the same entry again: the entry can be created only once, so the second write either creates
+//     it or finds whose change it holds.
+//   - A process never reverts to a lower revision, even if the KV does.
+//   - Log entries are deleted only once retainedEntries more follow. A writer that was paused for
+//     fewer changes finds its revision taken. One that was paused for more finds the entries before
+//     its own deleted; Commit therefore reads the log before it writes and checks it afterwards, see
+//     checkNewest.
 //
 // # Usage
 //
@@ -44,11 +43,11 @@
 const (
 	logPrefix  = "config/log/"
 	snapPrefix = "config/snap/"
-	// prefixEnd sorts behind every key that starts with the prefix's digits.
+	// prefixEnd sorts after every digit, so that a prefix with it ends the range of the prefix's keys.
 	prefixEnd = "~"
-	// snapshotInterval is how many revisions lie between snapshots.
+	// snapshotInterval is the number of revisions between snapshots.
 	snapshotInterval = 100
-	// retainedEntries is how many log entries stay behind the newest snapshot.
+	// retainedEntries is how many log entries are kept before the newest snapshot.
 	retainedEntries = 1000
 	// maxRecentDeltas is how many deltas a process keeps for its peers.
 	maxRecentDeltas = 200
@@ -63,7 +62,7 @@
 	Rand  core.Rand
 	// Adopt is called, in order, with each newly adopted configuration.
 	Adopt func(cfg *decl.Config)
-	// Behind, if set, is told when the KV is found to hold older content.
+	// Behind, if set, is called when the KV is found to hold older content.
 	Behind func(own core.Revision)
 
 	mu        sync.Mutex // guards all below
@@ -74,14 +73,14 @@
 	packedRev core.Revision
 }
 
-// Revision is the one in force here, 0 for none.
+// Revision is the revision in force in this process, 0 if there is none.
 func (lo *Log) Revision() core.Revision {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	return lo.rev
 }
 
-// Document is the one in force here; it must not be changed.
+// Document is the document in force in this process, which must not be changed, and its revision.
 func (lo *Log) Document() (*decl.Document, core.Revision) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
@@ -102,11 +101,11 @@
 	return rev, nil
 }
 
-// Refresh takes over what the KV holds beyond the own revision.
+// Refresh adopts the revisions in the KV above the own one.
 func (lo *Log) Refresh(ctx context.Context) error {
 	for {
 		own := lo.Revision()
-		// The own entry is asked for too: a KV that does not have it was reset.
+		// The entry of the own revision is read too: a KV that lacks it was reset.
 		page, err := lo.KV.List(ctx, logKey(own), logPrefix+prefixEnd, pageSize)
 		if err != nil {
 			return fmt.Errorf("list log: %w", err)
@@ -130,7 +129,7 @@
 	}
 }
 
-// checkBehind handles a KV whose log is empty from the own revision on.
+// checkBehind handles a KV whose log holds no entry at or above the own revision.
 func (lo *Log) checkBehind(ctx context.Context, own core.Revision) error {
 	if own == 0 {
 		return lo.loadSnapshot(ctx, own)
@@ -141,7 +140,8 @@
 	return ErrKVBehind
 }
 
-// loadSnapshot takes over the newest snapshot above own, if there is one.
+// loadSnapshot adopts the newest snapshot above own. If there is none, a process without a
+// configuration goes on without one; for any other that is an error.
 func (lo *Log) loadSnapshot(ctx context.Context, own core.Revision) error {
 	snaps, err := lo.KV.List(ctx, snapKey(own+1), snapPrefix+prefixEnd, 0)
 	if err != nil {
@@ -151,7 +151,7 @@
 		if own == 0 {
 			return nil
 		}
-		return fmt.Errorf("the log misses revision %d and no snapshot covers it", own+1)
+		return fmt.Errorf("the log lacks revision %d and no snapshot covers it", own+1)
 	}
 	newest := snaps[len(snaps)-1]
 	rev, err := snapRevision(newest.Key)
@@ -161,8 +161,8 @@
 	return lo.Apply(&core.Changes{SnapshotAt: rev, Snapshot: newest.Value})
 }
 
-// Apply adopts changes from the KV or a peer. Deltas at or below the own revision
-// are passed over; a gap is an error and changes nothing beyond it.
+// Apply adopts changes from the KV or a peer. Deltas at or below the own revision are skipped. A gap
+// is an error; the deltas before it remain applied.
 func (lo *Log) Apply(ch *core.Changes) error {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
@@ -182,7 +182,7 @@
 			continue
 		}
 		if de.Revision != lo.rev+1 {
-			return fmt.Errorf("revision %d follows %d", de.Revision, lo.rev)
+			return fmt.Errorf("gap in the changes: revision %d follows %d", de.Revision, lo.rev)
 		}
 		doc := lo.doc
 		if doc == nil {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// adopt is called with the lock held, so that Adopt sees revisions in order.
+// adopt replaces the document. The caller holds mu, so that Adopt is called with revisions in order.
 func (lo *Log) adopt(doc *decl.Document, rev core.Revision, de *decl.Delta) {
 	lo.doc = doc
 	lo.rev = rev
@@ -210,7 +210,8 @@
 	}
 }
 
-// ChangesSince is what a peer at that revision lacks.
+// ChangesSince returns the changes that a peer at that revision lacks: the deltas if all are in
+// memory, otherwise a snapshot.
 func (lo *Log) ChangesSince(since core.Revision) (*core.Changes, error) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
@@ -279,9 +280,9 @@
 	return &doc, nil
 }
 
-// compact writes a snapshot every snapEvery revisions and deletes log entries
-// that lie far enough behind it. It may fail at any point: what it leaves undone
-// the next one does.
+// compact writes a snapshot every snapshotInterval revisions and deletes the entries and snapshots
+// that are more than retainedEntries revisions older. It may fail at any point; the next one does
+// what was left.
 func (lo *Log) compact(ctx context.Context, rev core.Revision) {
 	if rev%snapshotInterval != 0 {
 		return
--- a/core/revlog/revlog_test.go
+++ b/core/revlog/revlog_test.go
@@ -19,14 +19,14 @@
 	"almondrill/io/stand/kvsrv"
 )
 
-// explore runs histories of new seeds, such as -explore 1000.
+// explore adds that many histories with random seeds, such as -explore 1000.
 var explore = flag.Int("explore", 0, "check this many histories of new seeds")
 
 func document(model string) *decl.Document {
 	return &decl.Document{Pools: []decl.Pool{{Name: "chat", Model: model}}}
 }
 
-// process is one process's log, with the revisions it adopted.
+// process is the log of one process, with the revisions that it adopted.
 type process struct {
 	*revlog.Log
 	adopted []core.Revision
@@ -65,8 +65,8 @@
 	refused   bool // for a reason other than a conflict
 }
 
-// commitModel: a commit is accepted as planned+1 if that is next, or conflicts if
-// it is not; one whose fate is uncertain may be either.
+// commitModel is the sequential specification: a commit is accepted as planned+1 if that is the next
+// revision, and conflicts otherwise. One with an uncertain result may have been accepted or not.
 var commitModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{core.Revision(0)} },
 	Step: func(state, input, output any) []any {
@@ -87,9 +87,9 @@
 	Equal: func(one, two any) bool { return one == two },
 }).ToModel()
 
-// Two operators' jobs apply at once through different routers while the KV goes
-// down, slows and loses answers. Each revision belongs to one change; nobody is
-// told "accepted" of a change that another has overtaken; no reader goes back.
+// Several operators commit at once through different processes while the KV fails, slows down and
+// loses responses. Each revision must belong to one change, no commit may be reported as accepted
+// when another has its revision, and no reader may revert to a lower revision.
 func TestRacingOperatorsAreLinearizable(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5, 6}
 	for range *explore {
@@ -142,16 +142,16 @@
 		}
 	}
 	if accepted < 5 || faulted == 0 {
-		t.Errorf("seed %d: of %d changes %d accepted, %d met a fault: this history shows nothing", seed, len(ops), accepted, faulted)
+		t.Errorf("seed %d: of %d changes %d were accepted and %d met a fault, too few to test anything", seed, len(ops), accepted, faulted)
 	}
 	if !porcupine.CheckOperations(commitModel, ops) {
 		t.Errorf("seed %d: the history is not linearizable", seed)
 	}
 }
 
-// cycleFaults puts the KV through its faults, each for up to 60 ms. Each has its turn,
-// and each process its own source of randomness: were one shared, the order in
-// which goroutines draw from it would decide whether a history meets a fault.
+// cycleFaults gives the KV one fault after the other, each for up to 60 ms. The faults come in a
+// fixed order, and each process has its own source of randomness: from a shared one, the order in
+// which goroutines draw would decide whether a history meets a fault.
 func cycleFaults(ctx context.Context, store *kvsrv.Store, ra core.Rand) {
 	kinds := []kvsrv.Faults{{}, {Down: true}, {LoseAnswers: 0.5}, {Delay: 40 * time.Millisecond}}
 	for turn := 0; ; turn++ {
@@ -184,8 +184,8 @@
 	return op
 }
 
-// An operator's job loses the answer to an accepted write and runs again. It is
-// told the revision that it has, not a conflict with itself.
+// An operator's job loses the response to an accepted commit and runs again, also through another
+// process. It must get the revision that it has, not a conflict with itself.
 func TestRetriedCommitReturnsTheSameRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, ra := newStore(1)
@@ -200,8 +200,9 @@
 	})
 }
 
-// Many changes later a new VM starts. It reads a snapshot and the log behind it,
-// and earlier revisions can still be had for a rollback.
+// A new VM starts after 1250 changes. It must start from a snapshot and the log entries after it, in
+// at most 200 steps. Revisions that are retained must still be readable for a rollback, deleted ones
+// must give an error.
 func TestStartFromSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, ra := newStore(1)
@@ -223,20 +224,20 @@
 			t.Errorf("revision %d, %+v", rev, doc)
 		}
 		if len(fresh.adopted) > 200 {
-			t.Errorf("%d steps to start", len(fresh.adopted))
+			t.Errorf("adopted %d revisions to start, want at most 200", len(fresh.adopted))
 		}
 		old, err := fresh.DocumentAt(ctx, 450)
 		if err != nil || old.Pools[0].Model != "m450" {
 			t.Errorf("%+v %v", old, err)
 		}
 		if _, err = fresh.DocumentAt(ctx, 3); err == nil {
-			t.Error("revision 3 is deleted, but was answered")
+			t.Error("revision 3 is deleted, but was returned")
 		}
 	})
 }
 
-// The KV is restored from an old backup. Processes keep what is in force, tell of
-// it, and accept no change that would build on the older content.
+// The KV is restored from an old backup. A process must keep the revision in force, report the older
+// KV, and commit no change on top of the older content.
 func TestOlderKVRevertsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, ra := newStore(1)
@@ -249,13 +250,13 @@
 		}
 		pr.KV = &kvsrv.Store{Clock: clock.Wall{}, Rand: ra}
 		if err := pr.Refresh(ctx); !errors.Is(err, revlog.ErrKVBehind) || pr.behind != 1 {
-			t.Errorf("%v, told %d times", err, pr.behind)
+			t.Errorf("%v, reported %d times", err, pr.behind)
 		}
 		if _, err := pr.Commit(ctx, 3, document("new"), revlog.Meta{ID: "x"}); !errors.Is(err, revlog.ErrKVBehind) {
 			t.Errorf("committed over older content: %v", err)
 		}
 		if pr.Revision() != 3 {
-			t.Errorf("went back to %d", pr.Revision())
+			t.Errorf("reverted to revision %d", pr.Revision())
 		}
 	})
 }
