--- a/core/decl/check.go
+++ b/core/decl/check.go
@@ -12,15 +12,15 @@
 	"almondrill/core"
 )
 
-// Problem is one thing wrong with a document. Object is its kind and name, such
-// as "Pool chat"; Field is empty where the object as a whole is meant.
+// Problem is one error in a document. Object is the kind and name of the faulty object, such as
+// "Pool chat"; Field is empty if the problem concerns the object as a whole.
 type Problem struct {
 	Object string
 	Field  string
 	Text   string
 }
 
-// String reads "Pool chat: LoadFactor: must be at least 1".
+// String formats the problem, such as "Pool chat: LoadFactor: must be at least 1".
 func (pr Problem) String() string {
 	if pr.Field == "" {
 		return fmt.Sprintf("%s: %s", pr.Object, pr.Text)
@@ -28,13 +28,13 @@
 	return fmt.Sprintf("%s: %s: %s", pr.Object, pr.Field, pr.Text)
 }
 
-// HashName is the stable 64-bit hash of a name that placement builds on.
+// HashName is the stable 64-bit hash of a name. Placement depends on it.
 func HashName(name string) uint64 { return xxhash.Sum64String(name) }
 
 // namePattern keeps names usable in URLs, headers and KV keys.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// maxHeadroom leaves customers over their share something.
+// maxHeadroom leaves some slots to customers that exceed their share.
 const maxHeadroom = 0.9
 
 const maxLoadFactor = 100
@@ -46,7 +46,7 @@
 	keyOwners map[string]core.CustomerID
 }
 
-// Check lists everything wrong with a document.
+// Check lists all problems of a document.
 func Check(doc *Document) []Problem {
 	ch := &checker{groups: map[core.PoolID]bool{}, names: map[string]bool{}, keyOwners: map[string]core.CustomerID{}}
 	for _, po := range doc.Pools {
@@ -68,8 +68,8 @@
 	ch.problems = append(ch.problems, Problem{object, field, fmt.Sprintf(format, args...)})
 }
 
-// name checks the form of a name and that it is unique in its space: pools and
-// services share one.
+// name checks the form of a name and that it is unique in its namespace: pools and services share
+// one. It returns the object's kind and name.
 func (ch *checker) name(kind, space, name string) string {
 	object := kind + " " + name
 	if !namePattern.MatchString(name) {
@@ -149,7 +149,7 @@
 		return
 	}
 	if other, taken := ch.keyOwners[sum]; taken {
-		ch.add(object, "KeyHashes", "holds a key that customer %s has too", other)
+		ch.add(object, "KeyHashes", "contains a key that customer %s has too", other)
 	}
 	ch.keyOwners[sum] = owner
 }
--- a/core/decl/decl.go
+++ b/core/decl/decl.go
@@ -1,23 +1,23 @@
-// Package decl holds the declarations that operators keep under version control
-// and the immutable configuration compiled from them.
+// Package decl defines the declarations that operators keep under version control and the immutable
+// configuration compiled from them.
 //
 // # Concepts
 //
-// A Document is the whole set of declarations at one revision. A Delta takes one
-// Document to the next. A Config is a Document compiled for reading by traffic:
-// it is never changed, so goroutines share it without locks.
+// A Document is the whole set of declarations at one revision. A Delta is the change from one
+// Document to the next. A Config is a Document compiled for lookups while requests are served. It is
+// immutable, so goroutines share it without locks.
 //
 // # Invariants
 //
 //   - Names are unique across pools and services: a service is a pool too.
-//   - Check reports everything that is wrong, not only the first problem.
-//   - Compile is only given documents that Check found nothing wrong with.
+//   - Check reports all problems, not only the first one.
+//   - Compile is only called with documents in which Check found no problem.
 //
 // # Usage
 //
 //	problems := decl.Check(doc)
 //	cfg := decl.Compile(doc, revision)
-//	cu := cfg.ByKey(sha256.Sum256(key))
+//	cu := cfg.CustomerByKeyHash(sha256.Sum256(key))
 package decl
 
 import (
@@ -86,7 +86,7 @@
 	EchoesAttempt bool `yaml:"EchoesAttempt,omitempty" json:",omitempty" doc:"Its answers carry the attempt id; one without is refused as crossed."`
 }
 
-// Defaults of what is left out.
+// Defaults of settings that are left out.
 const (
 	DefaultLoadFactor = 1.25
 	DefaultFloorWork  = core.Work(4096)
@@ -96,7 +96,7 @@
 	DefaultReuseBias  = 64.0
 )
 
-// Group is a pool or service compiled for traffic.
+// Group is a compiled pool or service.
 type Group struct {
 	Limits
 	ID         core.PoolID
@@ -107,10 +107,10 @@
 	idempotent map[string]bool
 }
 
-// MayRepeat tells whether a call with that HTTP method may run twice.
+// MayRepeat reports whether calls with that HTTP method are idempotent, so that they may run twice.
 func (gr *Group) MayRepeat(method string) bool { return gr.idempotent[method] }
 
-// Config is a Document compiled for reading by traffic.
+// Config is a Document compiled for lookups while requests are served.
 type Config struct {
 	Revision core.Revision
 	Document *Document
@@ -127,7 +127,7 @@
 	customer *Customer
 }
 
-// Compile makes a Config of a checked document.
+// Compile compiles a document in which Check found no problem.
 func Compile(doc *Document, rev core.Revision) *Config {
 	cfg := &Config{
 		Revision: rev, Document: doc,
@@ -173,10 +173,9 @@
 	}
 }
 
-// CustomerByKeyHash finds the customer with the bearer key of that SHA-256 sum, nil if
-// there is none. The full sums are compared in constant time, so that timing
-// tells nothing of a stored sum beyond its first eight bytes, from which no key
-// can be worked out.
+// CustomerByKeyHash finds the customer with the bearer key of that SHA-256 sum, nil if there is
+// none. The full sums are compared in constant time, so that timing reveals nothing of a stored sum
+// beyond its first eight bytes, from which no key can be derived.
 func (cfg *Config) CustomerByKeyHash(sum [sha256.Size]byte) *Customer {
 	var found *Customer
 	for _, ke := range cfg.byKey[binary.BigEndian.Uint64(sum[:])] {
@@ -208,7 +207,7 @@
 	return 1
 }
 
-// Checks tells what an endpoint checks itself; undeclared ones check nothing.
+// Checks returns what an endpoint checks itself; an undeclared one checks nothing.
 func (cfg *Config) Checks(ep core.EndpointID) Endpoint { return cfg.checks[ep] }
 
 func newGroup(id core.PoolID, li Limits) *Group {
--- a/core/decl/delta.go
+++ b/core/decl/delta.go
@@ -11,16 +11,15 @@
 	"almondrill/core"
 )
 
-// Delta takes the document of revision Revision-1 to that of Revision.
+// Delta is the change from the document of revision Revision-1 to that of Revision.
 type Delta struct {
 	Revision core.Revision
-	// ID is the applying operator's own name for the change; an apply that is
-	// sent again carries the same.
+	// ID is the name that the operator who applies the change gives it; a retry has the same one.
 	ID string
-	// Author and Source tell who accepted it and from which commit.
+	// Author is who applied the change, Source the commit that it comes from.
 	Author string
 	Source string
-	// Note says what it is, such as "rollback to 12".
+	// Note describes the change, such as "rollback to 12".
 	Note   string `json:",omitempty"`
 	At     time.Time
 	Set    Document
@@ -35,10 +34,10 @@
 	Endpoints []core.EndpointID `json:",omitempty"`
 }
 
-// Encode is the delta's form in the KV and between processes.
+// Encode encodes the delta for the KV and for other processes.
 func (de *Delta) Encode() ([]byte, error) { return json.Marshal(de) }
 
-// DecodeDelta reads what Encode wrote.
+// DecodeDelta decodes a delta that Encode encoded.
 func DecodeDelta(data []byte) (*Delta, error) {
 	var de Delta
 	if err := json.Unmarshal(data, &de); err != nil {
@@ -47,10 +46,10 @@
 	return &de, nil
 }
 
-// Empty tells whether the delta changes nothing.
+// Empty reports whether the delta changes nothing.
 func (de *Delta) Empty() bool { return len(de.Lines()) == 0 }
 
-// Lines tells for people what the delta changes, a line each.
+// Lines describes the delta for operators, one line for each object set or removed.
 func (de *Delta) Lines() []string {
 	var lines []string
 	lines = append(lines, formatLines("set Customer ", de.Set.Customers, customerName)...)
@@ -77,7 +76,7 @@
 func endpointName(ep Endpoint) core.EndpointID { return ep.Name }
 func identity[K ~string](name K) K             { return name }
 
-// Apply makes the next document; doc itself is not changed.
+// Apply returns the document that results from the delta; doc itself is not changed.
 func Apply(doc *Document, de *Delta) *Document {
 	return &Document{
 		Customers: mergeItems(doc.Customers, de.Set.Customers, de.Remove.Customers, customerName),
@@ -87,7 +86,7 @@
 	}
 }
 
-// Diff is the delta that takes one document to another.
+// Diff returns the delta from one document to another.
 func Diff(from, to *Document) *Delta {
 	de := &Delta{}
 	de.Set.Customers, de.Remove.Customers = diffItems(from.Customers, to.Customers, customerName)
@@ -97,8 +96,9 @@
 	return de
 }
 
-// mergeItems keeps the result sorted by name, so that equal documents are equal
-// however they came about.
+// mergeItems returns old with the items of set added or replaced and those named in remove left out.
+// The result is sorted by name, so that documents with the same content are equal whatever the
+// order of the changes was.
 func mergeItems[T any, K cmp.Ordered](old, set []T, remove []K, name func(T) K) []T {
 	byName := make(map[K]T, len(old)+len(set))
 	for _, it := range old {
@@ -121,7 +121,7 @@
 	return merged
 }
 
-// equalEncoded compares as encoded: what is left out equals what is empty.
+// equalEncoded compares the JSON encodings, in which an empty field equals one that is left out.
 func equalEncoded[T any](one, two T) bool {
 	left, errLeft := json.Marshal(one)
 	right, errRight := json.Marshal(two)
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,28 +1,27 @@
-// Package member decides which VMs may get work, from the platform's lagging
-// list, the processes' own announcements and what traffic shows.
+// Package member decides which VMs may get work, based on the platform's list of VMs, which lags,
+// the processes' own announcements, and whether calls reached the VMs.
 //
 // # Concepts
 //
-// The list is the base. An announcement (a digest, or the report beside an
-// answer) tells at once that a process drains or has started anew. Traffic tells
-// at once that one cannot be reached: it becomes suspect for a time that doubles
-// with every failure in a row. One that comes back after failing is readmitted
-// gradually: its Allowance, the part of its keys it gets, grows from
-// firstAllowance to 1.
+// The list is the base. An announcement (a digest, or the report that comes with a response) shows
+// at once that a process drains or has restarted. A failed call shows at once that a VM cannot be
+// reached: it becomes suspect for a time that doubles with every failure in a row. A VM that recovers
+// after repeated failures is readmitted gradually: its Allowance, the part of its keys that it gets,
+// grows from minAllowance to 1.
 //
 // # Invariants
 //
-//   - A draining announcement holds for the incarnation that made it.
-//   - If the list drops most of a pool at once, or most of a pool is suspect, the
-//     view is doubted rather than the pool: the dropped stay usable for doubtFor
-//     and suspicion is ignored. Losing a link looks like losing the others.
-//   - Nothing here keeps a leaving VM from work if the list lags; the agent on
-//     it refuses by itself. This package only aims well.
+//   - A draining announcement applies only to the incarnation that made it.
+//   - If the list drops most of a pool at once, or most of a pool is suspect, the fault is assumed to
+//     be in this process's view, as its own lost link looks like the loss of the others: dropped VMs
+//     stay usable for removalGrace, and suspicion is ignored.
+//   - While the list lags, a VM that shuts down may still be chosen for work; the agent on it refuses
+//     the work. This package only reduces such refusals.
 //
 // # Usage
 //
-// A Table belongs to the control goroutine. Feed it with Listed, Announced and
-// Traffic, and read Usable after each change and at every Tick.
+// A Table belongs to the control goroutine. Update it by ApplyList, ApplyAnnouncement and
+// RecordReachability, and read Usable after each change, and at every tick while Pending.
 package member
 
 import (
@@ -39,9 +38,9 @@
 	maxRamp      = 2 * time.Minute
 	minAllowance = 0.1
 	removalGrace = 60 * time.Second
-	// flapWindow is how long a failure counts towards the ramp.
+	// flapWindow is how long a failure or restart counts towards the ramp.
 	flapWindow = 10 * time.Minute
-	// minGracePool is the pool size from which doubt makes sense.
+	// minGracePool is the smallest pool whose mass removal is delayed.
 	minGracePool = 4
 )
 
@@ -57,12 +56,12 @@
 	removeAt     time.Time
 }
 
-// Usable is a VM that may get work. Allowance is the part of its keys that it
-// should get, above 0 and up to 1.
+// Usable is a VM that may get work. Allowance is the part of its keys that it should get, above 0
+// and up to 1.
 type Usable struct {
 	VM        core.VM
 	Allowance float64
-	// Suspect is set where it is listed only because most of its pool is.
+	// Suspect is set on a suspect VM that stays usable because most of its pool is suspect.
 	Suspect bool
 }
 
@@ -72,11 +71,11 @@
 	Rand core.Rand
 
 	records map[core.VMID]*record
-	// changesUntil is the time up to which Usable changes by itself.
+	// changesUntil is the time until which the result of Usable may change without an update.
 	changesUntil time.Time
 }
 
-// ApplyList takes in changes of the platform's list.
+// ApplyList applies changes of the platform's list.
 func (ta *Table) ApplyList(vms []core.VM, now time.Time) {
 	if ta.records == nil {
 		ta.records = map[core.VMID]*record{}
@@ -99,7 +98,7 @@
 	}
 }
 
-// isMassRemoval tells whether the changes would drop more than half of some pool.
+// isMassRemoval reports whether the changes would drop more than half of some pool.
 func (ta *Table) isMassRemoval(vms []core.VM) bool {
 	dropped := map[core.PoolID]int{}
 	for _, vm := range vms {
@@ -128,8 +127,8 @@
 	return false
 }
 
-// ApplyAnnouncement takes in what a process says of itself. It reports whether Usable
-// may have changed.
+// ApplyAnnouncement applies what a process announced about itself. It reports whether the result of
+// Usable may have changed.
 func (ta *Table) ApplyAnnouncement(id core.VMID, in core.Incarnation, draining bool, now time.Time) bool {
 	re := ta.records[id]
 	if re == nil {
@@ -145,7 +144,7 @@
 	return re.draining != before.draining || re.suspectUntil != before.suspectUntil || re.flaps != before.flaps
 }
 
-// RecordReachability takes in whether a VM could be reached. It reports whether Usable may
+// RecordReachability records whether a call reached a VM. It reports whether the result of Usable may
 // have changed.
 func (ta *Table) RecordReachability(id core.VMID, reached bool, now time.Time) bool {
 	re := ta.records[id]
@@ -159,7 +158,7 @@
 		return false
 	}
 	suspicion := min(maxSuspicion, minSuspicion<<min(re.failures, 10))
-	// Jitter keeps routers from trying a returning VM all at the same moment.
+	// Jitter keeps the routers from all retrying a returning VM at the same moment.
 	suspicion += time.Duration(ta.Rand.Float64() * float64(suspicion) / 2)
 	re.failures++
 	re.flap(now)
@@ -176,7 +175,7 @@
 	re.rampFrom = now
 }
 
-// recover ends a suspicion and starts the ramp of its return.
+// recover ends the suspicion, if there is one, and starts the ramp.
 func (re *record) recover(now time.Time) bool {
 	if re.failures == 0 {
 		return false
@@ -188,7 +187,7 @@
 }
 
 func (re *record) allowance(now time.Time) float64 {
-	// One failure is an accident; the ramp is for what fails again and again.
+	// A single failure is tolerated; the ramp is for VMs that fail repeatedly.
 	if re.flaps < 2 {
 		return 1
 	}
@@ -240,7 +239,7 @@
 	return false
 }
 
-// Incarnation is the last one that the VM's process announced, 0 if none.
+// Incarnation is the last incarnation that the VM's process announced, 0 if there is none.
 func (ta *Table) Incarnation(id core.VMID) core.Incarnation {
 	if re := ta.records[id]; re != nil {
 		return re.incarnation
@@ -248,8 +247,8 @@
 	return 0
 }
 
-// Pending tells whether Usable may have changed since it was last read, merely
-// because time has passed: a suspicion, a ramp or a doubt is running.
+// Pending reports whether the result of Usable may have changed with time alone: a suspicion, a ramp
+// or a delayed removal is running, or ended recently.
 func (ta *Table) Pending(now time.Time) bool {
 	pending := now.Before(ta.changesUntil)
 	ta.changesUntil = time.Time{}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -28,9 +28,9 @@
 
 func id(n int) core.VMID { return core.VMID(fmt.Sprint("agent-", n)) }
 
-// The platform's list, out of order for a moment, drops most of a pool. Taking it
-// at its word would refuse everybody; the VMs stay usable for a minute, in which
-// the list usually recovers, and are gone after it if it does not.
+// The platform's list is faulty for a moment and drops most of a pool. If it were applied at once,
+// most calls would be refused. The VMs must stay usable for a minute, in which the list usually
+// recovers, and be removed after it if the list did not recover.
 func TestMassRemovalIsDelayed(t *testing.T) {
 	ta := table(8)
 	ta.ApplyList(listed(6, core.VMGone), start)
@@ -39,11 +39,11 @@
 	}
 	ta.ApplyList(listed(3, core.VMLive), start.Add(30*time.Second))
 	if got := len(ta.Usable(start.Add(2 * time.Minute))); got != 5 {
-		t.Errorf("%d usable after two minutes, want the 3 back and the 2 never dropped", got)
+		t.Errorf("%d usable after two minutes, want 5: 3 listed again and 2 never dropped", got)
 	}
 }
 
-// One VM of many goes: it is dropped at once.
+// If the list drops one VM of many, it must be removed at once.
 func TestSingleRemovalIsImmediate(t *testing.T) {
 	ta := table(8)
 	ta.ApplyList(listed(1, core.VMGone), start)
@@ -52,8 +52,8 @@
 	}
 }
 
-// A router's own link fails, so it reaches nobody. It doubts its view, not the
-// pool: all stay usable, marked as suspect, so that calls go on being tried.
+// A router's own link fails, so it cannot reach any VM. All must stay usable, marked as suspect, so
+// that calls are still tried.
 func TestAllSuspectsStayUsable(t *testing.T) {
 	ta := table(6)
 	for n := range 2 {
@@ -70,8 +70,8 @@
 	}
 }
 
-// An engine flaps. Each return is more gradual than the one before; the first
-// failure costs it nothing once it is back.
+// A VM flaps. After the first failure it must get its full allowance as soon as it is back; each
+// later return must be more gradual than the one before.
 func TestFlappingVMComesBackGradually(t *testing.T) {
 	ta := table(4)
 	now := start
@@ -85,12 +85,12 @@
 	}
 	ta.RecordReachability(id(0), false, now)
 	if allowance() != 0 {
-		t.Error("a VM that cannot be reached gets work")
+		t.Error("an unreachable VM has an allowance")
 	}
 	now = now.Add(5 * time.Second)
 	ta.RecordReachability(id(0), true, now)
 	if allowance() != 1 {
-		t.Errorf("after one failure: %.2f", allowance())
+		t.Errorf("allowance %.2f after one failure, want 1", allowance())
 	}
 	last := 1.0
 	for range 3 {
@@ -106,8 +106,8 @@
 	}
 }
 
-// An agent announced that it drains and was then replaced under the same name:
-// the new process gets work though the list never changed.
+// An agent announced that it drains and was then replaced under the same name. The new process must
+// get work, though the list never changed.
 func TestDrainingBelongsToAnIncarnation(t *testing.T) {
 	ta := table(3)
 	ta.ApplyAnnouncement(id(0), 1, true, start)
