--- a/core/board/board.go
+++ b/core/board/board.go
@@ -1,26 +1,26 @@
-// Package board is the blackboard of a process: what its controllers have found
-// out, and the snapshot that traffic reads.
+// Package board combines what a process knows about the fleet into the snapshot that its request
+// goroutines read.
 //
 // # Concepts
 //
-// One control goroutine, Run, owns membership and configuration. Controllers
-// post typed events; Run applies them in order and publishes a new immutable
-// Snapshot. Traffic goroutines read the latest Snapshot through an atomic
-// pointer and never wait for control.
+// One control goroutine, Run, owns membership and configuration. Controllers and request goroutines
+// post typed events; Run applies them in order and publishes a new immutable Snapshot. Request
+// goroutines read the latest Snapshot through an atomic pointer and never wait for the control
+// goroutine.
 //
 // # Invariants
 //
-//   - Only Run writes; a published Snapshot is never changed, except for the
-//     Gauges that its members point to, which are atomic.
-//   - A configuration with a lower revision never replaces a higher one.
-//   - Posting from traffic never blocks: when the queue is full the event is
-//     dropped and counted, as later traffic shows the same again.
+//   - Only Run writes. A published Snapshot is never changed, except for the Gauges that its members
+//     point to, which are atomic.
+//   - A configuration with a lower revision never replaces one with a higher revision.
+//   - Post never blocks: when the queue is full the event is dropped and counted, as later requests
+//     show the same again.
 //
 // # Usage
 //
 //	bo := &board.Board{Clock: clock, Rand: rand, Self: vm}
 //	go bo.Run(ctx)
-//	bo.Post(board.Listed{VMs: vms})
+//	bo.Post(board.VMsChanged{VMs: vms})
 //	sn := bo.Snapshot()
 package board
 
@@ -38,24 +38,24 @@
 	"almondrill/core/ring"
 )
 
-// Event is something a controller or traffic found out.
+// Event is an observation of a controller or a request goroutine. Run applies it.
 type Event interface {
 	apply(bo *Board, now time.Time) bool
 }
 
-// VMsChanged brings changes of the platform's list.
+// VMsChanged reports changes of the platform's list of VMs.
 type VMsChanged struct{ VMs []core.VM }
 
-// ConfigAdopted brings a newer configuration.
+// ConfigAdopted reports a newly adopted configuration.
 type ConfigAdopted struct{ Config *decl.Config }
 
-// Reachability tells whether a VM could be reached.
+// Reachability reports whether a call reached a VM.
 type Reachability struct {
 	VM      core.VMID
 	Reached bool
 }
 
-// ProcessAnnounced tells what a process said of itself.
+// ProcessAnnounced reports what a process announced about itself.
 type ProcessAnnounced struct {
 	VM          core.VMID
 	Incarnation core.Incarnation
@@ -64,16 +64,17 @@
 
 type tick struct{}
 
-// Pool is a pool as traffic sees it: columns by member index.
+// Pool is a pool in a Snapshot. Members and Ring have the same indices.
 type Pool struct {
 	Group   *decl.Group
 	Members []Member
-	// Ring is Members for placement; Near those of the process's own region.
+	// Ring holds the hashes and weights of Members for placement; SameRegion the indices of those in
+	// the process's own region.
 	Ring       []ring.Member
 	SameRegion []int32
-	// EqualWeights is set where all weights are equal.
+	// EqualWeights is set if all weights are equal.
 	EqualWeights bool
-	// Ramping is set where some member has an Allowance below 1.
+	// Ramping is set if some member has an Allowance below 1.
 	Ramping bool
 }
 
@@ -83,15 +84,15 @@
 	Zone      core.Zone
 	Region    core.Region
 	Allowance float64
-	// Suspect is set where it could not be reached lately.
+	// Suspect is set on a member that could not be reached lately, and that stays listed because most
+	// of its pool could not.
 	Suspect     bool
 	Incarnation core.Incarnation
-	// Load is what its agent last told; shared by all snapshots.
+	// Load is the load that its agent last reported; all snapshots share it.
 	Load *loads.Gauge
 }
 
-// Index finds a VM in the pool, whose members are in order of their names; -1 if
-// it is not there.
+// Index finds a VM among the members, which are sorted by name; -1 if it is not there.
 func (po *Pool) Index(vm core.VMID) int {
 	ix, found := slices.BinarySearchFunc(po.Members, vm, func(me Member, vm core.VMID) int {
 		return strings.Compare(string(me.VM), string(vm))
@@ -102,7 +103,7 @@
 	return ix
 }
 
-// VMs lists the pool's members in order of their names.
+// VMs lists the pool's members, sorted by name.
 func (po *Pool) VMs() []core.VMID {
 	vms := make([]core.VMID, len(po.Members))
 	for ix := range po.Members {
@@ -111,19 +112,19 @@
 	return vms
 }
 
-// Snapshot is what traffic reads. It is immutable.
+// Snapshot is the state of the fleet that request goroutines read. It is immutable.
 type Snapshot struct {
 	Config *decl.Config // nil until one is accepted
 	Pools  map[core.PoolID]*Pool
 	Addrs  map[core.VMID]string
-	// Agents and Routers are the usable processes, by name.
+	// Agents and Routers are the usable processes, sorted by name.
 	Agents  []core.VMID
 	Routers []core.VMID
-	// AgentRing is Agents for placement of what belongs to no pool.
+	// AgentRing holds the hashes of Agents, for placement of items that belong to no pool.
 	AgentRing []ring.Member
 }
 
-// Revision is that of the configuration, 0 if there is none.
+// Revision is the revision of the configuration, 0 if there is none.
 func (sn *Snapshot) Revision() core.Revision {
 	if sn.Config == nil {
 		return 0
@@ -133,18 +134,18 @@
 
 const (
 	queueLength = 1024
-	// TickInterval is how often suspicions and ramps are looked at again.
+	// TickInterval is the time between reevaluations of suspicions and ramps.
 	TickInterval = 500 * time.Millisecond
 )
 
-// Board is the blackboard. Set the exported fields before Run.
+// Board collects events and publishes Snapshots. Set the exported fields before Run.
 type Board struct {
 	Clock core.Clock
 	Rand  core.Rand
 	Self  core.VM
 	// Published, if set, is called by the control goroutine after each change.
 	Published func(sn *Snapshot)
-	// Reverted, if set, is told of a configuration refused as older.
+	// OlderConfig, if set, is called when a configuration is refused because it is older.
 	OlderConfig func(offered, inForce core.Revision)
 
 	events  chan Event
@@ -163,7 +164,7 @@
 	pool core.PoolID
 }
 
-// Init makes the board ready to take events; Run may start later.
+// Init prepares the board for events; Run may start later.
 func (bo *Board) Init() {
 	if bo.events != nil {
 		return
@@ -189,8 +190,8 @@
 	}
 }
 
-// applyEvents applies an event and all that wait behind it, then publishes once: a
-// burst of changes costs one snapshot.
+// applyEvents applies an event and all others in the queue, then publishes at most once: a burst of
+// changes costs one snapshot.
 func (bo *Board) applyEvents(ev Event) {
 	now := bo.Clock.Now()
 	changed := ev.apply(bo, now)
@@ -214,7 +215,8 @@
 	}
 }
 
-// Post hands an event to the control goroutine without ever waiting for it.
+// Post queues an event for the control goroutine without waiting. If the queue is full, the event is
+// dropped.
 func (bo *Board) Post(ev Event) {
 	select {
 	case bo.events <- ev:
@@ -223,7 +225,7 @@
 	}
 }
 
-// Deliver hands over an event that must not be lost, waiting for room.
+// Deliver queues an event that must not be lost. It waits while the queue is full.
 func (bo *Board) Deliver(ctx context.Context, ev Event) error {
 	select {
 	case bo.events <- ev:
@@ -233,10 +235,10 @@
 	}
 }
 
-// Dropped counts the events that found the queue full.
+// Dropped is the number of events dropped because the queue was full.
 func (bo *Board) Dropped() int64 { return bo.dropped.Load() }
 
-// Snapshot is the latest one; it is never nil.
+// Snapshot returns the latest snapshot; it is never nil.
 func (bo *Board) Snapshot() *Snapshot { return bo.snap.Load() }
 
 func (ev VMsChanged) apply(bo *Board, now time.Time) bool {
@@ -268,10 +270,10 @@
 	return bo.membership.ApplyAnnouncement(ev.VM, ev.Incarnation, ev.Draining, now)
 }
 
-// apply publishes again only while something changes with time alone.
+// apply requests a new snapshot only while something changes with time alone.
 func (tick) apply(bo *Board, now time.Time) bool { return bo.membership.Pending(now) }
 
-// publish builds a new Snapshot.
+// publish builds and publishes a new Snapshot.
 func (bo *Board) publish(now time.Time) {
 	sn := &Snapshot{Config: bo.config, Pools: map[core.PoolID]*Pool{}, Addrs: map[core.VMID]string{}}
 	for id, addr := range bo.addrs {
--- a/core/board/list.go
+++ b/core/board/list.go
@@ -7,16 +7,16 @@
 	"almondrill/core"
 )
 
-// ListInterval is the pace at which a process asks for changes of the VM list.
+// ListInterval is the time between a process's polls of the VM list.
 const ListInterval = 2 * time.Second
 
-// Lister follows the platform's list. Set the exported fields before Run.
+// Lister polls the platform's list of VMs. Set the exported fields before Run.
 type Lister struct {
 	Board *Board
 	List  core.VMList
-	// Leaving, if set, is called when the list first marks the own VM as leaving.
+	// Draining, if set, is called when the list first marks the own VM as draining or gone.
 	Draining func()
-	// Failed, if set, is told of a poll that failed.
+	// Failed, if set, is called when a poll fails.
 	Failed func(err error)
 
 	cursor   uint64
@@ -36,8 +36,8 @@
 	}
 }
 
-// Poll asks once for what changed. The mark only advances when the board has
-// taken the changes, so none is lost.
+// Poll reads the changes since the last poll once. The cursor advances only after the board has
+// accepted the changes, so none is lost.
 func (li *Lister) Poll(ctx context.Context) error {
 	vms, cursor, err := li.List.Changes(ctx, li.cursor)
 	if err != nil || len(vms) == 0 {
--- a/core/bucket/meter.go
+++ b/core/bucket/meter.go
@@ -1,9 +1,9 @@
-// Package bucket holds control traffic to a budget of bytes a second.
+// Package bucket limits control traffic to a budget of bytes per second, by a token bucket.
 //
 // # Usage
 //
-//	me := &meter.Meter{Clock: clock, PerSecond: 2500}
-//	if me.Allow(size) { send() }
+//	bu := &bucket.Bucket{Clock: clock, PerSecond: 2500}
+//	if bu.Allow(size) { send() }
 package bucket
 
 import (
@@ -13,17 +13,17 @@
 	"almondrill/core"
 )
 
-// Overhead is what a small message costs besides its body, in bytes: frame,
-// header and transport headers of one HTTP/2 call over TCP, both ways.
+// Overhead is the cost of a small message besides its body, in bytes: the frame, the header and the
+// transport headers of one HTTP/2 call over TCP, in both directions.
 const Overhead core.Bytes = 220
 
-// burstSeconds is how much of the budget may be saved up, in seconds.
+// burstSeconds is the bucket's capacity, in seconds of the budget.
 const burstSeconds = 4
 
-// Bucket is a token bucket for bytes sent. Set the exported fields before use.
+// Bucket is a token bucket of bytes to send. Set the exported fields before use.
 type Bucket struct {
 	Clock core.Clock
-	// PerSecond is the budget in bytes a second.
+	// PerSecond is the budget in bytes per second.
 	PerSecond core.Bytes
 
 	mu      sync.Mutex // guards all below
@@ -33,8 +33,8 @@
 	refused int64
 }
 
-// Allow takes a message's body and Overhead from the budget; false means that
-// it must not be sent now.
+// Allow takes a message's body and Overhead from the bucket. If the bucket holds less, it takes
+// nothing and returns false: the message must not be sent now.
 func (bu *Bucket) Allow(body core.Bytes) bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
@@ -49,8 +49,8 @@
 	return true
 }
 
-// Spend counts a message that cannot wait, such as an answer to a peer; it may
-// overdraw the budget, and what comes next waits until that is made good.
+// Spend takes the cost of a message that cannot wait, such as a response to a peer. It may overdraw
+// the bucket; Allow then returns false until the deficit is refilled.
 func (bu *Bucket) Spend(body core.Bytes) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
@@ -70,14 +70,14 @@
 	bu.last = now
 }
 
-// Sent is the bytes sent so far; Refused the messages held back.
+// Sent is the number of bytes sent so far.
 func (bu *Bucket) Sent() core.Bytes {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	return bu.sent
 }
 
-// Refused counts the messages that were held back.
+// Refused is the number of messages for which Allow returned false.
 func (bu *Bucket) Refused() int64 {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
--- a/core/syncer/spread.go
+++ b/core/syncer/spread.go
@@ -1,29 +1,28 @@
-// Package syncer brings accepted revisions to every process.
+// Package syncer distributes accepted revisions of the configuration to every process.
 //
 // # Concepts
 //
-// Four ways, each enough by itself:
+// A revision reaches a process in four ways, each of which suffices by itself:
 //
-//   - Push: a process that adopts a revision tells Fanout random others, which
-//     fetch it from the teller and tell others in turn.
-//   - Every message between processes carries the sender's revision; one that
-//     hears of a higher one fetches the rest from that peer.
-//   - Compare: each process swaps digests with a random other every second or so.
-//   - Poll: each process reads the KV's log at a pace that keeps the whole fleet
-//     within PollsPerSecond, so a fleet of any size has one poll every few
-//     milliseconds somewhere.
+//   - Push: a process that adopts a revision announces it to Fanout random others. They fetch it
+//     from the announcing process and announce it in turn.
+//   - Piggyback: every message between processes carries the sender's revision; a receiver with a
+//     lower one fetches the difference from the sender.
+//   - Compare: each process exchanges digests with a random other about once a second.
+//   - Poll: each process reads the KV's log, at a rate that keeps the whole fleet within
+//     pollsPerSecond. Whatever the size of the fleet, some process polls every few milliseconds.
 //
 // # Invariants
 //
-//   - At most one fetch runs at a time; what is heard meanwhile is not lost, as
-//     the highest revision heard and its teller are kept.
-//   - A fetch that fails is not repeated by itself: the next message brings it.
+//   - At most one fetch runs at a time. Revisions seen meanwhile are not lost, as the highest one
+//     and the peer that has it are kept.
+//   - A failed fetch is not retried on its own; the next message triggers another.
 //
 // # Usage
 //
-//	sp := &spread.Spreader{Log: log, Board: bo, Peers: peers, Clock: clock, Rand: rand}
-//	go sp.Run(ctx)
-//	sp.Heard(from, revision)
+//	sy := &syncer.Syncer{Log: log, Board: bo, Peers: peers, Clock: clock, Rand: rand}
+//	go sy.Run(ctx)
+//	sy.NotePeerRevision(from, revision)
 package syncer
 
 import (
@@ -37,35 +36,36 @@
 )
 
 const (
-	// Fanout is how many others a process tells of a revision it has adopted.
+	// Fanout bounds the other processes that get an announcement of a revision in each round.
 	Fanout = 4
-	// pollsPerSecond is the whole fleet's pace of reading the KV's log.
+	// pollsPerSecond is the rate at which the whole fleet polls the KV's log.
 	pollsPerSecond = 60
-	// minPollDelay bounds the pace in a small fleet.
+	// minPollDelay limits the poll rate of each process in a small fleet.
 	minPollDelay = 500 * time.Millisecond
-	// digestSize is the size of the message that tells of a revision.
+	// digestSize is the size of the message that announces a revision.
 	digestSize core.Bytes = 40
-	// announceRounds is how often an adopted revision is told; the second time reaches
-	// those whom the first found behind a lost message.
+	// announceRounds is how often an adopted revision is announced, each time to other random
+	// processes. The second round makes up for messages lost in the first.
 	announceRounds   = 2
 	announceInterval = 300 * time.Millisecond
-	// compareInterval is how often a process compares revisions with a random other:
-	// it finds those whom neither push nor request reaches while the KV is down.
+	// compareInterval is the time between exchanges with a random other process. They reach the
+	// processes that get neither announcements nor requests while the KV is down.
 	compareInterval = time.Second
 )
 
-// Syncer spreads revisions. Set the exported fields before Run.
+// Syncer keeps the process's configuration up to date and announces new revisions to other
+// processes. Set the exported fields before Run.
 type Syncer struct {
 	Log   *revlog.Log
 	Board *board.Board
 	Peers core.Peers
 	Clock core.Clock
 	Rand  core.Rand
-	// Digest makes the message that tells a peer of the own revision.
+	// Digest returns the digest that announces the own revision to a peer.
 	Digest func() *core.Digest
-	// Sending, if set, is asked before a control message is sent.
+	// AllowSend, if set, decides whether a control message of that size may be sent now.
 	AllowSend func(size core.Bytes) bool
-	// Failed, if set, is told of a poll that failed.
+	// Failed, if set, is called when a poll fails.
 	Failed func(err error)
 
 	mu         sync.Mutex // guards all below
@@ -75,7 +75,7 @@
 	announced  core.Revision
 }
 
-// Init makes the Spreader ready for Heard.
+// Init prepares the Syncer. NotePeerRevision and NoteAdopted may be called from then on.
 func (sy *Syncer) Init() {
 	sy.mu.Lock()
 	defer sy.mu.Unlock()
@@ -84,7 +84,8 @@
 	}
 }
 
-// NotePeerRevision notes the revision that a peer's message carried.
+// NotePeerRevision records the revision that a peer's message carried, and schedules a fetch if it is
+// higher than the own one.
 func (sy *Syncer) NotePeerRevision(from core.VMID, rev core.Revision) {
 	if rev <= sy.Log.Revision() {
 		return
@@ -97,7 +98,7 @@
 	sy.signal()
 }
 
-// NoteAdopted notes that the own revision went up, to tell others.
+// NoteAdopted records that the own revision rose, and schedules its announcement.
 func (sy *Syncer) NoteAdopted() {
 	sy.mu.Lock()
 	defer sy.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// Run fetches, tells and polls until ctx ends.
+// Run fetches, announces and polls until ctx ends.
 func (sy *Syncer) Run(ctx context.Context) error {
 	sy.Init()
 	go sy.poll(ctx)
@@ -130,7 +131,7 @@
 	}
 }
 
-// fetch takes over what the teller of the highest revision heard has.
+// fetch fetches the missing changes from the peer with the highest revision seen.
 func (sy *Syncer) fetch(ctx context.Context) {
 	sy.mu.Lock()
 	from, rev := sy.source, sy.highestRev
@@ -143,11 +144,11 @@
 	if err != nil {
 		return
 	}
-	// A peer's answer with a gap is as good as none.
+	// A response with a gap is treated like a failed fetch.
 	_ = sy.Log.Apply(ch)
 }
 
-// announce sends digests to random others; they fetch when they see the revision.
+// announce sends digests to random other processes, which fetch the revision if they lack it.
 func (sy *Syncer) announce(ctx context.Context) {
 	for range announceRounds {
 		sn := sy.Board.Snapshot()
@@ -161,7 +162,7 @@
 	}
 }
 
-// compare swaps digests with a random other now and then.
+// compare exchanges digests with a random other process about every compareInterval.
 func (sy *Syncer) compare(ctx context.Context) {
 	for sy.Clock.Sleep(ctx, time.Duration(float64(compareInterval)*(0.75+sy.Rand.Float64()/2))) == nil {
 		sn := sy.Board.Snapshot()
@@ -189,15 +190,15 @@
 	}()
 }
 
-// revisionDigest is the own digest without loads, which only pools exchange.
+// revisionDigest is the own digest without loads, which are exchanged only within pools.
 func (sy *Syncer) revisionDigest() *core.Digest {
 	di := sy.Digest()
 	di.Loads = nil
 	return di
 }
 
-// poll reads the KV's log. A process that starts while the KV is down takes the
-// configuration from the first peer that it compares revisions with.
+// poll polls the KV's log. A process that starts while the KV is down gets the configuration from
+// the first peer with which it exchanges digests.
 func (sy *Syncer) poll(ctx context.Context) {
 	for {
 		err := sy.Log.Refresh(ctx)
@@ -213,7 +214,9 @@
 	}
 }
 
-// pollDelay is the wait between polls: the fleet's size over its pace, with jitter.
+// pollDelay is the time between this process's polls: the number of processes divided by
+// pollsPerSecond, at least minPollDelay, with jitter. A process without a configuration polls every
+// minPollDelay.
 func (sy *Syncer) pollDelay() time.Duration {
 	sn := sy.Board.Snapshot()
 	fleet := len(sn.Agents) + len(sn.Routers)
