--- a/core/claim/chain.go
+++ b/core/claim/chain.go
@@ -164,7 +164,7 @@
 	for _, ba := range kept.Batches {
 		size += len(ba.Claims)*claimBytes + len(ba.Claimants)*claimantBytes
 	}
-	if size < maxHeadBytes {
+	if size < rollHeadBytes {
 		return kept, nil
 	}
 	value, err := cbor.Marshal(kept.Batches)
--- a/core/claim/keeper.go
+++ b/core/claim/keeper.go
@@ -43,9 +43,9 @@
 )
 
 const (
-	// maxHeadBytes is the size from which a head is moved to a segment. A larger limit costs more
+	// rollHeadBytes is the size from which a head is moved to a segment. A larger one costs more
 	// bytes with every write, a smaller one more writes.
-	maxHeadBytes = 2 << 10
+	rollHeadBytes = 2 << 10
 	// maxBatchClaims bounds the claims of one write.
 	maxBatchClaims = 1000
 	// segmentLeaseInterval is how long one lease is used for new segments.
--- a/core/claim/keys.go
+++ b/core/claim/keys.go
@@ -52,7 +52,7 @@
 type record struct {
 	hash            core.KeyHash
 	fingerprint     uint64 // of the request, to detect a key that is reused for another one
-	at              time.Time
+	acceptedAt      time.Time
 	state           state
 	claimed         bool
 	changed         chan struct{} // closed when state leaves running
@@ -84,7 +84,7 @@
 		case wait == nil && re.state == done:
 			return nil, ke.replay(re, ca, si)
 		case wait == nil:
-			return &run{keys: ke, record: re, inner: si}, nil
+			return &execution{keys: ke, record: re, caller: si}, nil
 		}
 		select {
 		case <-wait:
@@ -107,7 +107,7 @@
 	}
 	re := ke.records[hash]
 	if re == nil {
-		re = &record{hash: hash, fingerprint: fp, at: ke.Clock.Now()}
+		re = &record{hash: hash, fingerprint: fp, acceptedAt: ke.Clock.Now()}
 		ke.records[hash] = re
 		ke.byAge = append(ke.byAge, re)
 	}
@@ -126,7 +126,7 @@
 // dropped after its call has ended.
 func (ke *Keys) expire() {
 	limit := ke.Clock.Now().Add(-ke.Window)
-	for len(ke.byAge) > 0 && ke.byAge[0].at.Before(limit) {
+	for len(ke.byAge) > 0 && ke.byAge[0].acceptedAt.Before(limit) {
 		re := ke.byAge[0]
 		if re.state == running {
 			return
@@ -153,9 +153,9 @@
 		return re.refusal
 	}
 	ke.mu.Lock()
-	parts, gone := re.parts, re.responseDropped
+	parts, dropped := re.parts, re.responseDropped
 	ke.mu.Unlock()
-	if gone {
+	if dropped {
 		return ke.refuse(core.Unknown, core.ReasonAnswerGone, "the call completed, but its response is no longer kept")
 	}
 	for ix := range parts {
@@ -181,11 +181,11 @@
 	return len(ke.records), ke.storedBytes
 }
 
-// run is the permission to run a key's call.
-type run struct {
+// execution is the permission to run a key's call.
+type execution struct {
 	keys       *Keys
 	record     *record
-	inner      core.Sink
+	caller     core.Sink
 	parts      []core.Part
 	bytes      core.Bytes
 	tooLarge   bool
@@ -194,21 +194,21 @@
 
 // Claim claims the key in the KV, through the owner of its shard. A claim lasts as long as the
 // record, so a call that was not executed may be tried again without a new claim.
-func (ru *run) Claim(ctx context.Context) *core.Refusal {
-	ke := ru.keys
-	if ru.record.claimed {
+func (ex *execution) Claim(ctx context.Context) *core.Refusal {
+	ke := ex.keys
+	if ex.record.claimed {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, ke.ClaimTimeout)
 	defer cancel()
-	rp, err := ke.Ask(ctx, &core.Claim{Hash: ru.record.hash, By: ke.Self})
+	rp, err := ke.Ask(ctx, &core.Claim{Hash: ex.record.hash, By: ke.Self})
 	if err != nil {
 		re := ke.refuse(core.NotRun, core.ReasonKVDown, "the key could not be claimed: "+err.Error())
 		re.RetryAfter = time.Second
 		return re
 	}
 	if rp.Granted {
-		ru.record.claimed = true
+		ex.record.claimed = true
 		return nil
 	}
 	if rp.Holder.VM == ke.Self.VM || !ke.Alive(rp.Holder) {
@@ -221,28 +221,28 @@
 }
 
 // Sink returns the sink that records the response while it is sent to the caller.
-func (ru *run) Sink() core.Sink { return ru }
+func (ex *execution) Sink() core.Sink { return ex }
 
 // Send keeps a copy of the part and forwards it. A caller that disconnects does not stop the
 // execution, as its retry has to find the outcome.
-func (ru *run) Send(pa *core.Part) error {
-	if !ru.tooLarge {
+func (ex *execution) Send(pa *core.Part) error {
+	if !ex.tooLarge {
 		kept := *pa
 		kept.Data = append([]byte(nil), pa.Data...)
-		ru.parts = append(ru.parts, kept)
-		ru.bytes += core.Bytes(len(pa.Data))
-		ru.tooLarge = ru.bytes > maxStoredResponse
+		ex.parts = append(ex.parts, kept)
+		ex.bytes += core.Bytes(len(pa.Data))
+		ex.tooLarge = ex.bytes > maxStoredResponse
 	}
-	if !ru.callerGone {
-		ru.callerGone = ru.inner.Send(pa) != nil
+	if !ex.callerGone {
+		ex.callerGone = ex.caller.Send(pa) != nil
 	}
 	return nil
 }
 
 // End records the outcome. If the call was not executed, the key stays open for another attempt on
 // this agent.
-func (ru *run) End(re *core.Refusal) {
-	ke, rec := ru.keys, ru.record
+func (ex *execution) End(re *core.Refusal) {
+	ke, rec := ex.keys, ex.record
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	defer close(rec.changed)
@@ -252,10 +252,10 @@
 	}
 	rec.state = done
 	rec.refusal = re
-	rec.responseDropped = ru.tooLarge
-	if re == nil && !ru.tooLarge {
-		rec.parts, rec.bytes = ru.parts, ru.bytes
-		ke.storedBytes += ru.bytes
+	rec.responseDropped = ex.tooLarge
+	if re == nil && !ex.tooLarge {
+		rec.parts, rec.bytes = ex.parts, ex.bytes
+		ke.storedBytes += ex.bytes
 		ke.evictResponses()
 	}
 }
