--- a/core/claim/keys.go
+++ b/core/claim/keys.go
@@ -181,7 +181,7 @@
 	return len(ke.records), ke.storedBytes
 }
 
-// execution is the permission to run a key's call.
+// execution is the permission to execute the call of a key, and its recorded response.
 type execution struct {
 	keys       *Keys
 	record     *record
--- a/core/revlog/revlog.go
+++ b/core/revlog/revlog.go
@@ -69,7 +69,7 @@
 	rev       core.Revision
 	doc       *decl.Document
 	recent    []*decl.Delta
-	packed    []byte // the document at packedAt, for peers
+	packed    []byte // the encoded document of revision packedRev, for peers
 	packedRev core.Revision
 }
 
