--- a/core/revlog/commit.go
+++ b/core/revlog/commit.go
@@ -88,7 +88,7 @@
 	for try := 1; ; try++ {
 		_, err := lo.KV.Put(ctx, logKey(de.Revision), data, 0, 0)
 		if err == nil {
-			return lo.checkNewest(ctx, de)
+			return lo.checkPredecessor(ctx, de)
 		}
 		if errors.Is(err, core.ErrConflict) {
 			return lo.resolveConflict(ctx, de, planned)
@@ -99,11 +99,11 @@
 	}
 }
 
-// checkNewest verifies that the log entry just created directly follows the previous one. A writer
+// checkPredecessor verifies that the log entry just created directly follows the previous one. A writer
 // that was paused while more than retainedEntries changes were accepted could create the entry of a
 // revision whose entry has been deleted. The missing predecessor shows it, and the entry is deleted
 // again. Any other writer needs only the one read.
-func (lo *Log) checkNewest(ctx context.Context, de *decl.Delta) error {
+func (lo *Log) checkPredecessor(ctx context.Context, de *decl.Delta) error {
 	page, err := lo.KV.List(ctx, logKey(de.Revision-1), logPrefix+prefixEnd, 3)
 	if err != nil {
 		return &Uncertain{ID: de.ID, Cause: err}
