--- a/core/claim/history_test.go
+++ b/core/claim/history_test.go
@@ -18,7 +18,7 @@
 )
 
 // explore adds that many histories with random seeds, such as -explore 1000.
-var explore = flag.Int("explore", 0, "check this many histories of new seeds")
+var explore = flag.Int("explore", 0, "check this many more histories, with random seeds")
 
 const window = 15 * time.Minute
 
--- a/core/revlog/commit.go
+++ b/core/revlog/commit.go
@@ -99,10 +99,10 @@
 	}
 }
 
-// checkPredecessor verifies that the log entry just created directly follows the previous one. A writer
-// that was paused while more than retainedEntries changes were accepted could create the entry of a
-// revision whose entry has been deleted. The missing predecessor shows it, and the entry is deleted
-// again. Any other writer needs only the one read.
+// checkPredecessor verifies that the entry before the one just created still exists. A writer that was
+// paused while more than retainedEntries changes were accepted could create the entry of a revision
+// whose entry has been deleted. The missing predecessor shows it, and the new entry is deleted again.
+// Any other writer needs only the one read.
 func (lo *Log) checkPredecessor(ctx context.Context, de *decl.Delta) error {
 	page, err := lo.KV.List(ctx, logKey(de.Revision-1), logPrefix+prefixEnd, 3)
 	if err != nil {
--- a/core/revlog/revlog.go
+++ b/core/revlog/revlog.go
@@ -17,7 +17,7 @@
 //   - Log entries are deleted only once retainedEntries more follow. A writer that was paused for
 //     fewer changes finds its revision taken. One that was paused for more finds the entries before
 //     its own deleted; Commit therefore reads the log before it writes and checks it afterwards, see
-//     checkNewest.
+//     checkPredecessor.
 //
 // # Usage
 //
--- a/core/revlog/revlog_test.go
+++ b/core/revlog/revlog_test.go
@@ -20,7 +20,7 @@
 )
 
 // explore adds that many histories with random seeds, such as -explore 1000.
-var explore = flag.Int("explore", 0, "check this many histories of new seeds")
+var explore = flag.Int("explore", 0, "check this many more histories, with random seeds")
 
 func document(model string) *decl.Document {
 	return &decl.Document{Pools: []decl.Pool{{Name: "chat", Model: model}}}
