--- a/core/member/member.go
+++ b/core/member/member.go
@@ -32,11 +32,15 @@
 )
 
 const (
+	// A suspicion lasts minSuspicion after the first failure and doubles with each further one in a
+	// row, up to maxSuspicion.
 	minSuspicion = time.Second
 	maxSuspicion = 30 * time.Second
+	// After n flaps, the ramp from minAllowance to 1 takes n-1 times rampPerFlap, at most maxRamp.
 	rampPerFlap  = 10 * time.Second
 	maxRamp      = 2 * time.Minute
 	minAllowance = 0.1
+	// removalGrace is how long the VMs of a mass removal stay usable.
 	removalGrace = 60 * time.Second
 	// flapWindow is how long a failure or restart counts towards the ramp.
 	flapWindow = 10 * time.Minute
--- a/core/syncer/spread.go
+++ b/core/syncer/spread.go
@@ -68,7 +68,9 @@
 	// Failed, if set, is called when a poll fails.
 	Failed func(err error)
 
-	mu         sync.Mutex // guards all below
+	mu sync.Mutex // guards all below
+	// highestRev is the highest revision seen at a peer; source is that peer, empty once the revision
+	// is being fetched.
 	highestRev core.Revision
 	source     core.VMID
 	wake       chan struct{}
