--- a/io/fakes/audit/audit.go
+++ b/io/fakes/audit/audit.go
@@ -1,23 +1,24 @@
-// Package audit counts, at the stand-ins, what must never happen: work that ran
-// twice, answers that reached the wrong caller, answers passed off as whole.
+// Package audit detects violations of the router's guarantees by comparing what fake endpoints
+// executed and sent with what callers received.
 //
 // # Concepts
 //
-// Endpoints note every run; callers note what they were told. The router and the
-// agents between them have no part in it.
+// Endpoints record every execution and complete response; callers record every response or refusal
+// that they get. The routers and agents in between take no part, so a fault in them cannot hide a
+// violation.
 //
 // # Usage
 //
 //	au := &audit.Audit{}
-//	au.Ran(key)                     // endpoint
-//	au.Sent(nonce, answer)          // endpoint, once its answer is complete
-//	au.Got(nonce, answer)           // caller, told that the answer is whole
-//	au.Refused(nonce)               // caller, told that it was not run
+//	au.RecordExecution(nonce, key)      // endpoint, at the start
+//	au.RecordSent(nonce, answer)        // endpoint, once its answer is complete
+//	au.RecordReceived(nonce, answer)    // caller, if the answer was marked complete
+//	au.RecordNotRun(nonce)              // caller, if it was refused as not run
 package audit
 
 import "sync"
 
-// Audit collects both sides. The zero value is ready.
+// Audit holds the records of endpoints and callers. The zero value is ready to use.
 type Audit struct {
 	mu              sync.Mutex // guards all below
 	executionsByKey map[string]int
@@ -27,15 +28,15 @@
 	notRun          map[string]bool
 }
 
-// Counts are the violations found.
+// Counts holds the violations found.
 type Counts struct {
-	// Doubled: runs beyond the first of an idempotency key.
+	// Duplicates counts executions of an idempotency key beyond the first.
 	Duplicates int
-	// Crossed: answers that were another request's.
+	// Crossed counts answers that belong to another request.
 	Crossed int
-	// CutShort: answers passed off as whole that the endpoint had not sent so.
+	// CutShort counts truncated answers that were delivered as complete.
 	CutShort int
-	// FalseNotRun: requests called not run that had run.
+	// FalseNotRun counts requests that were executed but reported to the caller as not run.
 	FalseNotRun int
 }
 
@@ -46,7 +47,8 @@
 	}
 }
 
-// RecordExecution notes that an endpoint began to run a request.
+// RecordExecution records that an endpoint started to execute a request. An empty key stands for
+// none.
 func (au *Audit) RecordExecution(nonce, key string) {
 	au.mu.Lock()
 	defer au.mu.Unlock()
@@ -64,7 +66,7 @@
 	}
 }
 
-// RecordSent notes the whole answer that an endpoint sent.
+// RecordSent records the complete answer that an endpoint sent.
 func (au *Audit) RecordSent(nonce, answer string) {
 	au.mu.Lock()
 	defer au.mu.Unlock()
@@ -72,7 +74,7 @@
 	au.sent[nonce] = answer
 }
 
-// RecordReceived notes the answer that a caller was given as whole.
+// RecordReceived records an answer that was delivered to a caller as complete.
 func (au *Audit) RecordReceived(nonce, answer string) {
 	au.mu.Lock()
 	defer au.mu.Unlock()
@@ -87,7 +89,7 @@
 	}
 }
 
-// RecordNotRun notes that a caller was told its request was not run.
+// RecordNotRun records that a caller's request was refused as not run.
 func (au *Audit) RecordNotRun(nonce string) {
 	au.mu.Lock()
 	defer au.mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 }
 
-// Counts are the violations so far.
+// Counts returns the violations found so far.
 func (au *Audit) Counts() Counts {
 	au.mu.Lock()
 	defer au.mu.Unlock()
--- a/io/fakes/engine/cache.go
+++ b/io/fakes/engine/cache.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// lookup is how many of the prompt's tokens are cached for the chat.
+// lookup returns how many of the prompt's tokens are cached for the chat.
 func (en *Engine) lookup(key string, prompt int) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -34,7 +34,7 @@
 	return hit
 }
 
-// store keeps the chat, evicting others until it fits.
+// store caches the chat's context and evicts others until the cache fits its limit.
 func (en *Engine) store(key string, tokens int) {
 	if key == "" {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-// publishEvent publishes a change, unless it is ordered to be lost.
+// publishEvent records a cache event for readers, unless Faults.LoseEvents drops it.
 func (en *Engine) publishEvent(kind, key string) {
 	en.eventSeq++
 	if every := en.faults.LoseEvents; every > 0 && en.eventSeq%uint64(every) == 0 {
@@ -98,7 +98,7 @@
 	writeJSON(wr, page)
 }
 
-// recordLoad records the load for later reports.
+// recordLoad appends a sample of the current work, which handleLoad reports ReportLag later.
 func (en *Engine) recordLoad() {
 	en.loadSamples = append(en.loadSamples, loadSample{en.Clock.Now(), en.work})
 	if len(en.loadSamples) > maxLoadSamples {
@@ -106,7 +106,7 @@
 	}
 }
 
-// handleLoad reports the work as it was ReportLag ago.
+// handleLoad reports the work as it was ReportLag ago and the current number of requests.
 func (en *Engine) handleLoad(wr http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/io/fakes/engine/engine.go
+++ b/io/fakes/engine/engine.go
@@ -1,19 +1,18 @@
-// Package engine is a small stand-in for a model engine that speaks the
-// OpenAI-style protocol, for the demo and for tests.
+// Package engine is a small fake of a model engine that speaks the OpenAI-style protocol, for the
+// demo and for tests.
 //
 // # Concepts
 //
-// Running requests share the engine: a step yields one token for each, and takes
-// longer the more there are. Prompts are prefilled first; a prompt whose chat is
-// in the cache is prefilled only beyond what is cached. The cache holds whole
-// chats and evicts the least recently used. Answers repeat the last message, so
-// that a caller can tell its own from another's.
+// Running requests are batched: one step generates a token for each of them and takes longer the
+// more there are. The prompt is prefilled first, except for the part that the cache holds for its
+// chat. The cache holds whole chats and evicts the least recently used one. The first token of a
+// response is the request's last message, so that a caller can tell its own response from another's.
 //
-// Headers: X-Request-Id is sent back; X-Cache-Key names the chat; X-Priority and
-// X-Resume-Position as their names say. Besides chats it serves /load (a lagging
-// report), /cache (keys held, and the number of the last event), /cache/events
-// (one page of events), /cache/export and /cache/import (one context), and
-// /orders (what is loaded, and orders to change it).
+// Headers: X-Request-Id is echoed; X-Cache-Key names the chat's cache entry; X-Resume-Position is the
+// number of tokens that a stream skips; X-Priority is ignored. Besides chats the engine serves /load
+// (a load report that lags), /cache (the cached keys and the number of the last event),
+// /cache/events (one page of events), /cache/export and /cache/import (one context), and /orders
+// (GET: what is loaded; POST: an order to change it).
 //
 // # Usage
 //
@@ -36,45 +35,48 @@
 	"almondrill/io/fakes/audit"
 )
 
-// Faults orders failures. The zero value is a healthy engine.
+// Faults selects the faults to inject. The zero value is a healthy engine.
 type Faults struct {
-	// CutAfter ends a stream without its end mark after that many tokens.
+	// CutAfter aborts responses after that many tokens, without the end marker of a stream. Any
+	// value above 0 also aborts exports of contexts halfway.
 	CutAfter int
-	// StallAfter stops sending after that many tokens, until the caller leaves.
+	// StallAfter stops sending after that many tokens until the caller disconnects.
 	StallAfter int
-	// Crossed answers with another request's id.
+	// Crossed sends another request's id in X-Request-Id.
 	Crossed bool
 	// LoseEvents drops every nth cache event; 0 drops none.
 	LoseEvents int
-	// Status answers with this HTTP status before running anything.
+	// Status, if not 0, is the HTTP status with which requests are refused before they run.
 	Status int
-	// CrashOn begins the last messages of requests that crash the engine, at token CrashAt.
+	// CrashOn is the prefix of the last messages that crash the engine, at token CrashAt. Empty for
+	// none.
 	CrashOn string
 	CrashAt int
 }
 
-// Engine is the stand-in. Set the exported fields before use.
+// Engine is the fake engine. Set the exported fields before use.
 type Engine struct {
 	Clock core.Clock
 	Model string
-	// TokenEvery is the time of a step with one request; PerRequest is added for
-	// each further one. PrefillEvery is the time for one uncached prompt token.
+	// TokenEvery is the time of a step with one request; each further request adds PerRequest.
+	// PrefillEvery is the time to prefill one uncached prompt token.
 	TokenEvery   time.Duration
 	PerRequest   time.Duration
 	PrefillEvery time.Duration
-	// CacheTokens is the size of the prefix cache; 0 is 100,000.
+	// CacheTokens is the capacity of the prefix cache; 0 means 100,000.
 	CacheTokens int
-	// ReportLag is how old the load in /load is.
+	// ReportLag is the age of the work that /load reports.
 	ReportLag time.Duration
-	// ChecksFence makes it refuse orders with an old number.
+	// ChecksFence makes the engine refuse orders whose fencing number is lower than one it has
+	// seen.
 	ChecksFence bool
-	// Version is the model's at the start, LoadTime what loading takes, and
-	// Weights, if set, the URL of the weight store to fetch from first.
+	// Version is the model version at the start and LoadTime the time that a load takes. Weights,
+	// if set, is the URL of the weight store that a load fetches from first.
 	Version  string
 	LoadTime time.Duration
 	Weights  string
 	Audit    *audit.Audit
-	// Crash ends the engine's connections, and lets it take none for a while; needed for
+	// Crash closes the engine's connections and lets it accept none for a while. Required for
 	// Faults.CrashOn.
 	Crash func()
 
@@ -100,13 +102,13 @@
 	Key  string
 }
 
-// Stats counts what the engine did, in requests and tokens.
+// Stats counts requests, tokens, orders and imported contexts.
 type Stats struct {
 	Requests, Whole, Tokens, PromptTokens, CachedTokens, Orders, RefusedOrders int
-	// Interrupted counts requests that were running when a load began, or came
-	// while it lasted.
+	// Interrupted counts requests that were running when a load started, or that arrived during
+	// one.
 	Interrupted int
-	// Imports counts contexts taken in from elsewhere.
+	// Imports counts contexts imported from other engines.
 	Imports int
 }
 
@@ -125,28 +127,28 @@
 	} `json:"messages"`
 }
 
-// SetFaults orders faults from now on.
+// SetFaults replaces the injected faults.
 func (en *Engine) SetFaults(fa Faults) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.faults = fa
 }
 
-// Stats is what the engine did so far.
+// Stats returns the counts so far.
 func (en *Engine) Stats() Stats {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.stats
 }
 
-// Work is the work inside now, as later reports will show it.
+// Work returns the work of the running requests, which /load reports ReportLag later.
 func (en *Engine) Work() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.work
 }
 
-// Handler serves the engine's protocol.
+// Handler returns the handler of the engine's protocol.
 func (en *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", en.handleChat)
@@ -162,7 +164,7 @@
 
 const charsPerToken = 4
 
-// defaultMaxTokens is the answer's length where the request names none.
+// defaultMaxTokens is the response length where the request names none.
 const defaultMaxTokens = 16
 
 func (en *Engine) handleChat(wr http.ResponseWriter, rq *http.Request) {
@@ -216,7 +218,7 @@
 	return sum
 }
 
-// response is one request's way.
+// response generates the response to one request.
 type response struct {
 	en     *Engine
 	rq     *http.Request
@@ -229,7 +231,7 @@
 	resume int
 }
 
-// tokenText is token number n of the answer, from 0.
+// tokenText returns the text of token n of the response, counted from 0.
 func (an *response) tokenText(n int) string {
 	if n == 0 {
 		return an.nonce
@@ -237,7 +239,8 @@
 	return fmt.Sprintf(" w%d", n)
 }
 
-// generate waits for one token; false means that the caller left or a fault struck.
+// generate waits for token n. It returns false if the caller disconnected or a fault aborts the
+// response.
 func (an *response) generate(n int) bool {
 	if an.fa.CutAfter > 0 && n == an.fa.CutAfter {
 		return false
--- a/io/fakes/engine/move.go
+++ b/io/fakes/engine/move.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// bytesPerToken is the size of an exported context; real ones are larger.
+// bytesPerToken is the size of an exported context per token; those of real engines are larger.
 const bytesPerToken = 64
 
-// handleExport sends a chat's context: its tokens on a line, then as many bytes as
-// these take.
+// handleExport sends a chat's context: its number of tokens on a line, then bytesPerToken bytes for
+// each.
 func (en *Engine) handleExport(wr http.ResponseWriter, rq *http.Request) {
 	en.mu.Lock()
 	en.initCache()
@@ -34,7 +34,7 @@
 	_, _ = io.WriteString(wr, body)
 }
 
-// handleImport keeps a context that came whole.
+// handleImport stores a context once its body has arrived without an error.
 func (en *Engine) handleImport(wr http.ResponseWriter, rq *http.Request) {
 	rd := bufio.NewReader(rq.Body)
 	line, err := rd.ReadString('\n')
@@ -47,7 +47,8 @@
 		http.Error(wr, "malformed context", http.StatusBadRequest)
 		return
 	}
-	// It takes the end that it is told for the end, as it has nothing to compare.
+	// It cannot detect a body that ends early without an error, as no length is sent to compare
+	// with.
 	if _, err = io.Copy(io.Discard, rd); err != nil {
 		http.Error(wr, "the context is not whole", http.StatusBadRequest)
 		return
--- a/io/fakes/engine/orders.go
+++ b/io/fakes/engine/orders.go
@@ -10,7 +10,7 @@
 	"almondrill/core"
 )
 
-// stateLocked is the engine's state, made at first use; en.mu is held.
+// stateLocked returns the loaded state, created on first use. en.mu must be held.
 func (en *Engine) stateLocked() *core.EngineState {
 	if en.loaded == nil {
 		en.loaded = &core.EngineState{Model: en.Model, Version: en.Version, Role: "Both"}
@@ -18,7 +18,7 @@
 	return en.loaded
 }
 
-// State is what the engine has loaded.
+// State returns the loaded model, adapters and role.
 func (en *Engine) State() core.EngineState {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -36,7 +36,8 @@
 	return en.loading
 }
 
-// handleOrder carries an order out, or refuses one with an old number if it checks.
+// handleOrder carries out an order. With ChecksFence it refuses one whose fencing number is too
+// low.
 func (en *Engine) handleOrder(wr http.ResponseWriter, rq *http.Request) {
 	var or core.Order
 	if err := json.NewDecoder(rq.Body).Decode(&or); err != nil {
@@ -73,7 +74,7 @@
 	return true
 }
 
-// loadWeights gets weights from the weight store, if there is one, and loads them.
+// loadWeights fetches the weights from the weight store, if one is set, and waits for the load.
 func (en *Engine) loadWeights(ctx context.Context, or *core.Order) error {
 	if or.Kind != core.OrderLoadModel && or.Kind != core.OrderLoadAdapter {
 		return nil
@@ -124,7 +125,7 @@
 	en.loading = false
 }
 
-// purgeCache forgets all contexts, which another model cannot use.
+// purgeCache evicts all contexts, which another model cannot use.
 func (en *Engine) purgeCache() {
 	en.initCache()
 	for _, key := range en.cache.Keys() {
--- a/io/fakes/inmem/crash.go
+++ b/io/fakes/inmem/crash.go
@@ -11,14 +11,15 @@
 
 // Crashes is the part of an Engine that makes it crash. Set the exported fields before use.
 type Crashes struct {
-	// OnBodyPrefix begins the bodies of calls that crash the engine After their prompt is read;
-	// empty for none. OnVersion is a version whose loading crashes it.
+	// OnBodyPrefix is the prefix of the bodies of calls that crash the engine, After their prefill;
+	// empty for none. OnVersion is a model version that crashes the engine when it is loaded.
 	OnBodyPrefix string
 	After        time.Duration
 	OnVersion    string
-	// AfterLoading lets the version be loaded first; the engine crashes a moment later.
+	// AfterLoading lets the order to load OnVersion succeed, although the engine crashes.
 	AfterLoading bool
-	// Downtime is how long it is gone; it is back with what it had loaded, its cache empty.
+	// Downtime is how long the engine is down after a crash. It returns with what it had loaded and
+	// an empty cache.
 	Downtime time.Duration
 
 	down  bool
@@ -28,21 +29,22 @@
 
 var errCrashed = errors.New("the engine crashed")
 
-// CrashCount is how often the engine crashed.
+// CrashCount returns the number of crashes so far.
 func (en *Engine) CrashCount() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.Crashes.count
 }
 
-// Alive tells whether the engine takes connections.
+// Alive reports whether the engine accepts connections.
 func (en *Engine) Alive(context.Context) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return !en.Crashes.down
 }
 
-// registerCall lets a call end when the engine crashes; false if it is away.
+// registerCall returns a context that is cancelled when the engine crashes, and false if the engine
+// is down.
 func (en *Engine) registerCall(ctx context.Context, ca *core.Call) (context.Context, bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -66,13 +68,13 @@
 	}
 }
 
-// crashesOn tells whether the call crashes the engine.
+// crashesOn reports whether the call crashes the engine.
 func (en *Engine) crashesOn(ca *core.Call) bool {
 	prefix := en.Crashes.OnBodyPrefix
 	return prefix != "" && strings.HasPrefix(string(ca.Body), prefix)
 }
 
-// Crash ends the engine, with all that it runs, for a while.
+// Crash takes the engine down for Crashes.Downtime and interrupts all running calls.
 func (en *Engine) Crash() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -86,14 +88,15 @@
 	}
 	en.cache, en.cached = nil, 0
 	go func() {
-		_ = en.Clock.Sleep(context.Background(), en.Crashes.Downtime) // only ends early with the program
+		_ = en.Clock.Sleep(context.Background(), en.Crashes.Downtime) // returns early only if the program ends
 		en.mu.Lock()
 		defer en.mu.Unlock()
 		en.Crashes.down = false
 	}()
 }
 
-// interruptionError tells how a call ended that could not go on.
+// interruptionError returns the error of a call whose context has ended, by a crash or by the
+// caller.
 func (en *Engine) interruptionError(ctx context.Context) error {
 	if errors.Is(context.Cause(ctx), errCrashed) {
 		return en.refusal(core.Unknown, core.ReasonCutShort)
--- a/io/fakes/inmem/engine.go
+++ b/io/fakes/inmem/engine.go
@@ -12,24 +12,24 @@
 	"almondrill/io/fakes/audit"
 )
 
-// Engine is a fake endpoint on virtual time: a batch of running calls shares it,
-// prompts are prefilled unless cached, and its cache evicts the least recently
-// used chats. Set the exported fields before use.
+// Engine is a fake endpoint on virtual time. Running calls share it as a batch, prompts are
+// prefilled except for what is cached, and the cache evicts the least recently used chats. Set the
+// exported fields before use.
 type Engine struct {
 	Clock core.Clock
-	// Step is the time of a token with one call; each further one adds PerCall.
+	// Step is the time to generate a token with one call running; each further call adds PerCall.
 	Step    time.Duration
 	PerCall time.Duration
-	// Prefill is the time for one uncached prompt token.
+	// Prefill is the time to prefill one uncached prompt token.
 	Prefill time.Duration
-	// CacheTokens is the cache's size.
+	// CacheTokens is the capacity of the cache; 0 means no limit.
 	CacheTokens core.Tokens
-	// Chunk is how many tokens travel as one part; 0 is 1.
+	// Chunk is the number of tokens sent in one part; 0 means 1.
 	Chunk core.Tokens
 	Audit *audit.Audit
-	// CutAfter, if above 0, breaks every answer off after that many tokens.
+	// CutAfter, if above 0, ends every response with an error after that many tokens.
 	CutAfter core.Tokens
-	// StallFor, if above 0, holds every call up before its first token.
+	// StallFor, if above 0, delays the first token of every call.
 	StallFor time.Duration
 	Orders   OrderHandling
 	Crashes  Crashes
@@ -45,14 +45,14 @@
 
 var _ core.Endpoint = (*Engine)(nil)
 
-// HasContext tells whether the chat's context is cached.
+// HasContext reports whether the context with that key is cached.
 func (en *Engine) HasContext(key uint64) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.cache != nil && en.cache.Contains(key)
 }
 
-// CallCount is the number of calls that reached the engine.
+// CallCount returns the number of calls that the engine has started.
 func (en *Engine) CallCount() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -66,7 +66,7 @@
 	return en.events
 }
 
-// Do runs a call. Its body names the request for the audit.
+// Do runs a call. The call's body identifies the request in the audit.
 func (en *Engine) Do(ctx context.Context, ca *core.Call, si core.Sink) (core.Usage, error) {
 	nonce := string(ca.Body)
 	ctx, up := en.registerCall(ctx, ca)
@@ -98,8 +98,8 @@
 	return us, nil
 }
 
-// executionKey names work that must not run twice: by its key, or, where the caller
-// gave none, by the request.
+// executionKey returns a key that at most one execution may have: the caller's idempotency key, or
+// the body of a non-idempotent call without one. It is empty for other calls.
 func executionKey(ca *core.Call) string {
 	switch {
 	case ca.Key != "":
--- a/io/fakes/inmem/fleet.go
+++ b/io/fakes/inmem/fleet.go
@@ -29,7 +29,7 @@
 	"almondrill/io/stats"
 )
 
-// Member is one router or agent of the fleet.
+// Member is a router or agent of a Fleet.
 type Member struct {
 	ID          core.VMID
 	VM          core.VM
@@ -43,14 +43,14 @@
 	ClaimWriter *claim.Writer  // nil on routers
 	Keys        *claim.Keys
 	Executor    *order.Executor // nil on routers
-	// Controller gives orders; nil on agents.
+	// Controller issues orders; nil on agents.
 	Controller *order.Controller
 	Engines    []*Engine
 
-	// KVUnreachable keeps the member's configuration log and lease from the KV.
+	// KVUnreachable cuts the member off from the KV store, except for writing claims.
 	KVUnreachable atomic.Bool
 
-	// OrdersRefused counts orders that an agent did not take from this member.
+	// OrdersRefused counts orders issued by this member that agents refused.
 	OrdersRefused atomic.Int64
 
 	mu      sync.Mutex // guards adopted
@@ -61,7 +61,7 @@
 	kill        context.CancelFunc
 }
 
-// AdoptedRevisions are the revisions in the order adopted, for checks.
+// AdoptedRevisions returns the configuration revisions that the member adopted, in order.
 func (me *Member) AdoptedRevisions() []core.Revision {
 	me.mu.Lock()
 	defer me.mu.Unlock()
@@ -70,7 +70,7 @@
 
 func (me *Member) dead() bool { return me.ctx.Err() != nil }
 
-// Kill ends the member at once, as a VM's loss does.
+// Kill ends the member abruptly, as the loss of its VM does.
 func (me *Member) Kill() { me.kill() }
 
 func (me *Member) digest() *core.Digest {
@@ -93,19 +93,20 @@
 	return own
 }
 
-// Fleet builds members. Set the exported fields before Start.
+// Fleet is a set of members on one Net, with fakes of the platform. Set the exported fields before
+// Start.
 type Fleet struct {
 	Seed     uint64
 	Routers  int
 	Agents   int
 	Document *decl.Document
-	// Pool is the one that all agents serve.
+	// Pool is the pool that all agents serve.
 	Pool core.PoolID
-	// Engine makes an agent's endpoint.
+	// Engine creates the endpoint of agent ix.
 	Engine func(ix int) *Engine
-	// Zones is the number of zones; 0 is 3.
+	// Zones is the number of zones; 0 means 3.
 	Zones int
-	// VMListLag makes every second process see changes of the VM list that much later.
+	// VMListLag is the delay with which every second member sees changes of the VM list.
 	VMListLag     time.Duration
 	ControlBudget core.Bytes
 
@@ -121,8 +122,8 @@
 	members []*Member
 }
 
-// Start builds the platform and the members, and waits until all know each other
-// and the configuration. Members end with ctx.
+// Start creates the platform's fakes and the members, and waits long enough for all of them to
+// learn of each other and of the configuration. Members end with ctx.
 func (fl *Fleet) Start(ctx context.Context) error {
 	fl.ctx = ctx
 	fl.Rand = clock.NewRand(fl.Seed)
@@ -147,14 +148,14 @@
 	return fl.Clock.Sleep(ctx, settle)
 }
 
-// Members lists the members, dead ones too, in the order in which they were added.
+// Members returns all members, including dead ones, in the order in which they were added.
 func (fl *Fleet) Members() []*Member {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return slices.Clone(fl.members)
 }
 
-// RouterAt is the router with that number.
+// RouterAt returns the router with index ix, dead or not; nil if there is none.
 func (fl *Fleet) RouterAt(ix int) *Member {
 	for _, me := range fl.Members() {
 		if me.Router != nil {
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// LiveAgent finds an agent by name, nil if there is none alive.
+// LiveAgent returns the agent with that id, or nil if it is dead or unknown.
 func (fl *Fleet) LiveAgent(id core.VMID) *Member {
 	for _, me := range fl.Members() {
 		if me.ID == id && me.Agent != nil && !me.dead() {
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// AddAgent starts an agent and lists its VM.
+// AddAgent starts an agent and adds its VM to the list.
 func (fl *Fleet) AddAgent(name string, ix int) *Member {
 	me := fl.newMember(name, ix, core.RoleAgent, []core.PoolID{fl.Pool})
 	en := fl.Engine(ix)
@@ -213,7 +214,7 @@
 	return me
 }
 
-// AddRouter starts a router and lists its VM.
+// AddRouter starts a router and adds its VM to the list.
 func (fl *Fleet) AddRouter(name string, ix int) *Member {
 	me := fl.newMember(name, ix, core.RoleRouter, nil)
 	me.Router = &router.Router{
@@ -270,7 +271,8 @@
 	return me
 }
 
-// startMember starts a member's control and makes it known.
+// startMember connects a member to the network, adds its VM to the list and starts the loops of its
+// control plane.
 func (fl *Fleet) startMember(me *Member) {
 	fl.Net.join(me)
 	fl.mu.Lock()
@@ -292,7 +294,7 @@
 	}
 }
 
-// SetState changes a VM's state in the platform's list.
+// SetState sets the state of a member's VM in the platform's list.
 func (fl *Fleet) SetState(me *Member, st core.VMState) {
 	vm := me.VM
 	vm.State = st
@@ -300,10 +302,10 @@
 	fl.laggingList.Set(vm)
 }
 
-// PeersOf is a member's own access to the net, for calls past its router.
+// PeersOf returns the network as a member sees it, for calls that bypass its router.
 func (fl *Fleet) PeersOf(me *Member) core.Peers { return memberPeers{fl.Net, me.ID} }
 
-// LiveAgents are the agents that are neither dead nor leaving.
+// LiveAgents returns the agents that are neither dead nor draining.
 func (fl *Fleet) LiveAgents() []*Member {
 	var live []*Member
 	for _, me := range fl.Members() {
@@ -314,8 +316,8 @@
 	return live
 }
 
-// Shutdown marks an agent as leaving and lets it leave with care, handing on at most
-// that many bytes; it is gone once it has.
+// Shutdown marks an agent's VM as draining and shuts the agent down in the background. The agent
+// hands over at most maxBytes of contexts and is removed afterwards.
 func (fl *Fleet) Shutdown(me *Member, maxBytes core.Bytes) {
 	const timeout = 20 * time.Second
 	fl.SetState(me, core.VMDraining)
--- a/io/fakes/inmem/move.go
+++ b/io/fakes/inmem/move.go
@@ -14,10 +14,10 @@
 
 var errNoContext = errors.New("inmem: no such context")
 
-// exportTokenTime is the time that exporting a token takes.
+// exportTokenTime is the time to export one token.
 const exportTokenTime = 10 * time.Microsecond
 
-// Export writes a context's size, as there is nothing else to it here.
+// Export writes the size of a context, which is all that the fake stores of it.
 func (en *Engine) Export(ctx context.Context, key uint64, wr io.Writer) error {
 	en.mu.Lock()
 	if en.cache == nil || !en.cache.Contains(key) {
@@ -33,7 +33,7 @@
 	return err
 }
 
-// Import keeps a context.
+// Import stores a context that Export wrote.
 func (en *Engine) Import(_ context.Context, key uint64, rd io.Reader) error {
 	var tokens core.Tokens
 	if _, err := fmt.Fscanln(rd, &tokens); err != nil {
--- a/io/fakes/inmem/net.go
+++ b/io/fakes/inmem/net.go
@@ -1,18 +1,17 @@
-// Package inmem runs routers and agents of the real core in memory, over a fake
-// network and fake endpoints, for tests and measurements on virtual time.
+// Package inmem runs the real routers and agents of core in memory, over a fake network and fake
+// endpoints, for tests and measurements on virtual time.
 //
 // # Concepts
 //
-// A Net carries calls between Members without sockets, with a latency, cuts
-// between members, and lost replies. A Fleet builds members as io/node does.
-// Everything runs on core.Clock, so inside a testing/synctest bubble a minute
-// takes no time.
+// A Net carries calls between Members without sockets. It adds a latency and can partition members
+// from each other, lose replies and delay orders. A Fleet builds members as io/node does. All waiting
+// is on core.Clock, so in a testing/synctest bubble a minute passes at once.
 //
 // # Usage
 //
-//	fl := &inmem.Fleet{Seed: 1, Routers: 2, Agents: 12, Document: doc}
-//	fl.Start(ctx)
-//	rep, err := fl.Routers[0].Route(ctx, request, sink)
+//	fl := &inmem.Fleet{Seed: 1, Routers: 2, Agents: 12, Document: doc, Pool: pool, Engine: newEngine}
+//	err := fl.Start(ctx)
+//	rep, err := fl.RouterAt(0).Router.Route(ctx, request, sink)
 package inmem
 
 import (
@@ -30,7 +29,7 @@
 type Net struct {
 	Clock core.Clock
 	Rand  core.Rand
-	// Latency is one way's time.
+	// Latency is the transit delay of a call in one direction.
 	Latency time.Duration
 
 	mu           sync.Mutex // guards all below
@@ -44,7 +43,7 @@
 
 var errUnreachable = errors.New("inmem: no way to the peer")
 
-// SetPartition breaks the way between two members, or heals it.
+// SetPartition cuts the connection between two members in both directions, or restores it.
 func (ne *Net) SetPartition(one, two core.VMID, broken bool) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -55,16 +54,15 @@
 	ne.partitions[[2]core.VMID{two, one}] = broken
 }
 
-// SetReplyLoss makes that part of answers be lost after the call has run.
+// SetReplyLoss sets the fraction of calls that run but whose replies are lost.
 func (ne *Net) SetReplyLoss(part float64) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
 	ne.replyLoss = part
 }
 
-// DelayOrders makes the orders that a member gives from now on leave that much
-// later, whatever becomes of their sender meanwhile, as when a process is paused
-// between deciding and sending.
+// DelayOrders makes the orders that a member issues from now on leave that much later, even if
+// their sender has ended meanwhile: as when a process is paused between its decision and the call.
 func (ne *Net) DelayOrders(vm core.VMID, d time.Duration) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -89,7 +87,7 @@
 	ne.members[me.ID] = me
 }
 
-// reach finds the member that a call from one VM to another reaches.
+// reach waits for the latency and returns the member that a call from one VM to another reaches.
 func (ne *Net) reach(ctx context.Context, from, to core.VMID) (*Member, error) {
 	if err := ne.Clock.Sleep(ctx, ne.Latency); err != nil {
 		return nil, err
@@ -110,7 +108,7 @@
 	return ne.partitions[[2]core.VMID{from, to}] || (ne.replyLoss > 0 && ne.Rand.Float64() < ne.replyLoss)
 }
 
-// memberPeers is a member's own access to the net.
+// memberPeers is the network as one member sees it.
 type memberPeers struct {
 	net  *Net
 	from core.VMID
@@ -118,8 +116,8 @@
 
 var _ core.Peers = memberPeers{}
 
-// Serve runs a call on another member. A member that dies, or a way that is cut,
-// while the call runs leaves its outcome unknown.
+// Serve runs a call on another member. The outcome is unknown if the reply is lost, or if that
+// member dies or is partitioned from this one while the call runs.
 func (po memberPeers) Serve(ctx context.Context, to core.VMID, ca *core.Call, si core.Sink) (*core.Report, error) {
 	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.Agent == nil {
@@ -139,13 +137,13 @@
 	return rep, err
 }
 
-// liveSink passes parts on while its member lives.
+// liveSink forwards parts until its member is dead.
 type liveSink struct {
 	sink   core.Sink
 	member *Member
 }
 
-// Send passes a part on.
+// Send implements core.Sink.
 func (dy *liveSink) Send(pa *core.Part) error {
 	if dy.member.dead() {
 		return errUnreachable
@@ -153,7 +151,7 @@
 	return dy.sink.Send(pa)
 }
 
-// Exchange swaps digests.
+// Exchange exchanges digests with another member.
 func (po memberPeers) Exchange(ctx context.Context, to core.VMID, di *core.Digest) (*core.Digest, error) {
 	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil {
@@ -162,7 +160,7 @@
 	return me.handleExchange(di), nil
 }
 
-// Claim asks a keeper.
+// Claim sends a claim to another member's claim writer.
 func (po memberPeers) Claim(ctx context.Context, to core.VMID, cl *core.Claim) (*core.ClaimReply, error) {
 	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.ClaimWriter == nil {
@@ -171,7 +169,7 @@
 	return me.ClaimWriter.Claim(ctx, cl)
 }
 
-// Fetch asks a peer for configuration.
+// Fetch fetches configuration changes from another member.
 func (po memberPeers) Fetch(ctx context.Context, to core.VMID, since core.Revision) (*core.Changes, error) {
 	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil {
@@ -184,7 +182,7 @@
 	return ch, err
 }
 
-// addFetched adds up the configuration that travels between members.
+// addFetched counts the bytes of configuration that one fetch sends.
 func (ne *Net) addFetched(ch *core.Changes) {
 	size := len(ch.Snapshot)
 	for _, de := range ch.Deltas {
@@ -195,14 +193,15 @@
 	ne.fetchedBytes += core.Bytes(size) + 2*bucket.Overhead
 }
 
-// FetchedBytes is the configuration sent between members so far, with its overhead.
+// FetchedBytes returns the size of the configuration fetched between members so far, including the
+// overhead of the messages.
 func (ne *Net) FetchedBytes() core.Bytes {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
 	return ne.fetchedBytes
 }
 
-// UpdatePlacements tells a home.
+// UpdatePlacements sends placements to the agent of another member.
 func (po memberPeers) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
 	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.Agent == nil {
@@ -212,7 +211,7 @@
 	return nil
 }
 
-// NotifyCrash tells another member's router of a request.
+// NotifyCrash sends a crash notice to the router of another member.
 func (po memberPeers) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
 	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.Tracker == nil {
@@ -222,7 +221,7 @@
 	return nil
 }
 
-// Order hands an order to another member's agent.
+// Order sends an order to the agent of another member.
 func (po memberPeers) Order(ctx context.Context, to core.VMID, or *core.Order) error {
 	ctx = context.WithoutCancel(ctx)
 	_ = po.net.Clock.Sleep(ctx, po.net.orderDelay(po.from))
@@ -235,7 +234,7 @@
 	return me.Executor.Order(ctx, or)
 }
 
-// Inspect asks another member's agent for its endpoints.
+// Inspect returns the states of the endpoints of another member.
 func (po memberPeers) Inspect(ctx context.Context, to core.VMID) ([]core.EndpointState, error) {
 	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.Executor == nil {
@@ -244,7 +243,7 @@
 	return me.Executor.States(ctx), nil
 }
 
-// HandOver moves a context to another member's agent.
+// HandOver transfers a context to the agent of another member.
 func (po memberPeers) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
 	me, err := po.net.reach(ctx, po.from, to)
 	if err != nil || me.Agent == nil {
--- a/io/fakes/inmem/ownkv.go
+++ b/io/fakes/inmem/ownkv.go
@@ -8,7 +8,7 @@
 	"almondrill/io/fakes/kvsrv"
 )
 
-// memberKV is the KV as one member reaches it.
+// memberKV is the KV store as one member reaches it: unavailable if the member is dead or cut off.
 type memberKV struct {
 	kv     *kvsrv.Store
 	member *Member
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// Get reads an entry.
+// Get implements core.KV.
 func (ow memberKV) Get(ctx context.Context, key string) (core.Entry, error) {
 	if err := ow.check(); err != nil {
 		return core.Entry{}, err
@@ -31,7 +31,7 @@
 	return ow.kv.Get(ctx, key)
 }
 
-// Put writes an entry.
+// Put implements core.KV.
 func (ow memberKV) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
 	if err := ow.check(); err != nil {
 		return 0, err
@@ -39,7 +39,7 @@
 	return ow.kv.Put(ctx, key, value, expect, le)
 }
 
-// Delete removes an entry.
+// Delete implements core.KV.
 func (ow memberKV) Delete(ctx context.Context, key string, expect core.Version) error {
 	if err := ow.check(); err != nil {
 		return err
@@ -47,7 +47,7 @@
 	return ow.kv.Delete(ctx, key, expect)
 }
 
-// List reads a range.
+// List implements core.KV.
 func (ow memberKV) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
 	if err := ow.check(); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	return ow.kv.List(ctx, from, to, limit)
 }
 
-// Grant creates a lease.
+// Grant implements core.KV.
 func (ow memberKV) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
 	if err := ow.check(); err != nil {
 		return 0, err
@@ -63,7 +63,7 @@
 	return ow.kv.Grant(ctx, ttl)
 }
 
-// Renew prolongs a lease.
+// Renew implements core.KV.
 func (ow memberKV) Renew(ctx context.Context, le core.LeaseID) error {
 	if err := ow.check(); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return ow.kv.Renew(ctx, le)
 }
 
-// Watch waits for a newer entry.
+// Watch implements core.KV.
 func (ow memberKV) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
 	if err := ow.check(); err != nil {
 		return core.Entry{}, err
--- a/io/fakes/inmem/tune.go
+++ b/io/fakes/inmem/tune.go
@@ -8,24 +8,24 @@
 	"almondrill/io/fakes/wstore"
 )
 
-// OrderHandling is the part of an Engine that takes orders. Set the exported fields
-// before use.
+// OrderHandling is the part of an Engine that handles orders. Set the exported fields before use.
 type OrderHandling struct {
-	// Loaded is what the engine has loaded; guarded by the engine's lock.
+	// Loaded is the loaded model, adapters and role; guarded by the engine's mutex.
 	Loaded core.EngineState
-	// ChecksFence makes it refuse orders with an old number.
+	// ChecksFence makes the engine refuse orders whose fencing number is lower than the last
+	// accepted one.
 	ChecksFence bool
-	// Weights is the store that loads fetch from; nil takes no time.
+	// Weights is the store that loads of models fetch from; with nil they take no time.
 	Weights *wstore.Store
-	// Fences are the numbers of the orders carried out, in order.
+	// Fences holds the fencing numbers of the accepted orders, in order.
 	Fences []core.Fence
-	// Interrupted counts calls that a load cut off.
+	// Interrupted counts calls that were running while a model was loaded.
 	Interrupted int
 }
 
 var _ core.Orderable = (*Engine)(nil)
 
-// State is what the engine has loaded.
+// State returns the loaded model, adapters and role.
 func (en *Engine) State(context.Context) (*core.EngineState, error) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -37,7 +37,7 @@
 	return &st, nil
 }
 
-// Order carries an order out.
+// Order carries out an order.
 func (en *Engine) Order(ctx context.Context, or *core.Order) error {
 	if !en.acceptOrder(or) {
 		return en.refusal(core.NotRun, core.ReasonOldFence)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// acceptOrder notes the order's number.
+// acceptOrder records the order's fencing number. It returns false if the number is too low.
 func (en *Engine) acceptOrder(or *core.Order) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -87,8 +87,8 @@
 	return true
 }
 
-// Fences are the numbers of the orders carried out so far, and Interrupted the
-// calls that a load cut off.
+// Fences returns the fencing numbers of the orders accepted so far and the number of interrupted
+// calls.
 func (en *Engine) Fences() (fences []core.Fence, interrupted int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/io/fakes/kvsrv/kvsrv.go
+++ b/io/fakes/kvsrv/kvsrv.go
@@ -1,12 +1,11 @@
-// Package kvsrv is a small stand-in for the platform's key-value service, for
-// the demo and for tests. Store satisfies core.KV directly; io/kvrpc serves it
-// over grpc.
+// Package kvsrv is a small fake of the platform's key-value service, for the demo and for tests.
+// Store implements core.KV directly; io/kvrpc serves it over gRPC.
 //
 // # Concepts
 //
-// Every write to the store gets the next version. Leases lapse by the clock and
-// take their entries along. Faults can be ordered: an outage, slowness, answers
-// lost after a write took effect, and reads of old content.
+// Every write gets the store's next version. Leases expire by the clock, and the entries attached to
+// them are deleted. The injectable faults are an outage, slow calls, lost replies to writes that took
+// effect, and stale reads.
 //
 // # Usage
 //
@@ -25,44 +24,44 @@
 	"almondrill/core"
 )
 
-// MaxValue is the largest value, in bytes.
+// MaxValue is the largest size of a value, in bytes.
 const MaxValue = 1 << 20
 
-// Errors of the stand-in beyond core's.
+// Errors of the fake in addition to those of core.
 var (
-	// ErrDown: the service is not there; nothing was written.
+	// ErrUnavailable means that the service is down; nothing was written.
 	ErrUnavailable = errors.New("kv: service unavailable")
-	// ErrLost: the answer was lost; the write may have taken effect.
+	// ErrReplyLost means that the reply was lost; the write may have taken effect.
 	ErrReplyLost = errors.New("kv: answer lost")
-	// ErrRate: too many calls; nothing was written.
+	// ErrRateLimited means that there were too many calls; nothing was written.
 	ErrRateLimited = errors.New("kv: rate limit")
-	// ErrTooLarge: the value is over MaxValue; nothing was written.
+	// ErrTooLarge means that the value exceeds MaxValue; nothing was written.
 	ErrTooLarge = errors.New("kv: value too large")
 )
 
-// Faults orders failures. The zero value is a healthy service.
+// Faults selects the faults to inject. The zero value is a healthy service.
 type Faults struct {
 	Down bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// ReplyLoss is the part of writes that take effect without an answer.
+	// ReplyLoss is the fraction of writes that take effect although ErrReplyLost is returned.
 	ReplyLoss float64
-	// StaleReads makes reads see the store as it was when the fault began.
+	// StaleReads makes reads see the store as it was when the fault was set.
 	StaleReads bool
 }
 
-// Calls counts calls by kind.
+// Calls counts calls by kind. Watches counts the checks of watches, which are counted as reads too.
 type Calls struct {
 	Reads, Writes, Watches, Refused int64
 }
 
-// Store is the service. Set the exported fields before use.
+// Store is the fake service. Set the exported fields before use.
 type Store struct {
 	Clock core.Clock
 	Rand  core.Rand
-	// Latency is what a call takes, in a healthy service.
+	// Latency is the duration of a call without faults.
 	Latency time.Duration
-	// WritesPerSecond and ReadsPerSecond are the limits; 0 is none.
+	// WritesPerSecond and ReadsPerSecond are the rate limits; 0 means none.
 	WritesPerSecond int
 	ReadsPerSecond  int
 
@@ -96,7 +95,7 @@
 
 var _ core.KV = (*Store)(nil)
 
-// SetFaults orders the faults from now on.
+// SetFaults replaces the injected faults.
 func (st *Store) SetFaults(fa Faults) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -110,14 +109,14 @@
 	st.faults = fa
 }
 
-// Calls are the counts so far.
+// Calls returns the counts so far.
 func (st *Store) Calls() Calls {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.calls
 }
 
-// Bytes is the size of all keys and values.
+// Bytes returns the total size of all keys and values.
 func (st *Store) Bytes() core.Bytes {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -136,7 +135,7 @@
 	}
 }
 
-// startCall waits out the call's time and applies faults and limits.
+// startCall waits for the call's latency and applies faults and rate limits.
 func (st *Store) startCall(ctx context.Context, write bool) error {
 	st.mu.Lock()
 	st.init()
@@ -186,7 +185,7 @@
 	return true
 }
 
-// expireLeases drops what belongs to leases that have run out.
+// expireLeases deletes expired leases and the entries attached to them.
 func (st *Store) expireLeases() {
 	now := st.Clock.Now()
 	for id, le := range st.leases {
@@ -203,7 +202,7 @@
 	}
 }
 
-// readable is what reads see.
+// readable returns the entries that reads see.
 func (st *Store) readable() map[string]entry {
 	st.expireLeases()
 	if st.faults.StaleReads {
@@ -212,7 +211,7 @@
 	return st.entries
 }
 
-// Get reads an entry.
+// Get implements core.KV.
 func (st *Store) Get(ctx context.Context, key string) (core.Entry, error) {
 	if err := st.startCall(ctx, false); err != nil {
 		return core.Entry{}, err
@@ -226,7 +225,7 @@
 	return core.Entry{Key: key, Value: en.value, Version: en.version}, nil
 }
 
-// Put writes an entry.
+// Put implements core.KV.
 func (st *Store) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
 	if err := st.startCall(ctx, true); err != nil {
 		return 0, err
@@ -249,7 +248,7 @@
 	return st.version, st.maybeLoseReply()
 }
 
-// Delete removes an entry.
+// Delete implements core.KV.
 func (st *Store) Delete(ctx context.Context, key string, expect core.Version) error {
 	if err := st.startCall(ctx, true); err != nil {
 		return err
@@ -266,7 +265,7 @@
 	return st.maybeLoseReply()
 }
 
-// maybeLoseReply loses the ordered part of the answers to writes.
+// maybeLoseReply returns ErrReplyLost for the fraction of writes that Faults.ReplyLoss selects.
 func (st *Store) maybeLoseReply() error {
 	if st.faults.ReplyLoss > 0 && st.Rand.Float64() < st.faults.ReplyLoss {
 		return ErrReplyLost
@@ -279,7 +278,7 @@
 	st.changed = make(chan struct{})
 }
 
-// List reads a range of entries.
+// List implements core.KV.
 func (st *Store) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
 	if err := st.startCall(ctx, false); err != nil {
 		return nil, err
@@ -299,7 +298,7 @@
 	return found, nil
 }
 
-// Grant creates a lease.
+// Grant implements core.KV.
 func (st *Store) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
 	if err := st.startCall(ctx, true); err != nil {
 		return 0, err
@@ -312,7 +311,7 @@
 	return id, nil
 }
 
-// Renew prolongs a lease.
+// Renew implements core.KV.
 func (st *Store) Renew(ctx context.Context, le core.LeaseID) error {
 	if err := st.startCall(ctx, true); err != nil {
 		return err
@@ -329,7 +328,7 @@
 	return nil
 }
 
-// Watch waits for a newer entry with the prefix. Each look counts as a call.
+// Watch implements core.KV. Each check of the store counts as a read.
 func (st *Store) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
 	for {
 		if err := st.startCall(ctx, false); err != nil {
--- a/io/fakes/local/local.go
+++ b/io/fakes/local/local.go
@@ -1,11 +1,11 @@
-// Package local gives tests addresses on loopback that no other program uses.
+// Package local gives tests loopback addresses that no other program uses.
 //
 // # Concepts
 //
-// A program that binds a port of 127.0.0.1 and lets go of it, to use it later or to play
-// a server that is down, may see another program get it meanwhile: two tests then talk to
-// each other, or cannot bind. The programs of "go test ./..." run beside each other, so
-// each claims a part of 127.0.0.0/8 of its own and never gives an address out twice.
+// A test may need the address of a server that is down or starts later. If it binds a port of
+// 127.0.0.1 and releases it for that, another program may get the same port in the meantime: two
+// tests then talk to each other, or one cannot bind. As "go test ./..." runs several test programs at
+// once, each claims a /16 subnet of 127.0.0.0/8 for itself and never gives out an address twice.
 //
 // # Usage
 //
@@ -23,42 +23,44 @@
 )
 
 const (
-	// port is that of all addresses; it is below those that the kernel gives out.
+	// port is used with all addresses; it is below the kernel's ephemeral ports.
 	port = 20080
-	// firstSubnet and lastNet bound the second byte of the parts that are claimed; 127.0
-	// and 127.1 are left to others.
+	// firstSubnet and lastSubnet bound the second byte of the subnets that are claimed.
+	// 127.0.0.0/16 and 127.1.0.0/16 are left to other programs.
 	firstSubnet = 2
 	lastSubnet  = 254
-	// subnetSize is how many a part has, without those that begin with 0, of which one
-	// is the claim.
+	// subnetSize is the number of addresses given out of a subnet. Those with a third byte of 0 are
+	// left out, as one of them holds the claim.
 	subnetSize = 254 * 254
 )
 
 var (
 	mu sync.Mutex // guards all below
-	// claim is held until the program ends, so that its part stays its own.
+	// claim is a listener that stays open until the program ends, so that no other program claims
+	// the same subnet.
 	claim     net.Listener
 	subnet    int
 	allocated int
 )
 
-// IP returns an address without a port that this program has not given out yet.
+// IP returns an address without a port that this program has not given out before.
 func IP(tb testing.TB) string {
 	tb.Helper()
 	mu.Lock()
 	defer mu.Unlock()
 	if claim == nil && !claimSubnet() {
-		tb.Fatal("every part of 127.0.0.0/8 is claimed by another test")
+		tb.Fatal("every /16 subnet of 127.0.0.0/8 is claimed by another program")
 	}
 	if allocated == subnetSize {
-		tb.Fatal("all addresses of this test's part of 127.0.0.0/8 were given out")
+		tb.Fatal("all addresses of this program's subnet of 127.0.0.0/8 are in use")
 	}
 	ip := fmt.Sprintf("127.%d.%d.%d", subnet, 1+allocated/254, 1+allocated%254)
 	allocated++
 	return ip
 }
 
-// claimSubnet claims the first part that is free, from one that differs by process.
+// claimSubnet claims the first free subnet. The search starts at one that depends on the process
+// id.
 func claimSubnet() bool {
 	const subnets = lastSubnet - firstSubnet + 1
 	for ix := range subnets {
@@ -78,7 +80,7 @@
 	return fmt.Sprintf("%s:%d", IP(tb), port)
 }
 
-// Listen listens on an address of its own until the test ends.
+// Listen listens on a new address until the test ends.
 func Listen(tb testing.TB) net.Listener {
 	tb.Helper()
 	li, err := net.Listen("tcp", Addr(tb))
--- a/io/fakes/local/local_test.go
+++ b/io/fakes/local/local_test.go
@@ -10,8 +10,8 @@
 	"almondrill/io/fakes/local"
 )
 
-// Two test programs run at once and take addresses for servers that are not up yet. If
-// they got the same ones, requests of one would reach the other.
+// Two test programs run at the same time and take addresses for servers that are not up yet. If
+// both got the same address, requests of one would reach the other.
 func TestProgramsGetDifferentAddresses(t *testing.T) {
 	if os.Getenv("PRINT_ADDRESS") != "" {
 		t.Log("got", local.Addr(t))
@@ -26,7 +26,7 @@
 	}
 	subnet := strings.Join(strings.Split(own, ".")[:2], ".") + "."
 	if !strings.Contains(string(out), "got 127.") || strings.Contains(string(out), "got "+subnet) {
-		t.Errorf("another program got an address beside %s: %s", own, out)
+		t.Errorf("another program got an address in the subnet of %s: %s", own, out)
 	}
 }
 
--- a/io/fakes/plain/plain.go
+++ b/io/fakes/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a small stand-in for a plain service: it answers lookups and
-// takes drafts that must not repeat.
+// Package plain is a small fake of a plain service: it serves lookups and accepts drafts, which
+// are not idempotent.
 //
 // # Usage
 //
@@ -18,18 +18,18 @@
 	"almondrill/io/fakes/audit"
 )
 
-// Faults orders failures. The zero value is a healthy service.
+// Faults selects the faults to inject. The zero value is a healthy service.
 type Faults struct {
-	// Status answers with this HTTP status before running anything.
+	// Status, if not 0, is the HTTP status with which calls are refused before they run.
 	Status int
-	// CutShort breaks the connection off after the work was done.
+	// CutShort closes the connection after the call has run, without a response.
 	CutShort bool
 }
 
-// Service is the stand-in. Set the exported fields before use.
+// Service is the fake service. Set the exported fields before use.
 type Service struct {
 	Clock core.Clock
-	// Takes is the time of one call.
+	// Takes is the duration of a call.
 	Takes time.Duration
 	Audit *audit.Audit
 
@@ -38,21 +38,21 @@
 	callCount int
 }
 
-// SetFaults orders faults from now on.
+// SetFaults replaces the injected faults.
 func (se *Service) SetFaults(fa Faults) {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	se.faults = fa
 }
 
-// CallCount is the number of calls that ran.
+// CallCount returns the number of calls that have run.
 func (se *Service) CallCount() int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	return se.callCount
 }
 
-// ServeHTTP answers with the request's method, path and body.
+// ServeHTTP responds with the request's method, path and body as JSON.
 func (se *Service) ServeHTTP(wr http.ResponseWriter, rq *http.Request) {
 	body, err := io.ReadAll(rq.Body)
 	if err != nil {
--- a/io/fakes/vmlist/vmsrv.go
+++ b/io/fakes/vmlist/vmsrv.go
@@ -1,14 +1,13 @@
-// Package vmlist is a small stand-in for the platform's lagging list of VMs.
+// Package vmlist is a small fake of the platform's list of VMs, which lags behind changes.
 //
 // # Concepts
 //
-// A change made with Set is seen by Changes only after Lag. io/vmnet serves a
-// List over HTTP.
+// Changes returns a change made with Set only after Lag. io/vmnet serves a List over HTTP.
 //
 // # Usage
 //
-//	li := &vmsrv.List{Clock: clock, Lag: 2 * time.Second}
-//	li.Set(core.VM{ID: "agent-1", State: core.VMLeaving})
+//	li := &vmlist.List{Clock: clock, Lag: 2 * time.Second}
+//	li.Set(core.VM{ID: "agent-1", State: core.VMDraining})
 package vmlist
 
 import (
@@ -19,7 +18,7 @@
 	"almondrill/core"
 )
 
-// List is the platform's list. Set the exported fields before use.
+// List is the fake list. Set the exported fields before use.
 type List struct {
 	Clock core.Clock
 	Lag   time.Duration
@@ -44,7 +43,7 @@
 	}
 }
 
-// Changes returns what has become visible after mark.
+// Changes returns the changes after mark that are older than Lag, and the mark to continue from.
 func (li *List) Changes(_ context.Context, mark uint64) ([]core.VM, uint64, error) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
--- a/io/fakes/wstore/wstore.go
+++ b/io/fakes/wstore/wstore.go
@@ -1,14 +1,13 @@
-// Package wstore is a small stand-in for the platform's weight store, for the demo
-// and for tests.
+// Package wstore is a small fake of the platform's weight store, for the demo and for tests.
 //
 // # Concepts
 //
-// GET /weights/{Model}/{Version} takes Time. At most AtOnce fetches run at a time;
-// further ones are refused with status 429, as a rate-limited store does.
+// GET /weights/{Model}/{Version} takes FetchTime. At most MaxFetches fetches run at a time; further
+// ones are refused with status 429, as by a rate-limited store.
 //
 // # Usage
 //
-//	st := &wstore.Store{Clock: clock, Time: time.Second, AtOnce: 4}
+//	st := &wstore.Store{Clock: clock, FetchTime: time.Second, MaxFetches: 4}
 //	http.Serve(listener, st.Handler())
 package wstore
 
@@ -22,13 +21,14 @@
 	"almondrill/core"
 )
 
-// ErrBusy: as many fetches as the store allows are running.
+// ErrBusy is returned while MaxFetches fetches are running.
 var ErrBusy = errors.New("weight store: too many fetches")
 
-// Store is the stand-in. Set the exported fields before use.
+// Store is the fake store. Set the exported fields before use.
 type Store struct {
 	Clock core.Clock
-	// FetchTime is what a fetch takes, AtOnce how many may run; 0 is no limit.
+	// FetchTime is the duration of a fetch. MaxFetches is how many may run at a time; 0 means no
+	// limit.
 	FetchTime  time.Duration
 	MaxFetches int
 
@@ -37,17 +37,18 @@
 	counts  Counts
 }
 
-// Counts are what the store did so far.
+// Counts holds the numbers of fetches completed and refused, and the largest number that ran at a
+// time.
 type Counts struct{ Fetched, Refused, Peak int }
 
-// Counts are what the store did so far.
+// Counts returns the counts so far.
 func (st *Store) Counts() Counts {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.counts
 }
 
-// BeginFetch starts a fetch; End is called after it if the error is nil.
+// BeginFetch starts a fetch. If it returns nil, EndFetch must be called afterwards.
 func (st *Store) BeginFetch() error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// EndFetch ends a fetch.
+// EndFetch ends a fetch that BeginFetch started.
 func (st *Store) EndFetch() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -68,7 +69,7 @@
 	st.counts.Fetched++
 }
 
-// Handler serves the store's protocol.
+// Handler returns the handler of the store's protocol.
 func (st *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{Model}/{Version...}", st.handleGet)
