--- a/cmd/almondrill/check.go
+++ b/cmd/almondrill/check.go
@@ -22,16 +22,16 @@
 
 func (*checkCommand) Usage() string {
 	return `check [-role router|agent|relay | -deploy] FILE
-  Checks declarations, or with -role the settings of such a process, or with -deploy
-  the file that tells the users' platform how to build and run almondrill, together
-  with the settings' template that it names, from the repository's root. Lists everything that is
-  wrong with file and line. Exits with 0 if the file is right, 1 if not.
+  Checks a declarations file; with -role, the settings file of a process of that role;
+  with -deploy, the file that defines how the users' platform builds and runs almondrill,
+  together with the settings template that it names (run from the repository's root).
+  Lists every problem with file and line. Exits with 0 if there is none, 1 otherwise.
 `
 }
 
 func (cc *checkCommand) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&cc.role, "role", "", "check settings of a router, agent or relay instead of declarations")
-	fs.BoolVar(&cc.deploy, "deploy", false, "check a deploy file of the users' platform, and its templates")
+	fs.StringVar(&cc.role, "role", "", "check the settings of a router, agent or relay instead of declarations")
+	fs.BoolVar(&cc.deploy, "deploy", false, "check a deploy file of the users' platform and its template")
 }
 
 func (cc *checkCommand) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -67,5 +67,5 @@
 	return subcommands.ExitSuccess
 }
 
-// relayRole names the settings of a router without agents.
+// relayRole is the -role value for the settings of the relay command.
 const relayRole = "relay"
--- a/cmd/almondrill/demo.go
+++ b/cmd/almondrill/demo.go
@@ -23,28 +23,28 @@
 }
 
 func (*demoCommand) Name() string     { return "demo" }
-func (*demoCommand) Synopsis() string { return "run a small fleet on loopback" }
+func (*demoCommand) Synopsis() string { return "run a small fleet on loopback addresses" }
 
 func (*demoCommand) Usage() string {
 	return `demo [-requests N] [-seed S] [-addr IP:PORT] [-log LEVEL]
-  Runs 3 routers, 12 agents with stand-in engines, 3 with stand-in services, a
-  key-value service and a VM list, in 3 zones, in one process. It prints a curl
-  line to try and stays up until SIGINT. With -requests it sends that many mixed
-  requests instead, prints a line of JSON, and exits with 0 only if every promise
-  held.
+  Runs 3 routers, 12 agents with fake engines, 3 agents with fake services, a fake
+  key-value service and a fake VM list, in 3 zones, in one process. It prints a curl
+  command to try and runs until SIGINT or SIGTERM. With -requests it sends that many
+  mixed requests instead, prints a report as a line of JSON, and exits with 0 only if
+  every request succeeded and no guarantee was violated.
 `
 }
 
 func (dc *demoCommand) SetFlags(fs *flag.FlagSet) {
-	fs.IntVar(&dc.requests, "requests", 0, "send this many requests, report, and exit")
-	fs.Uint64Var(&dc.seed, "seed", 1, "seed of the requests")
-	fs.StringVar(&dc.addr, "addr", "127.0.0.1:8080", "address of the first router for callers")
-	fs.StringVar(&dc.level, "log", "warn", "debug, info, warn or error")
+	fs.IntVar(&dc.requests, "requests", 0, "send this many requests, print a report and exit")
+	fs.Uint64Var(&dc.seed, "seed", 1, "random seed of the requests")
+	fs.StringVar(&dc.addr, "addr", "127.0.0.1:8080", "the first router's address for callers")
+	fs.StringVar(&dc.level, "log", "warn", "log level: debug, info, warn or error")
 }
 
 func (dc *demoCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 || dc.requests < 0 {
-		return usageError(fs, "takes no arguments, and -requests is not negative")
+		return usageError(fs, "takes no arguments; -requests must not be negative")
 	}
 	fl := &demo.Fleet{Logs: logs.New(os.Stderr, dc.level), CallersAddr: dc.addr}
 	if dc.requests > 0 {
--- a/cmd/almondrill/explain.go
+++ b/cmd/almondrill/explain.go
@@ -14,7 +14,8 @@
 	"almondrill/io/trace"
 )
 
-// explainCommand tells from logs what happened.
+// explainCommand prints from router logs what happened to a request, to an endpoint, or in a time
+// span.
 type explainCommand struct {
 	request  string
 	endpoint string
@@ -23,22 +24,22 @@
 }
 
 func (*explainCommand) Name() string     { return "explain" }
-func (*explainCommand) Synopsis() string { return "tell from logs what happened to a request" }
+func (*explainCommand) Synopsis() string { return "show from router logs what happened to a request" }
 
 func (*explainCommand) Usage() string {
 	return `explain [-request ID | -endpoint ID | -from TIME -to TIME] [-json] [FILE...]
-  Reads the logs of one or several routers, from files or standard input, and prints
-  in order the story of a request, with what its router believed; or of an endpoint;
-  or of a span of time, given as 2026-01-31T15:04:05Z. Exits with 1 if nothing is
-  found.
+  Reads the logs of one or several routers from files or standard input and prints, in
+  order of time, the lines about a request, with its router's view of the endpoints; about
+  an endpoint; or of a time span, with times such as 2026-01-31T15:04:05Z. Exits with 1
+  if it finds none.
 `
 }
 
 func (ec *explainCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&ec.request, "request", "", "the id of a request")
 	fs.StringVar(&ec.endpoint, "endpoint", "", "the id of an endpoint")
-	fs.StringVar(&ec.from, "from", "", "the beginning of a span of time")
-	fs.StringVar(&ec.to, "to", "", "its end")
+	fs.StringVar(&ec.from, "from", "", "the start of a time span")
+	fs.StringVar(&ec.to, "to", "", "the end of the time span")
 	fs.BoolVar(&ec.asJSON, "json", false, "print the lines as JSON")
 }
 
@@ -62,17 +63,18 @@
 		}
 	}
 	if skipped.NoLog > 0 {
-		fmt.Fprintf(os.Stderr, "almondrill: %d of the lines read are no log lines\n", skipped.NoLog)
+		fmt.Fprintf(os.Stderr, "almondrill: skipped %d lines that are not log lines\n", skipped.NoLog)
 	}
 	if len(found) == 0 {
-		fmt.Fprintf(os.Stderr, "almondrill: nothing about %s in %d lines. Requests that end well are logged by sample "+
-			"beyond 50 a second, and lines are dropped where the output is slow: see LogLinesSampled and LogLinesDropped.\n", subject, len(lines))
+		fmt.Fprintf(os.Stderr, "almondrill: no lines about %s among %d log lines. Beyond 50 a second, successful requests are only sampled, "+
+			"and lines are dropped if the output is slow: see the counters LogLinesSampled and LogLinesDropped.\n", subject, len(lines))
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-// selector is what picks the lines, with what they are about; nil with what is wrong.
+// selector returns the function that selects the lines to print, and a description of what they are
+// about. If the flags are wrong, the function is nil and the string is the problem.
 func (ec *explainCommand) selector() (func([]trace.Line) []trace.Line, string) {
 	switch {
 	case ec.request != "" && ec.endpoint == "" && ec.from == "":
@@ -82,18 +84,18 @@
 	case ec.from != "" && ec.request == "" && ec.endpoint == "":
 		from, err := time.Parse(time.RFC3339, ec.from)
 		if err != nil {
-			return nil, "-from is not a time such as 2026-01-31T15:04:05Z: " + ec.from
+			return nil, "-from must be a time such as 2026-01-31T15:04:05Z, not " + ec.from
 		}
 		to, err := time.Parse(time.RFC3339, ec.to)
 		if err != nil {
-			return nil, "-to is not a time such as 2026-01-31T15:04:05Z: " + ec.to
+			return nil, "-to must be a time such as 2026-01-31T15:04:05Z, not " + ec.to
 		}
-		return func(lines []trace.Line) []trace.Line { return trace.Between(lines, from, to) }, "that span"
+		return func(lines []trace.Line) []trace.Line { return trace.Between(lines, from, to) }, "that time span"
 	}
 	return nil, "one of -request, -endpoint, or -from and -to is needed"
 }
 
-// inputs reads the files one after the other, or standard input.
+// inputs returns a reader of the files one after the other, or of standard input if there are none.
 func inputs(files []string) (io.Reader, error) {
 	if len(files) == 0 {
 		return os.Stdin, nil
--- a/cmd/almondrill/main.go
+++ b/cmd/almondrill/main.go
@@ -1,5 +1,5 @@
-// Almondrill routes very many returning chats to the model engines and services
-// of a co-operative. Run "almondrill help" for its commands.
+// Almondrill routes the requests of many long-running chats to the model engines and services of a
+// cooperative. Run "almondrill help" for its commands.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// register adds the commands, in groups as the help shows them.
+// register adds the commands in the groups that the help shows.
 func register(cd *subcommands.Commander) {
 	cd.Register(cd.HelpCommand(), "")
 	cd.Register(cd.FlagsCommand(), "")
--- a/cmd/almondrill/operator.go
+++ b/cmd/almondrill/operator.go
@@ -19,17 +19,17 @@
 	"almondrill/io/opsrpc"
 )
 
-// Exit codes of operators' commands beyond success, failure (1) and usage (2).
+// Exit codes of operators' commands in addition to success (0), failure (1) and wrong usage (2).
 const (
 	exitChanges   subcommands.ExitStatus = 3 // plan: something would change
 	exitConflict  subcommands.ExitStatus = 4 // another change was accepted first
-	exitUncertain subcommands.ExitStatus = 5 // not known whether it was accepted
-	exitBehind    subcommands.ExitStatus = 6 // status: some process is behind
+	exitUncertain subcommands.ExitStatus = 5 // unknown whether the change was accepted
+	exitBehind    subcommands.ExitStatus = 6 // status: a process has an older revision, or an endpoint is not as declared
 )
 
 const operatorTimeout = 15 * time.Second
 
-// operatorFlags are those that all operators' commands share.
+// operatorFlags are the flags that all operators' commands share.
 type operatorFlags struct {
 	router string
 	key    string
@@ -37,12 +37,12 @@
 }
 
 func (of *operatorFlags) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&of.router, "router", "127.0.0.1:8081", "peers' address of any router")
-	fs.StringVar(&of.key, "key", os.Getenv("ALMONDRILL_KEY"), "operator's key; default from ALMONDRILL_KEY")
+	fs.StringVar(&of.router, "router", "127.0.0.1:8081", "PeersAddr of any router")
+	fs.StringVar(&of.key, "key", os.Getenv("ALMONDRILL_KEY"), "operator's key; default is $ALMONDRILL_KEY")
 	fs.BoolVar(&of.asJSON, "json", false, "print JSON")
 }
 
-// call runs fn with a connection to the router.
+// call runs fn with a client that is connected to the router.
 func (of *operatorFlags) call(ctx context.Context, fn func(context.Context, opsrpc.OperatorsClient) error) subcommands.ExitStatus {
 	client, closeConn, err := oper.Dial(of.router, of.key)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return subcommands.ExitFailure
 }
 
-// print writes value as JSON if asked for, else calls people.
+// print prints value as JSON with -json, and calls printText otherwise.
 func (of *operatorFlags) print(value any, printText func()) {
 	if !of.asJSON {
 		printText()
@@ -97,12 +97,12 @@
 type planCommand struct{ operatorFlags }
 
 func (*planCommand) Name() string     { return "plan" }
-func (*planCommand) Synopsis() string { return "tell what a declarations file would change" }
+func (*planCommand) Synopsis() string { return "show what a declarations file would change" }
 func (*planCommand) Usage() string {
 	return `plan [-router IP:PORT] [-key KEY] [-json] FILE
-  Tells what applying FILE would change, and the revision to apply it on. Exits
-  with 0 if nothing would change, 3 if something would, 1 if FILE is wrong or the
-  router cannot tell.
+  Shows what applying FILE would change, and the revision to pass to apply -planned.
+  Exits with 0 if nothing would change, 3 if something would, 1 if FILE is invalid or
+  the router fails to answer.
 `
 }
 
@@ -147,21 +147,21 @@
 }
 
 func (*applyCommand) Name() string     { return "apply" }
-func (*applyCommand) Synopsis() string { return "have a declarations file accepted" }
+func (*applyCommand) Synopsis() string { return "apply a declarations file" }
 func (*applyCommand) Usage() string {
 	return `apply -planned REVISION [-source COMMIT] [-id ID] [flags] FILE
-  Has FILE accepted as the next revision after REVISION, whole or not at all. Sent
-  again, the same change gets the same answer. Exits with 0 once it is accepted,
-  4 if another change was accepted first (plan again), 5 if it is not known
-  whether it was (run the same command again), 1 otherwise: then it was not.
+  Applies FILE atomically as the next revision after REVISION. Applying the same change
+  again returns the same result. Exits with 0 if it was accepted, 4 if another change was
+  accepted first (plan again), 5 if it is unknown whether it was accepted (run the same
+  command again), 1 if it was not accepted.
 `
 }
 
 func (ac *applyCommand) SetFlags(fs *flag.FlagSet) {
 	ac.operatorFlags.SetFlags(fs)
-	fs.Uint64Var(&ac.planned, "planned", 0, "revision that plan named; 0 for a first configuration")
-	fs.StringVar(&ac.source, "source", "", "commit id of the declarations, to be recorded")
-	fs.StringVar(&ac.id, "id", "", "name of the change; default from its content")
+	fs.Uint64Var(&ac.planned, "planned", 0, "revision that plan printed; 0 for the first configuration")
+	fs.StringVar(&ac.source, "source", "", "commit id of the declarations, recorded in the history")
+	fs.StringVar(&ac.id, "id", "", "id of the change; derived from its content by default")
 }
 
 func (ac *applyCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -178,8 +178,8 @@
 	return ac.apply(ctx, &opsrpc.ApplyCall{Document: doc, Planned: ac.planned, ID: ac.id, Source: ac.source})
 }
 
-// changeID names a change by what it is, so that a job that runs again after a
-// lost answer asks about the same change.
+// changeID derives the default id of a change from its content. A job that runs again after a lost
+// reply thus sends the same id and gets the outcome of the first attempt.
 func changeID(doc []byte, planned uint64, source string) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d\n%s\n%s", planned, source, doc))
 	return hex.EncodeToString(sum[:8])
@@ -209,24 +209,24 @@
 }
 
 func (*rollbackCommand) Name() string     { return "rollback" }
-func (*rollbackCommand) Synopsis() string { return "have an earlier revision's content accepted anew" }
+func (*rollbackCommand) Synopsis() string { return "apply an earlier revision again" }
 
 func (*rollbackCommand) Usage() string {
 	return `rollback -to REVISION -planned REVISION [flags]
-  Has the content of an earlier revision accepted as a new one, on the revision
-  that status or plan named. Exit codes are those of apply.
+  Applies the content of an earlier revision as a new revision. -planned is the
+  revision that status or plan printed. Exit codes are those of apply.
 `
 }
 
 func (rc *rollbackCommand) SetFlags(fs *flag.FlagSet) {
 	rc.operatorFlags.SetFlags(fs)
-	fs.Uint64Var(&rc.to, "to", 0, "revision whose content is wanted")
-	fs.Uint64Var(&rc.planned, "planned", 0, "revision now in force")
+	fs.Uint64Var(&rc.to, "to", 0, "earlier revision to restore")
+	fs.Uint64Var(&rc.planned, "planned", 0, "newest revision")
 }
 
 func (rc *rollbackCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 || rc.to == 0 || rc.planned == 0 {
-		return usageError(fs, "-to and -planned are needed, and nothing else")
+		return usageError(fs, "-to and -planned are required, and no arguments")
 	}
 	note := fmt.Sprintf("rollback to %d", rc.to)
 	return rc.apply(ctx, &opsrpc.ApplyCall{
@@ -249,7 +249,7 @@
 
 func (gc *getCommand) SetFlags(fs *flag.FlagSet) {
 	gc.operatorFlags.SetFlags(fs)
-	fs.Uint64Var(&gc.revision, "revision", 0, "an earlier revision; 0 is the one in force")
+	fs.Uint64Var(&gc.revision, "revision", 0, "an earlier revision; 0 means the one in force")
 }
 
 func (gc *getCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -282,19 +282,19 @@
 func (*historyCommand) Synopsis() string { return "list accepted changes" }
 func (*historyCommand) Usage() string {
 	return `history [-most N] [flags]
-  Lists accepted changes, the newest first: revision, time, operator, source
-  commit, and what changed.
+  Lists accepted changes, newest first: revision, time, operator, source commit, note
+  and what changed.
 `
 }
 
 func (hc *historyCommand) SetFlags(fs *flag.FlagSet) {
 	hc.operatorFlags.SetFlags(fs)
-	fs.IntVar(&hc.limit, "most", 20, "how many changes")
+	fs.IntVar(&hc.limit, "most", 20, "largest number of changes to list")
 }
 
 func (hc *historyCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() > 0 || hc.limit < 1 {
-		return usageError(fs, "takes no arguments, and -most is at least 1")
+		return usageError(fs, "takes no arguments; -most must be at least 1")
 	}
 	return hc.call(ctx, func(ctx context.Context, client opsrpc.OperatorsClient) error {
 		re, err := client.History(ctx, &opsrpc.HistoryCall{Most: int32(hc.limit)})
--- a/cmd/almondrill/process.go
+++ b/cmd/almondrill/process.go
@@ -16,7 +16,7 @@
 	"almondrill/io/node"
 )
 
-// processCommand is "router" or "agent".
+// processCommand is the router or the agent command.
 type processCommand struct {
 	role         string
 	settingsFile string
@@ -24,23 +24,23 @@
 
 var roles = map[string]core.Role{"router": core.RoleRouter, "agent": core.RoleAgent}
 
-func (*processCommand) Synopsis() string { return "run this VM's process" }
+func (*processCommand) Synopsis() string { return "run the process of a VM with this role" }
 func (pc *processCommand) Name() string  { return pc.role }
 
 func (pc *processCommand) Usage() string {
 	return fmt.Sprintf(`%s -settings FILE
-  Runs a %s until SIGTERM or SIGINT, then leaves gracefully. FILE is described in
+  Runs a %s until SIGTERM or SIGINT, then shuts down gracefully. FILE is described in
   docs/SETTINGS.md; check it with: almondrill check -role %s FILE
 `, pc.role, pc.role, pc.role)
 }
 
 func (pc *processCommand) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&pc.settingsFile, "settings", "", "the YAML file with the process's settings")
+	fs.StringVar(&pc.settingsFile, "settings", "", "YAML file with the settings of the process")
 }
 
 func (pc *processCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if pc.settingsFile == "" || fs.NArg() > 0 {
-		return usageError(fs, "-settings FILE is needed, and nothing else")
+		return usageError(fs, "-settings FILE is required, and no arguments")
 	}
 	data, err := os.ReadFile(pc.settingsFile)
 	if err != nil {
@@ -57,13 +57,13 @@
 	return subcommands.ExitSuccess
 }
 
-// usageError tells what was wrong with the command line; it exits with 2.
+// usageError prints what is wrong with the command line and returns exit code 2.
 func usageError(fs *flag.FlagSet, problem string) subcommands.ExitStatus {
 	fmt.Fprintf(os.Stderr, "almondrill %s: %s\nRun: almondrill help %s\n", fs.Name(), problem, fs.Name())
 	return subcommands.ExitUsageError
 }
 
-// fail tells what failed, with its step and peer; it exits with 1.
+// fail prints an error with its step and peer, if it has them, and returns exit code 1.
 func fail(err error) subcommands.ExitStatus {
 	var oo oops.OopsError
 	if errors.As(err, &oo) {
--- a/cmd/almondrill/processes_test.go
+++ b/cmd/almondrill/processes_test.go
@@ -19,7 +19,7 @@
 	"almondrill/io/fakes/local"
 )
 
-// fleet is a fleet of separate processes of the built program.
+// fleet runs the built program as separate processes.
 type fleet struct {
 	t       *testing.T
 	binary  string
@@ -29,7 +29,7 @@
 	vms     []core.VM
 }
 
-// start runs the program; it is ended with the test, by its own process id.
+// start runs the program and kills it, by its own process id, when the test ends.
 func (fl *fleet) start(args ...string) *exec.Cmd {
 	fl.t.Helper()
 	cmd := exec.Command(fl.binary, args...)
@@ -58,8 +58,7 @@
 
 func keyHash(key string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(key))) }
 
-// startProcess starts a router or agent and returns it with its peers' and callers'
-// addresses.
+// startProcess starts a router or agent and returns it with its PeersAddr and CallersAddr.
 func (fl *fleet) startProcess(role, name, extra string, pools ...core.PoolID) (*exec.Cmd, string, string) {
 	peers, callers := local.Addr(fl.t), local.Addr(fl.t)
 	text := fmt.Sprintf("Name: %s\nZone: a\nRegion: north\nPeersAddr: %s\nAdminAddr: %s\nKVAddr: %s\nVMsAddr: %s\nDrainDelay: 100ms\n%s",
@@ -78,8 +77,8 @@
 	return string(out), err
 }
 
-// eventually tries until ok or half a minute is over; nothing depends on how long
-// it takes.
+// eventually retries until ok returns true, and fails the test after half a minute. No check
+// depends on how long it takes.
 func (fl *fleet) eventually(what string, ok func() bool) {
 	fl.t.Helper()
 	for range 300 {
@@ -88,7 +87,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	fl.t.Fatalf("%s: not within half a minute", what)
+	fl.t.Fatalf("%s: did not succeed within half a minute", what)
 }
 
 const declarations = `Customers:
@@ -100,10 +99,9 @@
     Model: demo-model
 `
 
-// An operator sets a fleet of separate processes up, applies declarations, and a
-// caller chats. Then a router is told to leave in the middle of an answer, which
-// still comes whole; and an agent is killed in the middle of one, which the caller
-// is told.
+// An operator starts a fleet of separate processes and applies declarations, and a caller chats.
+// Then a router is shut down while it streams a response, which must still be complete, and an
+// agent is killed during another, which must be reported as an unknown outcome.
 func TestSeparateProcesses(t *testing.T) {
 	fl := &fleet{t: t, dir: t.TempDir()}
 	fl.binary = filepath.Join(fl.dir, "almondrill")
@@ -146,15 +144,15 @@
 	time.Sleep(300 * time.Millisecond)
 	_ = leaving.Process.Signal(syscall.SIGTERM)
 	if rs := <-answer; rs.Outcome != core.Whole {
-		t.Errorf("the leaving router cut an answer off: %s %s %v", rs.Outcome, rs.Reason, rs.Err)
+		t.Errorf("the router that shut down truncated a response: %s %s %v", rs.Outcome, rs.Reason, rs.Err)
 	}
 	if err := leaving.Wait(); err != nil {
-		t.Errorf("the router ended with %v", err)
+		t.Errorf("the router exited with %v", err)
 	}
 	go func() { answer <- ask(second, 200) }()
 	time.Sleep(500 * time.Millisecond)
 	_ = agent.Process.Kill()
 	if rs := <-answer; rs.Outcome != core.Unknown || rs.Reason != core.ReasonPeerLost {
-		t.Errorf("the agent's death was told as %s %s %v", rs.Outcome, rs.Reason, rs.Err)
+		t.Errorf("the loss of the agent was reported as %s %s %v", rs.Outcome, rs.Reason, rs.Err)
 	}
 }
--- a/cmd/almondrill/quarantine.go
+++ b/cmd/almondrill/quarantine.go
@@ -16,10 +16,9 @@
 	"almondrill/io/deny"
 )
 
-// quarantineTimeout bounds a call to a router.
+// quarantineTimeout bounds a call to the router.
 const quarantineTimeout = 5 * time.Second
 
-// quarantineCommand lists and lifts quarantines of requests.
 type quarantineCommand struct {
 	router string
 	lift   string
@@ -30,16 +29,16 @@
 
 func (*quarantineCommand) Usage() string {
 	return `quarantine -router ADDR [-lift FINGERPRINT]
-  Lists the requests that a router without agents does not send to endpoints, as they
-  crash them, or lifts the quarantine of one on all routers. ADDR is the router's AdminAddr; any
-  router does. FINGERPRINT is whole, or as log lines bear it. Exits with 0 if that was done,
-  with 1 if not.
+  Lists the requests that the routers of the relay command do not send to endpoints because
+  they crash them, or lifts the quarantine of one request on all routers. ADDR is the
+  AdminAddr of any such router. FINGERPRINT is given in full or as log lines show it.
+  Exits with 0 on success, 1 otherwise.
 `
 }
 
 func (qc *quarantineCommand) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&qc.router, "router", "", "AdminAddr of a router without agents")
-	fs.StringVar(&qc.lift, "lift", "", "fingerprint of the request whose quarantine is to end")
+	fs.StringVar(&qc.router, "router", "", "AdminAddr of a router of the relay command")
+	fs.StringVar(&qc.lift, "lift", "", "fingerprint of the request whose quarantine to lift")
 }
 
 func (qc *quarantineCommand) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -61,7 +60,7 @@
 	}
 	var all []deny.Quarantined
 	if err = json.Unmarshal(data, &all); err != nil {
-		return fail(oops.In("read the answer").With("peer", qc.router).Wrap(err))
+		return fail(oops.In("read the response").With("peer", qc.router).Wrap(err))
 	}
 	for _, qu := range all {
 		fmt.Printf("%s  for %s, %d crashes, %d trials, stored %v\n",
@@ -71,7 +70,7 @@
 	return subcommands.ExitSuccess
 }
 
-// call asks the router.
+// call sends a request to the router's administration address and returns the body of the response.
 func (qc *quarantineCommand) call(ctx context.Context, method, path string) ([]byte, error) {
 	failed := oops.In("ask the router").With("peer", qc.router)
 	rq, err := http.NewRequestWithContext(ctx, method, "http://"+qc.router+path, nil)
--- a/cmd/almondrill/relay.go
+++ b/cmd/almondrill/relay.go
@@ -18,34 +18,34 @@
 	"almondrill/platform"
 )
 
-// relayCommand runs a router that calls endpoints itself.
+// relayCommand runs a router that calls endpoints itself, without agents.
 type relayCommand struct {
 	settingsFile string
 }
 
 func (*relayCommand) Name() string     { return "relay" }
-func (*relayCommand) Synopsis() string { return "run a router without agents, on the users' platform" }
+func (*relayCommand) Synopsis() string { return "run a router without agents on the users' platform" }
 
 func (*relayCommand) Usage() string {
 	return `relay [-settings FILE]
-  Runs a router that calls endpoints itself, until SIGTERM or SIGINT, then leaves
-  gracefully. Without -settings, the platform names FILE. It is described in
-  docs/SETTINGS.md; check it with: almondrill check -role relay FILE
+  Runs a router that calls endpoints itself until SIGTERM or SIGINT, then shuts down
+  gracefully. Without -settings, the platform's environment names FILE. It is described
+  in docs/SETTINGS.md; check it with: almondrill check -role relay FILE
 `
 }
 
 func (rc *relayCommand) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&rc.settingsFile, "settings", "", "the YAML file with the process's settings")
+	fs.StringVar(&rc.settingsFile, "settings", "", "YAML file with the settings of the process")
 }
 
 const (
-	// heapFraction is the part of the process's memory that the runtime may use; the
-	// rest is for buffers of the system and the program itself.
+	// heapFraction is the fraction of MemoryMB that the Go runtime may use. The rest is for the
+	// system's buffers and the program itself.
 	heapFraction = 0.6
-	// gcPercent is how much the heap may grow, in % of what is in use, until what is not is
-	// collected: memory is dearer to routers than the processor's time.
+	// gcPercent is lower than Go's default of 100: routers are shorter of memory than of processor
+	// time, so the heap is collected earlier.
 	gcPercent = 50
-	// logTimeout bounds the writing of the last lines.
+	// logTimeout bounds the time to write the last log lines at exit.
 	logTimeout = 100 * time.Millisecond
 )
 
@@ -54,7 +54,7 @@
 		rc.settingsFile = platform.SettingsFile()
 	}
 	if rc.settingsFile == "" || fs.NArg() > 0 {
-		return usageError(fs, "-settings FILE is needed where the platform names none, and nothing else")
+		return usageError(fs, "-settings FILE is required unless the platform names one, and no arguments")
 	}
 	se, err := rc.readSettings()
 	if err != nil {
--- a/cmd/almondrill/script_test.go
+++ b/cmd/almondrill/script_test.go
@@ -9,7 +9,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// The scripts read as stories of what a user types and sees.
+// The scripts in testdata run the built program and check its output and exit codes.
 func TestScripts(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "almondrill"), ".").CombinedOutput(); err != nil {
--- a/cmd/almondrill/standin.go
+++ b/cmd/almondrill/standin.go
@@ -45,39 +45,38 @@
 }
 
 func (*standinCommand) Name() string     { return "standin" }
-func (*standinCommand) Synopsis() string { return "run a stand-in for an outside system" }
+func (*standinCommand) Synopsis() string { return "run a fake of an external system" }
 
 func (*standinCommand) Usage() string {
 	return `standin [flags] engine|service|kv|vms|weights
-  Runs one stand-in at -addr until SIGTERM or SIGINT: a model engine, a plain
-  service, the platform's key-value service, its list of VMs, or its rate-limited
-  weight store. The list is read
-  from -file, a JSON array of VMs with the fields ID, Addr, Zone, Region, Role and
-  Pools; send SIGHUP to read it again.
+  Runs one fake at -addr until SIGTERM or SIGINT: of a model engine, a plain service,
+  the platform's key-value service, its list of VMs, or its rate-limited weight store.
+  The list is read from -file, a JSON array of VMs with the fields ID, Addr, Zone,
+  Region, Role and Pools; send SIGHUP to read it again.
 `
 }
 
 func (sc *standinCommand) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&sc.addr, "addr", "127.0.0.1:0", "where to listen")
-	fs.StringVar(&sc.model, "model", "demo-model", "engine: its model")
-	fs.DurationVar(&sc.tokenTime, "token", 10*time.Millisecond, "engine: time of a token; service: time of a call")
-	fs.DurationVar(&sc.perRequest, "per-request", 0, "engine: added to it for each further request")
-	fs.DurationVar(&sc.prefillTime, "prefill", 0, "engine: time of an uncached prompt token")
-	fs.IntVar(&sc.cacheTokens, "cache", 100_000, "engine: size of its cache in tokens")
+	fs.StringVar(&sc.addr, "addr", "127.0.0.1:0", "address to listen on")
+	fs.StringVar(&sc.model, "model", "demo-model", "engine: model name")
+	fs.DurationVar(&sc.tokenTime, "token", 10*time.Millisecond, "engine: time per token; service: time per call")
+	fs.DurationVar(&sc.perRequest, "per-request", 0, "engine: time per token added for each further running request")
+	fs.DurationVar(&sc.prefillTime, "prefill", 0, "engine: prefill time per uncached prompt token")
+	fs.IntVar(&sc.cacheTokens, "cache", 100_000, "engine: cache capacity in tokens")
 	fs.DurationVar(&sc.lag, "lag", time.Second, "engine: age of its load report; vms: delay of changes")
-	fs.IntVar(&sc.writesPerSecond, "writes", 300, "kv: writes a second")
-	fs.IntVar(&sc.readsPerSecond, "reads", 2000, "kv: reads a second")
-	fs.StringVar(&sc.file, "file", "", "vms: the list")
-	fs.StringVar(&sc.version, "version", "", "engine: its model's version at the start")
-	fs.DurationVar(&sc.loadTime, "load", time.Second, "engine: time of loading; weights: time of a fetch")
+	fs.IntVar(&sc.writesPerSecond, "writes", 300, "kv: limit of writes per second")
+	fs.IntVar(&sc.readsPerSecond, "reads", 2000, "kv: limit of reads per second")
+	fs.StringVar(&sc.file, "file", "", "vms: JSON file with the list")
+	fs.StringVar(&sc.version, "version", "", "engine: model version at the start")
+	fs.DurationVar(&sc.loadTime, "load", time.Second, "engine: time of a load; weights: time of a fetch")
 	fs.StringVar(&sc.weights, "weights", "", "engine: URL of the weight store that loads fetch from")
 	fs.BoolVar(&sc.checksFence, "checks-fence", false, "engine: refuse orders with an old fencing number")
-	fs.IntVar(&sc.maxFetches, "at-once", 2, "weights: fetches at a time; more are refused")
+	fs.IntVar(&sc.maxFetches, "at-once", 2, "weights: limit of concurrent fetches; further ones are refused")
 }
 
 func (sc *standinCommand) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() != 1 {
-		return usageError(fs, "name one of engine, service, kv, vms, weights")
+		return usageError(fs, "exactly one of engine, service, kv, vms, weights is required")
 	}
 	li, err := net.Listen("tcp", sc.addr)
 	if err != nil {
@@ -112,7 +111,7 @@
 		stop = serveHTTP(li, vmnet.Handler(list))
 	default:
 		_ = li.Close()
-		return usageError(fs, "no stand-in is named "+kind)
+		return usageError(fs, "unknown fake: "+kind)
 	}
 	fmt.Println("listening on", li.Addr())
 	signals := make(chan os.Signal, 1)
--- a/cmd/almondrill/status.go
+++ b/cmd/almondrill/status.go
@@ -14,12 +14,12 @@
 type statusCommand struct{ operatorFlags }
 
 func (*statusCommand) Name() string     { return "status" }
-func (*statusCommand) Synopsis() string { return "tell which revision is in force where" }
+func (*statusCommand) Synopsis() string { return "show the revision of every process" }
 func (*statusCommand) Usage() string {
 	return `status [flags]
-  Asks every process that the router knows for its revision, and for the engines
-  of pools that declare a Version. Exits with 0 if the newest revision is in force
-  on all and the engines are as declared, 6 if some are not or do not answer.
+  Shows the revision of every process that the router knows, and the state of the
+  engines in pools that declare a Version. Exits with 0 if all processes have the newest
+  revision and all engines are as declared, 6 if some are not or do not answer.
 `
 }
 
@@ -55,7 +55,7 @@
 	return code
 }
 
-// matchesDeclaration tells whether an endpoint needs no order.
+// matchesDeclaration reports whether an endpoint is as declared, so that it needs no order.
 func matchesDeclaration(es *opsrpc.EndpointStatus) bool {
 	return es.Wanted == "" && es.Phase != string(core.PhaseOrdered) && es.Phase != string(core.PhaseUnreachable)
 }
--- a/cmd/almondrill/version.go
+++ b/cmd/almondrill/version.go
@@ -9,7 +9,7 @@
 	"github.com/google/subcommands"
 )
 
-// version is set when a release is built.
+// version is replaced in release builds.
 var version = "development"
 
 type versionCommand struct{}
