--- a/io/demo/crash_test.go
+++ b/io/demo/crash_test.go
@@ -11,10 +11,10 @@
 	"almondrill/io/fakes/engine"
 )
 
-// A chat's turn crashes the engine that runs it, at its second token. The caller comes back
-// with it 15 times, through both routers. Each agent tells its router that the engine is gone,
-// the routers tell each other over their own protocol, and the turn is refused everywhere from
-// the third crash on, while others are served.
+// A chat's turn crashes the engine that runs it, at its second token. The caller sends it 15 times,
+// alternating between two routers. The agents report each crash to their router and the routers
+// notify each other, so from the third crash on every router must refuse the turn. Other turns must
+// still be served.
 func TestTurnThatCrashesItsEnginesIsRefused(t *testing.T) {
 	const attempts, maxExecutions = 15, 6
 	fl := startFleet(t)
@@ -37,7 +37,7 @@
 		executions += en.Stats().Requests
 	}
 	if executions > maxExecutions || refused < attempts-2*maxExecutions {
-		t.Errorf("engines were asked %d times, at most %d allowed; refused %d of %d times", executions, maxExecutions, refused, attempts)
+		t.Errorf("engines executed the turn %d times, at most %d allowed; it was refused %d of %d times", executions, maxExecutions, refused, attempts)
 	}
 	time.Sleep(time.Second)
 	for _, addr := range fl.RouterAddrs() {
--- a/io/demo/demo_test.go
+++ b/io/demo/demo_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A chat, streamed or not, comes back whole through router and agent.
+// A chat, streamed or not, must be answered completely through a router and an agent.
 func TestChatThroughRouterAndAgent(t *testing.T) {
 	fl := startFleet(t)
 	cl := &client.Client{Key: demo.Key}
--- a/io/demo/drive.go
+++ b/io/demo/drive.go
@@ -13,15 +13,15 @@
 	"almondrill/io/clock"
 )
 
-// Workload says what to send.
+// Workload is what Drive sends.
 type Workload struct {
 	Requests int
 	Seed     uint64
-	// Parallel is how many callers there are; 0 means 16.
+	// Parallel is the number of concurrent callers; 0 means 16.
 	Parallel int
 }
 
-// Report is the outcome of a Drive.
+// Report is the result of Drive.
 type Report struct {
 	Requests                     int
 	Whole                        int
@@ -37,13 +37,12 @@
 	ControlBytesPerSecondPerNode float64
 }
 
-// Passed tells whether every promise held: all answered whole, none doubled,
-// crossed or cut.
+// Passed reports whether every request was answered completely and no guarantee was violated.
 func (re *Report) Passed() bool {
 	return re.Whole == re.Requests && re.Doubled == 0 && re.Crossed == 0 && re.CutShort == 0 && re.FalseNotRun == 0
 }
 
-// driver is the state of one Drive.
+// driver is the state of one call of Drive.
 type driver struct {
 	fl     *Fleet
 	client *client.Client
@@ -55,8 +54,8 @@
 	reused    int
 }
 
-// Drive sends mixed requests: returning chats, streamed and whole, lookups, and
-// drafts that must not repeat, each draft through two routers at once.
+// Drive sends mixed requests: multi-turn chats, streamed or not; lookups; and non-idempotent
+// drafts, each through two routers at once.
 func (fl *Fleet) Drive(ctx context.Context, dr Workload) *Report {
 	if dr.Parallel == 0 {
 		dr.Parallel = 16
@@ -80,7 +79,7 @@
 	return &dv.rep
 }
 
-// NewHTTP is an HTTP client for many callers at once.
+// NewHTTP returns an HTTP client that many callers can use at once.
 func NewHTTP() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 }
@@ -97,14 +96,15 @@
 	callers.Wait()
 }
 
-// Parts of a hundred requests.
+// Requests are drawn from 0 to 99: lookups below lookupsBelow, drafts from there to below
+// draftsBelow, turns of chats beyond.
 const (
 	lookupsBelow = 20
 	draftsBelow  = 30
 	turnsPerChat = 4
 )
 
-// caller sends count requests, chats in turns of a conversation each.
+// caller sends count requests. It has one chat at a time, of turnsPerChat turns.
 func (dv *driver) caller(ctx context.Context, worker, count int, ra *clock.Rand) {
 	var chat *conversation
 	for number := range count {
@@ -129,8 +129,8 @@
 	dv.record("/entry/"+name+"|", rs)
 }
 
-// draft sends the same non-idempotent call through two routers at once, as a
-// caller does who lost patience. Both must get the answer of one run.
+// draft sends the same non-idempotent call through two routers at once, as a caller does that
+// retries early. Both must return the response of a single execution.
 func (dv *driver) draft(ctx context.Context, name string) {
 	var both sync.WaitGroup
 	results := make([]*client.Result, 2)
@@ -179,8 +179,8 @@
 	}
 }
 
-// record counts one request's end and tells the audit. Where it was sent more than
-// once, it counts as one request, as its worst outcome.
+// record counts the outcome of a request and passes it to the audit. A request that was sent more
+// than once counts once, with its worst outcome.
 func (dv *driver) record(nonce string, results ...*client.Result) {
 	worst := core.Whole
 	for _, rs := range results {
@@ -217,9 +217,9 @@
 	return sum
 }
 
-// peakSkew samples how far the busiest engine stands above the mean of its
-// pool, while the mean is above FloorWork, under which the cap is not applied,
-// until stop is closed; 0 if the load never gets there.
+// peakSkew samples the ratio of the busiest engine's load to the mean load of the pool until stop
+// is closed, and returns the largest. It skips samples whose mean is below FloorWork, as the load
+// cap is not applied there, and returns 0 if there are no others.
 func (fl *Fleet) peakSkew(stop chan struct{}) float64 {
 	peak := 0.0
 	for {
--- a/io/demo/fleet.go
+++ b/io/demo/fleet.go
@@ -1,17 +1,17 @@
-// Package demo runs a small fleet in one process, on loopback, over real
-// sockets: routers, agents, stand-ins for engines, services and the platform.
+// Package demo runs a small fleet in one process, on loopback addresses and over real sockets:
+// routers, agents, and fakes of engines, services and the platform.
 //
 // # Concepts
 //
-// A Fleet is started whole and stopped whole. Drive sends it mixed requests and
-// counts, at the stand-ins, whether every promise held.
+// A Fleet is started and stopped as a whole. Drive sends it mixed requests and reports outcomes and
+// violations of the router's guarantees, which audit.Audit detects at the fakes.
 //
 // # Usage
 //
 //	fl := &demo.Fleet{Logs: logs}
 //	err := fl.Start(ctx)
 //	defer fl.Stop()
-//	rep := fl.Drive(ctx, demo.Drive{Requests: 500, Seed: 1})
+//	rep := fl.Drive(ctx, demo.Workload{Requests: 500, Seed: 1})
 package demo
 
 import (
@@ -43,7 +43,8 @@
 	"almondrill/io/vmnet"
 )
 
-// Key is the demo customer's bearer key, Model its model, Lookups its service.
+// Names that the demo's configuration declares: the customer's bearer key, an operator's key, a
+// model and a service.
 const (
 	Key         = "demo-key"
 	OperatorKey = "demo-operator"
@@ -55,16 +56,17 @@
 
 var zones = []core.Zone{"a", "b", "c"}
 
-// Fleet is the demo's fleet. Set the exported fields before Start.
+// Fleet is the demo's fleet. Set the exported fields up to CallersAddr before Start, which sets the
+// others.
 type Fleet struct {
 	Logs *logs.Logs
-	// Routers, Engines and Services are the numbers of each; 0 means 3, 12, 3.
+	// Routers, Engines and Services are the numbers of each; 0 means 3, 12 and 3.
 	Routers, Engines, Services int
-	// TokenEvery is the engines' pace; 0 means 2 ms.
+	// TokenEvery is the time an engine takes per token; 0 means 2 ms.
 	TokenEvery time.Duration
-	// Slots is how many calls run on an engine at a time; 0 means 32.
+	// Slots is the number of calls that run on an engine at a time; 0 means 32.
 	Slots int
-	// CallersAddr is the first router's address for callers; "" picks a port.
+	// CallersAddr is the first router's address for callers; if empty, the system picks a port.
 	CallersAddr string
 
 	Store        *kvsrv.Store
@@ -84,8 +86,7 @@
 	clock        clock.Wall
 }
 
-// Start brings the fleet up and waits until the configuration is in force on
-// every process.
+// Start starts the fleet and waits until every process has the configuration and knows all agents.
 func (fl *Fleet) Start(ctx context.Context) error {
 	fl.defaults()
 	if err := fl.startPlatform(); err != nil {
@@ -134,7 +135,7 @@
 	fl.VMList = &vmlist.List{Clock: fl.clock}
 }
 
-// startPlatform starts the stand-ins for the KV and the VM list.
+// startPlatform starts the fakes of the KV store and of the VM list.
 func (fl *Fleet) startPlatform() error {
 	li, err := fl.listen()
 	if err != nil {
@@ -149,7 +150,7 @@
 	return err
 }
 
-// commitConfig accepts the demo's configuration as revision 1.
+// commitConfig commits the demo's configuration as revision 1.
 func (fl *Fleet) commitConfig(ctx context.Context) error {
 	lo := &revlog.Log{KV: fl.Store, Clock: fl.clock, Rand: clock.NewRand(2)}
 	doc := Document()
@@ -158,7 +159,7 @@
 	return err
 }
 
-// Document is the demo's declarations.
+// Document returns the demo's declarations.
 func Document() *decl.Document {
 	sum := sha256.Sum256([]byte(Key))
 	return &decl.Document{
@@ -222,7 +223,7 @@
 	}
 }
 
-// addProcess makes a process and notes its VM; launch runs it.
+// addProcess creates a process and adds its VM to those that Start lists. launch runs it.
 func (fl *Fleet) addProcess(ro core.Role, se *conf.Settings, pools []core.PoolID) error {
 	pr := &node.Process{Role: ro, Settings: se, Logs: fl.Logs}
 	if err := pr.Listen(); err != nil {
@@ -238,7 +239,7 @@
 	return nil
 }
 
-// launch runs a process until Stop.
+// launch runs a process in the background until Stop.
 func (fl *Fleet) launch(pr *node.Process) {
 	fl.running.Go(func() {
 		if err := pr.Run(context.Background()); err != nil {
@@ -253,7 +254,7 @@
 	fl.err = err
 }
 
-// readyTimeout bounds the wait for the configuration to be in force everywhere.
+// readyTimeout bounds the wait of Start.
 const readyTimeout = 15 * time.Second
 
 func (fl *Fleet) awaitReady(ctx context.Context) error {
@@ -261,7 +262,7 @@
 	defer cancel()
 	for !fl.ready() {
 		if err := fl.clock.Sleep(ctx, 10*time.Millisecond); err != nil {
-			return oops.In("start").Errorf("the fleet was not ready within %s", readyTimeout)
+			return oops.In("start").Errorf("the fleet did not become ready within %s", readyTimeout)
 		}
 	}
 	return nil
@@ -277,7 +278,7 @@
 	return true
 }
 
-// RouterAddrs are the routers' addresses for callers.
+// RouterAddrs returns the routers' addresses for callers.
 func (fl *Fleet) RouterAddrs() []string {
 	var addrs []string
 	for _, pr := range fl.Processes {
@@ -288,15 +289,15 @@
 	return addrs
 }
 
-// OperatorsAddr is a router's address for operators.
+// OperatorsAddr returns the address of a router for operators.
 func (fl *Fleet) OperatorsAddr() string {
 	return fl.Processes[len(fl.Processes)-1].PeersAddr()
 }
 
-// EngineAddrs are the stand-in engines' own addresses.
+// EngineAddrs returns the addresses of the fake engines, for calls that bypass routers and agents.
 func (fl *Fleet) EngineAddrs() []string { return fl.engineAddrs }
 
-// Process finds one by name, nil if there is none.
+// Process returns the process with that name, or nil if there is none.
 func (fl *Fleet) Process(name core.VMID) *node.Process {
 	for _, pr := range fl.Processes {
 		if pr.Settings.Name == name {
@@ -306,7 +307,8 @@
 	return nil
 }
 
-// Stop ends all processes gracefully, routers first, and the stand-ins.
+// Stop stops all processes gracefully, routers first, and then the fakes. It returns the error of a
+// process or fake that failed.
 func (fl *Fleet) Stop() error {
 	for ix := len(fl.Processes) - 1; ix >= 0; ix-- {
 		_ = fl.Processes[ix].Stop()
@@ -328,11 +330,11 @@
 	return li, nil
 }
 
-// crashDowntime is how long an engine that crashes is away.
+// crashDowntime is how long a crashed engine is down.
 const crashDowntime = 500 * time.Millisecond
 
-// serveEngine serves an engine that may crash: its connections end, and it is back at the
-// same address a moment later.
+// serveEngine serves an engine that can crash: its connections are closed, and it listens on the
+// same address again after crashDowntime.
 func (fl *Fleet) serveEngine(en *engine.Engine) (string, error) {
 	li, err := fl.listen()
 	if err != nil {
--- a/io/demo/hop_test.go
+++ b/io/demo/hop_test.go
@@ -18,7 +18,7 @@
 	"almondrill/io/rpc"
 )
 
-// cost is what a piece of work took of the process.
+// cost is the processor time and the number of allocations that a function takes.
 type cost struct {
 	cpu    time.Duration
 	allocs uint64
@@ -53,7 +53,7 @@
 	return fl
 }
 
-// runStreams runs that many streamed chats side by side and returns their tokens.
+// runStreams runs count streamed chats concurrently and returns the total number of tokens.
 func runStreams(b *testing.B, addr string, count, tokens int) int {
 	cl := &client.Client{Key: demo.Key, HTTP: demo.NewHTTP()}
 	var all sync.WaitGroup
@@ -72,10 +72,10 @@
 	return count * tokens
 }
 
-// BenchmarkTokenHop: processor time and allocations for a streamed token over
-// router and agent, per hop. The caller's and the engine's own are taken out by
-// running the same streams straight to the engine. Tokens come every 20 ms, so
-// hardly any share a part.
+// BenchmarkTokenHop measures processor time and allocations per streamed token and hop, over a
+// router and an agent. The cost of the caller and the engine is subtracted by running the same
+// streams directly against the engine. Each stream gets a token every 20 ms, so hardly any tokens
+// share a message.
 func BenchmarkTokenHop(b *testing.B) {
 	for _, count := range []int{50, 100, 200} {
 		b.Run(fmt.Sprint("streams=", count), func(b *testing.B) {
@@ -93,7 +93,8 @@
 	}
 }
 
-// BenchmarkRequestHop: the same for whole chats of one token, per request and hop.
+// BenchmarkRequestHop measures the same as BenchmarkTokenHop for chats of one token, per request
+// and hop.
 func BenchmarkRequestHop(b *testing.B) {
 	for _, count := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprint("requests=", count), func(b *testing.B) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// BenchmarkConnection: memory for an open connection between two processes, both
-// ends together, idle after one exchange.
+// BenchmarkConnection measures the memory of an open connection between two processes, both ends
+// together, when it is idle after one exchange.
 func BenchmarkConnection(b *testing.B) {
 	for _, count := range []int{50, 100, 200} {
 		b.Run(fmt.Sprint("count=", count), func(b *testing.B) {
@@ -154,7 +155,7 @@
 	return used
 }
 
-// memoryInUse is heap and stacks.
+// memoryInUse returns the memory of heap and stacks.
 func memoryInUse() float64 {
 	var ms runtime.MemStats
 	runtime.GC()
@@ -163,9 +164,8 @@
 	return float64(ms.HeapInuse) + float64(ms.StackInuse)
 }
 
-// BenchmarkAdded: what router and agent add to a whole chat of one token at 1,000
-// requests a second, in milliseconds, against the same load straight to the same
-// engines.
+// BenchmarkAdded measures the latency in milliseconds that router and agent add to a chat of one
+// token, compared with the same load sent directly to the engine.
 func BenchmarkAdded(b *testing.B) {
 	for _, rate := range []float64{250, 500, 1000} {
 		b.Run(fmt.Sprint("rate=", rate), func(b *testing.B) {
@@ -192,8 +192,8 @@
 	}
 }
 
-// BenchmarkIdle: what a process costs with nothing to do but control, over real
-// sockets, all processes of a fleet in one program.
+// BenchmarkIdle measures processor time and memory of a process that has only control messages to
+// handle, over real sockets. All processes of the fleet run in one program.
 func BenchmarkIdle(b *testing.B) {
 	for _, agents := range []int{8, 16, 32} {
 		b.Run(fmt.Sprint("processes=", agents+agents/4+1), func(b *testing.B) {
--- a/io/demo/leave_test.go
+++ b/io/demo/leave_test.go
@@ -11,8 +11,8 @@
 	"almondrill/io/fakes/engine"
 )
 
-// stopFirstAgent has chats served, stops the agent of the first engine, and returns how
-// many contexts that engine held and how many the others took in.
+// stopFirstAgent sends chats, stops the agent of the first engine, and returns how many contexts
+// that engine had cached and how many the other engines imported.
 func stopFirstAgent(t *testing.T, fl *demo.Fleet, fa engine.Faults) (cached int64, imported int) {
 	t.Helper()
 	cl := &client.Client{Key: demo.Key}
@@ -35,20 +35,19 @@
 	return int64(len(contexts)), imported
 }
 
-// An agent gets SIGTERM. The contexts of its engine are streamed through both
-// agents to the engines that its chats will go to next.
+// An agent is stopped, as by SIGTERM. The contexts of its engine must be streamed through both
+// agents to the engines that will serve the chats next.
 func TestContextsAreHandedOverWhenAnAgentStops(t *testing.T) {
 	fl := startFleet(t)
 	if held, taken := stopFirstAgent(t, fl, engine.Faults{}); held == 0 || int64(taken) != held {
-		t.Errorf("%d of %d contexts were taken in", taken, held)
+		t.Errorf("%d of %d contexts were imported", taken, held)
 	}
 }
 
-// An engine breaks off while it exports. What came is only half a context, and no
-// engine may keep it.
+// An engine aborts its exports halfway. No other engine may keep a truncated context.
 func TestTruncatedContextIsNotKept(t *testing.T) {
 	fl := startFleet(t)
 	if held, taken := stopFirstAgent(t, fl, engine.Faults{CutAfter: 1}); held == 0 || taken != 0 {
-		t.Errorf("%d of %d contexts were taken in", taken, held)
+		t.Errorf("%d of %d contexts were imported", taken, held)
 	}
 }
--- a/io/demo/orders_test.go
+++ b/io/demo/orders_test.go
@@ -14,9 +14,9 @@
 	"almondrill/io/opsrpc"
 )
 
-// An operator declares a new version while chats go on. The router that holds the
-// lease has one engine after another load it over their own protocol; status
-// tells how far it is. Nobody's chat fails, and no engine is interrupted.
+// An operator declares a new version while chats are running. The router that holds the lease must
+// have the engines load it one after another, and status must report the progress. No chat may
+// fail, and no engine may be interrupted.
 func TestNewVersionIsLoadedEverywhere(t *testing.T) {
 	fl := startFleet(t)
 	client, closeConn, err := oper.Dial(router(fl).PeersAddr(), demo.OperatorKey)
@@ -62,7 +62,8 @@
 	}
 }
 
-// allDeclared asks for the status; it fails the test if that cannot be had.
+// allDeclared reports whether status shows all endpoints as declared. It fails the test if the call
+// fails.
 func allDeclared(ctx context.Context, t *testing.T, client opsrpc.OperatorsClient) bool {
 	t.Helper()
 	re, err := client.Status(ctx, &opsrpc.StatusCall{})
--- a/io/demo/path_test.go
+++ b/io/demo/path_test.go
@@ -43,7 +43,8 @@
 	return rs.StatusCode, string(text)
 }
 
-// A caller's mistake gets a clear answer, with the reason, and is counted by it.
+// An invalid request must be refused with the right status and reason, and counted under that
+// reason.
 func TestBadRequestsAreRefusedAndCounted(t *testing.T) {
 	fl := startFleet(t)
 	const chatPath = "/v1/chat/completions"
@@ -71,13 +72,13 @@
 			t.Errorf("%s: %d %s", one.name, status, text)
 		}
 		if router(fl).Stats.Refusals(one.reason) != before+1 {
-			t.Errorf("%s: not counted", one.name)
+			t.Errorf("%s: the refusal was not counted", one.name)
 		}
 	}
 }
 
-// A caller sends half its body and then nothing. It is refused within the time of
-// the settings and does not hold its connection.
+// A caller sends half of its body and then nothing. It must be refused within BodyTimeout, and its
+// connection closed.
 func TestSlowCallerIsRefused(t *testing.T) {
 	fl := startFleet(t)
 	conn, err := net.Dial("tcp", router(fl).CallersAddr())
@@ -93,8 +94,8 @@
 	}
 }
 
-// An engine stops in the middle of an answer. The stream ends with an error event
-// and a plain answer breaks off; neither looks whole to the caller.
+// An engine aborts a response. The stream must end with an error event and a response that is not
+// streamed must break off, so that neither looks complete to the caller.
 func TestTruncatedResponsesNeverLookWhole(t *testing.T) {
 	fl := startFleet(t)
 	for _, en := range fl.FakeEngines {
@@ -110,9 +111,9 @@
 	}
 }
 
-// An engine's answers belong to other attempts. They reach nobody: a chat may
-// repeat and is answered by another engine while the retry budget lasts; beyond
-// it the caller is told.
+// An engine responds with the ids of other attempts. These responses must reach no caller. As chats
+// may be repeated, another engine serves the request while the retry budget lasts; after that the
+// caller gets the reason.
 func TestReplyToAnotherAttemptIsDropped(t *testing.T) {
 	fl := startFleet(t)
 	fl.FakeEngines[0].SetFaults(engine.Faults{Crossed: true})
@@ -130,12 +131,12 @@
 		crossed += pr.Stats.Refusals(core.ReasonCrossed)
 	}
 	if retried := router(fl).Stats.Retries(core.ReasonCrossed); crossed == 0 || retried == 0 {
-		t.Errorf("%d replies crossed, %d requests tried again", crossed, retried)
+		t.Errorf("%d replies to another attempt, %d requests retried", crossed, retried)
 	}
 }
 
-// A router and an agent are shut down under load. No answer is cut off: what they
-// have begun ends whole, and new work goes to the others.
+// A router and an agent are shut down under load. No response may be truncated: requests in
+// progress are completed, and new ones go to the other processes.
 func TestShutdownUnderLoadTruncatesNothing(t *testing.T) {
 	fl := startFleet(t)
 	var all sync.WaitGroup
@@ -145,7 +146,7 @@
 			Addr: addr, Key: demo.Key, Model: demo.Model, Rate: 100, Duration: time.Second, MaxTokens: 40, Streamed: 0.5, Seed: uint64(ix),
 		}
 		if ix == 0 {
-			// Callers of the leaving router are sent elsewhere by the balancer.
+			// The balancer sends callers of the stopping router to the other one.
 			plan.Duration = 300 * time.Millisecond
 		}
 		all.Go(func() { reports[ix] = load.Run(context.Background(), plan) })
@@ -161,8 +162,8 @@
 	}
 }
 
-// A router starts while the KV cannot be reached and no peer is known. It says so
-// on /readyz and refuses requests as not run.
+// A router starts while the KV store cannot be reached and no peer is known. It must report that on
+// /readyz and refuse requests as not run.
 func TestStartWithoutKVRefusesRequests(t *testing.T) {
 	pr := &node.Process{Role: core.RoleRouter, Logs: logs.Discard(), Settings: &conf.Settings{
 		Name: "alone", Zone: "a", Region: "north", PeersAddr: "127.0.0.1:0", CallersAddr: "127.0.0.1:0", AdminAddr: "127.0.0.1:0",
