--- a/cmd/capac/main.go
+++ b/cmd/capac/main.go
@@ -1,5 +1,5 @@
-// Capac makes docs/CAPACITY-AGENTS.md. With -figures it first reads benchmarks' output
-// from standard input and writes the figures; see .ci/measure.
+// Capac generates docs/CAPACITY-AGENTS.md and its chart. With -figures it first reads the output of
+// benchmarks from standard input and writes new figures; see .ci/measure.
 package main
 
 import (
@@ -12,8 +12,8 @@
 )
 
 func main() {
-	docs := flag.String("page", "docs", "folder of the page")
-	figures := flag.Bool("figures", false, "read new figures from standard input")
+	docs := flag.String("page", "docs", "folder of the page, the figures and the template")
+	figures := flag.Bool("figures", false, "read new benchmark output from standard input")
 	flag.Parse()
 	if err := run(*docs, *figures); err != nil {
 		fmt.Fprintln(os.Stderr, "capac:", err)
--- a/io/capac/capac.go
+++ b/io/capac/capac.go
@@ -1,16 +1,16 @@
-// Package capac works out docs/CAPACITY-AGENTS.md from measured slopes.
+// Package capac generates docs/CAPACITY-AGENTS.md from the results of benchmarks.
 //
 // # Concepts
 //
-// Figures are the results of benchmarks, with the machine they ran on, kept in
-// docs/capacity.json. A Row says which figure, at which sizes, is fitted by a
-// line, what it comes to at the target, the budget, and the mechanism. The page
-// is made from the committed figures alone, so CI can tell when they disagree.
+// Figures are the results of one run of the benchmarks, with the machine that they ran on. They are
+// committed as docs/capacity.json. A Row selects the results of a benchmark at several sizes, fits a
+// line through them, extrapolates it to the target size, and compares the result with a budget. The
+// page and the chart are generated from the committed figures alone, so CI can check that they match.
 //
 // # Usage
 //
-//	.ci/measure                      # benchmarks, then figures, page and picture
-//	go run ./cmd/capac -page docs    # page and picture from the committed figures
+//	.ci/measure                      # run the benchmarks, then write figures, page and chart
+//	go run ./cmd/capac -page docs    # write page and chart from the committed figures
 package capac
 
 import (
@@ -28,15 +28,15 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Figures are what one run of .ci/measure found.
+// Figures holds the results of one run of .ci/measure.
 type Figures struct {
 	Machine Machine
-	// Results holds metrics by benchmark name (without "Benchmark" and the
-	// number of processors) and unit.
+	// Results holds values by benchmark name (without "Benchmark" and the number of processors) and
+	// unit.
 	Results map[string]map[string]float64
 }
 
-// Machine is where the figures come from.
+// Machine describes the machine that the benchmarks ran on.
 type Machine struct {
 	Processor string
 	Cores     int
@@ -44,8 +44,8 @@
 	Go        string
 }
 
-// ParseBenchmarks takes in the output of go test -bench. The same benchmark run several
-// times counts as its median.
+// ParseBenchmarks reads the output of go test -bench. A benchmark that ran several times counts
+// with the median of its values.
 func ParseBenchmarks(in io.Reader) (*Figures, error) {
 	all := map[string]map[string][]float64{}
 	fi := &Figures{
@@ -81,7 +81,7 @@
 	return fi, re.Err()
 }
 
-// Load reads committed figures.
+// Load reads figures from a file.
 func Load(file string) (*Figures, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return &fi, nil
 }
 
-// Save writes figures.
+// Save writes figures to a file.
 func (fi *Figures) Save(file string) error {
 	data, err := json.MarshalIndent(fi, "", "  ")
 	if err != nil {
@@ -103,11 +103,11 @@
 	return os.WriteFile(file, append(data, '\n'), 0o644)
 }
 
-// point is a figure at a size.
+// point is a measured value at a size.
 type point struct{ size, value float64 }
 
-// points finds the results of a benchmark at its sizes: the name is prefix,
-// number, suffix.
+// points returns the values of a benchmark, ordered by size. The names of its results consist of
+// prefix, size and suffix.
 func (fi *Figures) points(prefix, suffix, unit string) []point {
 	var found []point
 	for name, units := range fi.Results {
@@ -126,8 +126,8 @@
 	return found
 }
 
-// line is a fit through points. Residual is the largest deviation of a point
-// from it, as a part of that point's value.
+// line is a linear fit. residual is the largest deviation of a point from it, relative to the
+// point's value.
 type line struct {
 	base, slope, residual float64
 	from, to              float64
--- a/io/capac/capac_test.go
+++ b/io/capac/capac_test.go
@@ -11,8 +11,8 @@
 
 const docs = "../../docs"
 
-// The page and the committed figures must not drift apart: whoever changes one
-// runs .ci/measure, or go run ./cmd/capac, for the other.
+// The page must match the committed figures. If this fails, run go run ./cmd/capac, or .ci/measure
+// for new figures.
 func TestPageMatchesFigures(t *testing.T) {
 	fi, err := capac.Load(filepath.Join(docs, "capacity.json"))
 	if err != nil {
@@ -38,8 +38,7 @@
 	}
 }
 
-// Every figure of the page is fitted through at least three sizes, but for those
-// that have no size.
+// Every row must be fitted through at least three sizes, except for benchmarks without a size.
 func TestRowsHaveThreeSizes(t *testing.T) {
 	fi, err := capac.Load(filepath.Join(docs, "capacity.json"))
 	if err != nil {
@@ -61,7 +60,7 @@
 	}
 }
 
-// Benchmark output is read by name and unit, and repeated runs count once.
+// Benchmark output is read by name and unit, and several runs of a benchmark count once.
 func TestReadBenchmarks(t *testing.T) {
 	in := "cpu: test\nBenchmarkX/n=1-8 1 5 ns/op 7 B/s/node\nBenchmarkX/n=1-8 1 5 ns/op 9 B/s/node\nBenchmarkX/n=1-8 1 5 ns/op 8 B/s/node\n"
 	fi, err := capac.ParseBenchmarks(strings.NewReader(in))
--- a/io/capac/page.go
+++ b/io/capac/page.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// evaluated is a Row with its figures.
+// evaluated is a Row with its measured values and the result at the target size.
 type evaluated struct {
 	Row
 	points []point
@@ -22,7 +22,8 @@
 	figure float64
 }
 
-// nearBudget is the part of a budget from which a figure counts as near the line.
+// nearBudget is the ratio of a figure to its budget above which the page lists the row as near the
+// line.
 const nearBudget = 0.6
 
 func evaluate(fi *Figures, ro Row) evaluated {
@@ -35,8 +36,8 @@
 	return wo
 }
 
-// value is the figure at the target in the benchmark's own unit. A size that was
-// measured itself needs no line.
+// value returns the value at the target size in the benchmark's unit. It extrapolates only if that
+// size was not measured.
 func (wo *evaluated) value() float64 {
 	if len(wo.points) == 0 {
 		return math.NaN()
@@ -108,11 +109,11 @@
 	return fmt.Sprintf("%.3g", value)
 }
 
-// Page makes the page's tables, to stand between its words.
+// Page fills the page's template with the tables.
 func Page(fi *Figures, text string) (string, error) {
 	tm, err := template.New("page").Parse(text)
 	if err != nil {
-		return "", fmt.Errorf("read the page's words: %w", err)
+		return "", fmt.Errorf("parse the page's template: %w", err)
 	}
 	var out bytes.Buffer
 	err = tm.Execute(&out, map[string]string{
@@ -154,7 +155,7 @@
 	return formatNumber(ro.Budget) + " " + ro.Unit
 }
 
-// Chart plots each figure against its budget, on a scale of parts of it.
+// Chart plots the ratio of each figure to its budget, as SVG.
 func Chart(fi *Figures) ([]byte, error) {
 	var values plotter.Values
 	var names []string
--- a/io/capac/rows.go
+++ b/io/capac/rows.go
@@ -1,6 +1,6 @@
 package capac
 
-// The target of the users' letter 1.
+// Size and load of the target fleet, as its users stated them.
 const (
 	routers           = 420
 	agents            = 2100
@@ -15,21 +15,22 @@
 	megabyte = 1 << 20
 )
 
-// Row is one line of the page.
+// Row is a row of the page's table.
 type Row struct {
 	Role, What, Mechanism string
-	// Prefix and Suffix name the benchmark around its size; Metric is its unit.
+	// Prefix and Suffix enclose the size in the benchmark's name; Metric is the unit of the values.
 	Prefix, Suffix, Metric string
-	// TargetSize is the size at the target.
+	// TargetSize is the size in the target fleet.
 	TargetSize float64
-	// Mean takes the mean of the sizes instead of the line's value: for a figure
-	// per unit that does not depend on the size measured.
+	// Mean uses the mean over all sizes instead of the line: for values per unit that do not depend
+	// on the size.
 	Mean bool
-	// Scale turns the figure into that of the budget.
+	// Scale converts the value to Unit, the unit of Budget, for the target fleet. A Budget of 0
+	// means none.
 	Scale  float64
 	Unit   string
 	Budget float64
-	// Note says how Times comes about, or what else matters.
+	// Note explains Scale or gives other remarks.
 	Note string
 }
 
@@ -41,7 +42,7 @@
 	rolePath     = "path"
 )
 
-// Rows are the lines of the page, in its order.
+// Rows holds the rows of the page's table in order.
 var Rows = []Row{
 	{
 		Role: roleRouter, What: "view of all agents", Mechanism: "core/board", Prefix: "Memory/agents/count=", Metric: "heap-B",
