--- a/io/clock/clock.go
+++ b/io/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is the real time and randomness behind core.Clock and core.Rand.
+// Package clock implements core.Clock with the system clock and core.Rand with a seeded generator.
 //
 // # Usage
 //
@@ -17,15 +17,15 @@
 	"almondrill/core"
 )
 
-// Wall is the machine's clock.
+// Wall is the system clock.
 type Wall struct{}
 
 var _ core.Clock = Wall{}
 
-// Now is the current time.
+// Now returns the current time.
 func (Wall) Now() time.Time { return time.Now() }
 
-// Sleep waits for d or until ctx ends.
+// Sleep waits for d. It returns early with ctx's error if ctx ends.
 func (Wall) Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -37,7 +37,7 @@
 	}
 }
 
-// Rand is a seeded source that is safe for concurrent use.
+// Rand is a seeded random source that is safe for concurrent use.
 type Rand struct {
 	mu  sync.Mutex // guards src
 	src *rand.Rand
@@ -45,23 +45,23 @@
 
 var _ core.Rand = (*Rand)(nil)
 
-// NewRand makes a source; equal seeds give equal sequences.
+// NewRand returns a source; equal seeds give equal sequences.
 func NewRand(seed uint64) *Rand {
 	const stream = 0x9e3779b97f4a7c15
 	return &Rand{src: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// RandomSeed draws a seed from the system.
+// RandomSeed returns a seed from the runtime's random source.
 func RandomSeed() uint64 { return rand.Uint64() }
 
-// Uint64 is uniform over all 64-bit numbers.
+// Uint64 returns a number that is uniform over all 64-bit values.
 func (ra *Rand) Uint64() uint64 {
 	ra.mu.Lock()
 	defer ra.mu.Unlock()
 	return ra.src.Uint64()
 }
 
-// Float64 is uniform in [0, 1).
+// Float64 returns a number that is uniform in [0, 1).
 func (ra *Rand) Float64() float64 {
 	ra.mu.Lock()
 	defer ra.mu.Unlock()
--- a/io/vmnet/vmnet.go
+++ b/io/vmnet/vmnet.go
@@ -1,5 +1,5 @@
-// Package vmnet carries core.VMList over HTTP, to the stand-in of the platform's
-// list. An adapter to another platform takes this package's place.
+// Package vmnet implements core.VMList over HTTP, as the fake of the platform's list serves it. A
+// deployment on another platform replaces this package by its own client.
 //
 // # Usage
 //
@@ -26,14 +26,14 @@
 
 const requestTimeout = 3 * time.Second
 
-// Client reads the list at an address.
+// Client reads the list from the server at Addr.
 type Client struct {
 	Addr string
 }
 
 var _ core.VMList = (*Client)(nil)
 
-// Changes returns what changed after mark.
+// Changes returns the changes after mark, and the mark to continue from.
 func (cl *Client) Changes(ctx context.Context, mark uint64) ([]core.VM, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 	return reply.VMs, reply.Mark, nil
 }
 
-// Handler serves a list.
+// Handler returns a handler that serves a list to Client.
 func Handler(li core.VMList) http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		mark, err := strconv.ParseUint(rq.FormValue("after"), 10, 64)
