--- a/cmd/almondrill/processes_test.go
+++ b/cmd/almondrill/processes_test.go
@@ -114,7 +114,7 @@
 	fl.start("standin", "-addr", engine, "-token", "20ms", "engine")
 	endpoints := "Endpoints: [{Name: e, Pool: chat, Kind: Engine, URL: http://" + engine + "}]\n"
 	agent, _, _ := fl.startProcess("agent", "agent-1", endpoints, "chat")
-	leaving, _, first := fl.startProcess("router", "router-1", "")
+	stopping, _, first := fl.startProcess("router", "router-1", "")
 	_, peers, second := fl.startProcess("router", "router-2", "")
 	list, _ := json.Marshal(fl.vms)
 	fl.start("standin", "-addr", fl.vmsAddr, "-lag", "0s", "-file", fl.writeFile("vms.json", string(list)), "vms")
@@ -142,11 +142,11 @@
 	answer := make(chan *client.Result, 1)
 	go func() { answer <- ask(first, 60) }()
 	time.Sleep(300 * time.Millisecond)
-	_ = leaving.Process.Signal(syscall.SIGTERM)
+	_ = stopping.Process.Signal(syscall.SIGTERM)
 	if rs := <-answer; rs.Outcome != core.Whole {
 		t.Errorf("the router that shut down truncated a response: %s %s %v", rs.Outcome, rs.Reason, rs.Err)
 	}
-	if err := leaving.Wait(); err != nil {
+	if err := stopping.Wait(); err != nil {
 		t.Errorf("the router exited with %v", err)
 	}
 	go func() { answer <- ask(second, 200) }()
--- a/io/capac/page.go
+++ b/io/capac/page.go
@@ -27,47 +27,47 @@
 const nearBudget = 0.6
 
 func evaluate(fi *Figures, ro Row) evaluated {
-	wo := evaluated{Row: ro, points: fi.points(ro.Prefix, ro.Suffix, ro.Metric)}
-	if units, whole := fi.Results[ro.Prefix]; whole {
-		wo.points = append(wo.points, point{1, units[ro.Metric]})
+	ev := evaluated{Row: ro, points: fi.points(ro.Prefix, ro.Suffix, ro.Metric)}
+	if units, unsized := fi.Results[ro.Prefix]; unsized {
+		ev.points = append(ev.points, point{1, units[ro.Metric]})
 	}
-	wo.fit = fit(wo.points)
-	wo.figure = wo.value() * ro.Scale
-	return wo
+	ev.fit = fit(ev.points)
+	ev.figure = ev.value() * ro.Scale
+	return ev
 }
 
 // value returns the value at the target size in the benchmark's unit. It extrapolates only if that
 // size was not measured.
-func (wo *evaluated) value() float64 {
-	if len(wo.points) == 0 {
+func (ev *evaluated) value() float64 {
+	if len(ev.points) == 0 {
 		return math.NaN()
 	}
-	if wo.Mean {
+	if ev.Mean {
 		sum := 0.0
-		for _, pt := range wo.points {
+		for _, pt := range ev.points {
 			sum += pt.value
 		}
-		return sum / float64(len(wo.points))
+		return sum / float64(len(ev.points))
 	}
-	for _, pt := range wo.points {
-		if pt.size == wo.TargetSize {
+	for _, pt := range ev.points {
+		if pt.size == ev.TargetSize {
 			return pt.value
 		}
 	}
-	return wo.fit.at(wo.TargetSize)
+	return ev.fit.at(ev.TargetSize)
 }
 
-func (wo *evaluated) ratio() float64 {
-	if wo.Budget == 0 {
+func (ev *evaluated) ratio() float64 {
+	if ev.Budget == 0 {
 		return math.NaN()
 	}
-	return wo.figure / wo.Budget
+	return ev.figure / ev.Budget
 }
 
-func (wo *evaluated) verdict() string {
-	ratio := wo.ratio()
+func (ev *evaluated) verdict() string {
+	ratio := ev.ratio()
 	switch {
-	case math.IsNaN(wo.figure):
+	case math.IsNaN(ev.figure):
 		return "not measured"
 	case math.IsNaN(ratio):
 		return "no budget"
@@ -79,22 +79,22 @@
 	return "fits"
 }
 
-func (wo *evaluated) measurements() string {
+func (ev *evaluated) measurements() string {
 	var parts []string
-	for _, pt := range wo.points {
-		if len(wo.points) == 1 {
+	for _, pt := range ev.points {
+		if len(ev.points) == 1 {
 			return formatNumber(pt.value)
 		}
 		parts = append(parts, fmt.Sprintf("%s at %s", formatNumber(pt.value), formatNumber(pt.size)))
 	}
 	text := strings.Join(parts, ", ")
 	switch {
-	case len(wo.points) < 2:
+	case len(ev.points) < 2:
 		return text
-	case wo.Mean:
+	case ev.Mean:
 		return text + "; mean"
 	}
-	return fmt.Sprintf("%s; %s + %s a unit, off by at most %.0f %%", text, formatNumber(wo.fit.base), formatNumber(wo.fit.slope), 100*wo.fit.residual)
+	return fmt.Sprintf("%s; %s + %s a unit, off by at most %.0f %%", text, formatNumber(ev.fit.base), formatNumber(ev.fit.slope), 100*ev.fit.residual)
 }
 
 func formatNumber(value float64) string {
@@ -127,9 +127,9 @@
 func overBudget(fi *Figures) string {
 	var out strings.Builder
 	for _, ro := range Rows {
-		wo := evaluate(fi, ro)
-		if ratio := wo.ratio(); ratio > nearBudget || math.IsNaN(wo.figure) {
-			fmt.Fprintf(&out, "- %s, %s: %s %s of %s (%s)\n", ro.Role, ro.What, formatNumber(wo.figure), ro.Unit, formatNumber(ro.Budget), wo.verdict())
+		ev := evaluate(fi, ro)
+		if ratio := ev.ratio(); ratio > nearBudget || math.IsNaN(ev.figure) {
+			fmt.Fprintf(&out, "- %s, %s: %s %s of %s (%s)\n", ro.Role, ro.What, formatNumber(ev.figure), ro.Unit, formatNumber(ro.Budget), ev.verdict())
 		}
 	}
 	return strings.TrimSpace(out.String())
@@ -140,10 +140,10 @@
 	out.WriteString("| role | what | measured | at the target | budget | ratio | verdict | mechanism | benchmark | notes |\n")
 	out.WriteString("|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, ro := range Rows {
-		wo := evaluate(fi, ro)
+		ev := evaluate(fi, ro)
 		fmt.Fprintf(&out, "| %s | %s | %s %s | %s %s | %s | %s | %s | `%s` | `%s` | %s |\n",
-			ro.Role, ro.What, wo.measurements(), ro.Metric, formatNumber(wo.figure), ro.Unit, budgetText(ro), formatNumber(wo.ratio()),
-			wo.verdict(), ro.Mechanism, ro.Prefix+"*"+ro.Suffix, ro.Note)
+			ro.Role, ro.What, ev.measurements(), ro.Metric, formatNumber(ev.figure), ro.Unit, budgetText(ro), formatNumber(ev.ratio()),
+			ev.verdict(), ro.Mechanism, ro.Prefix+"*"+ro.Suffix, ro.Note)
 	}
 	return strings.TrimSpace(out.String())
 }
@@ -160,8 +160,8 @@
 	var values plotter.Values
 	var names []string
 	for _, ro := range Rows {
-		wo := evaluate(fi, ro)
-		if ratio := wo.ratio(); !math.IsNaN(ratio) {
+		ev := evaluate(fi, ro)
+		if ratio := ev.ratio(); !math.IsNaN(ratio) {
 			values = append(values, ratio)
 			names = append(names, ro.Role+": "+ro.What)
 		}
--- a/io/demo/drive.go
+++ b/io/demo/drive.go
@@ -56,16 +56,16 @@
 
 // Drive sends mixed requests: multi-turn chats, streamed or not; lookups; and non-idempotent
 // drafts, each through two routers at once.
-func (fl *Fleet) Drive(ctx context.Context, dr Workload) *Report {
-	if dr.Parallel == 0 {
-		dr.Parallel = 16
+func (fl *Fleet) Drive(ctx context.Context, wl Workload) *Report {
+	if wl.Parallel == 0 {
+		wl.Parallel = 16
 	}
 	dv := &driver{fl: fl, client: &client.Client{Key: Key, HTTP: NewHTTP()}, addrs: fl.RouterAddrs()}
 	before, start := fl.controlBytes(), time.Now()
 	stop := make(chan struct{})
 	peak := make(chan float64, 1)
 	go func() { peak <- fl.peakSkew(stop) }()
-	dv.run(ctx, dr)
+	dv.run(ctx, wl)
 	close(stop)
 	dv.rep.MaxOverMean = <-peak
 	counts := fl.Audit.Counts()
@@ -84,14 +84,14 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 }
 
-func (dv *driver) run(ctx context.Context, dr Workload) {
+func (dv *driver) run(ctx context.Context, wl Workload) {
 	var callers sync.WaitGroup
-	for worker := range dr.Parallel {
-		share := dr.Requests / dr.Parallel
-		if worker < dr.Requests%dr.Parallel {
+	for worker := range wl.Parallel {
+		share := wl.Requests / wl.Parallel
+		if worker < wl.Requests%wl.Parallel {
 			share++
 		}
-		callers.Go(func() { dv.caller(ctx, worker, share, clock.NewRand(dr.Seed*1000+uint64(worker))) })
+		callers.Go(func() { dv.caller(ctx, worker, share, clock.NewRand(wl.Seed*1000+uint64(worker))) })
 	}
 	callers.Wait()
 }
--- a/io/demo/leave_test.go
+++ b/io/demo/leave_test.go
@@ -39,15 +39,15 @@
 // agents to the engines that will serve the chats next.
 func TestContextsAreHandedOverWhenAnAgentStops(t *testing.T) {
 	fl := startFleet(t)
-	if held, taken := stopFirstAgent(t, fl, engine.Faults{}); held == 0 || int64(taken) != held {
-		t.Errorf("%d of %d contexts were imported", taken, held)
+	if cached, imported := stopFirstAgent(t, fl, engine.Faults{}); cached == 0 || int64(imported) != cached {
+		t.Errorf("%d of %d contexts were imported", imported, cached)
 	}
 }
 
 // An engine aborts its exports halfway. No other engine may keep a truncated context.
 func TestTruncatedContextIsNotKept(t *testing.T) {
 	fl := startFleet(t)
-	if held, taken := stopFirstAgent(t, fl, engine.Faults{CutAfter: 1}); held == 0 || taken != 0 {
-		t.Errorf("%d of %d contexts were imported", taken, held)
+	if cached, imported := stopFirstAgent(t, fl, engine.Faults{CutAfter: 1}); cached == 0 || imported != 0 {
+		t.Errorf("%d of %d contexts were imported", imported, cached)
 	}
 }
--- a/io/fakes/engine/engine.go
+++ b/io/fakes/engine/engine.go
@@ -200,12 +200,12 @@
 		id = "0"
 	}
 	wr.Header().Set("X-Request-Id", id)
-	an := &response{en: en, rq: rq, wr: wr, fa: fa, nonce: nonce, tokens: tokens, prompt: prompt, hit: hit}
-	an.resume, _ = strconv.Atoi(rq.Header.Get("X-Resume-Position"))
+	re := &response{en: en, rq: rq, wr: wr, fa: fa, nonce: nonce, tokens: tokens, prompt: prompt, hit: hit}
+	re.resume, _ = strconv.Atoi(rq.Header.Get("X-Resume-Position"))
 	if in.Stream {
-		an.writeStream()
+		re.writeStream()
 	} else {
-		an.writeWhole()
+		re.writeWhole()
 	}
 	en.store(rq.Header.Get("X-Cache-Key"), prompt+tokens)
 }
@@ -232,84 +232,84 @@
 }
 
 // tokenText returns the text of token n of the response, counted from 0.
-func (an *response) tokenText(n int) string {
+func (re *response) tokenText(n int) string {
 	if n == 0 {
-		return an.nonce
+		return re.nonce
 	}
 	return fmt.Sprintf(" w%d", n)
 }
 
 // generate waits for token n. It returns false if the caller disconnected or a fault aborts the
 // response.
-func (an *response) generate(n int) bool {
-	if an.fa.CutAfter > 0 && n == an.fa.CutAfter {
+func (re *response) generate(n int) bool {
+	if re.fa.CutAfter > 0 && n == re.fa.CutAfter {
 		return false
 	}
-	if an.fa.StallAfter > 0 && n == an.fa.StallAfter {
-		<-an.rq.Context().Done()
+	if re.fa.StallAfter > 0 && n == re.fa.StallAfter {
+		<-re.rq.Context().Done()
 	}
-	an.en.sleep(an.rq, an.en.stepTime())
-	if an.fa.CrashOn != "" && n == an.fa.CrashAt && strings.HasPrefix(an.nonce, an.fa.CrashOn) {
-		an.en.Crash()
+	re.en.sleep(re.rq, re.en.stepTime())
+	if re.fa.CrashOn != "" && n == re.fa.CrashAt && strings.HasPrefix(re.nonce, re.fa.CrashOn) {
+		re.en.Crash()
 		return false
 	}
-	if an.rq.Context().Err() != nil {
+	if re.rq.Context().Err() != nil {
 		return false
 	}
-	an.en.tokenDone()
+	re.en.tokenDone()
 	return true
 }
 
-func (an *response) writeStream() {
-	an.wr.Header().Set("Content-Type", "text/event-stream")
-	flush := http.NewResponseController(an.wr)
+func (re *response) writeStream() {
+	re.wr.Header().Set("Content-Type", "text/event-stream")
+	flush := http.NewResponseController(re.wr)
 	var all strings.Builder
-	for n := range an.tokens {
-		if n < an.resume {
-			all.WriteString(an.tokenText(n))
+	for n := range re.tokens {
+		if n < re.resume {
+			all.WriteString(re.tokenText(n))
 			continue
 		}
-		if !an.generate(n) {
+		if !re.generate(n) {
 			panic(http.ErrAbortHandler)
 		}
-		all.WriteString(an.tokenText(n))
-		text, _ := json.Marshal(an.tokenText(n))
-		fmt.Fprintf(an.wr, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%s}}]}\n\n", text)
+		all.WriteString(re.tokenText(n))
+		text, _ := json.Marshal(re.tokenText(n))
+		fmt.Fprintf(re.wr, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%s}}]}\n\n", text)
 		_ = flush.Flush()
 	}
-	fmt.Fprintf(an.wr, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[],\"usage\":%s}\n\n", an.usage())
-	an.recordSent(all.String())
-	fmt.Fprint(an.wr, "data: [DONE]\n\n")
+	fmt.Fprintf(re.wr, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[],\"usage\":%s}\n\n", re.usage())
+	re.recordSent(all.String())
+	fmt.Fprint(re.wr, "data: [DONE]\n\n")
 	_ = flush.Flush()
 }
 
-func (an *response) writeWhole() {
+func (re *response) writeWhole() {
 	var all strings.Builder
-	for n := range an.tokens {
-		if !an.generate(n) {
+	for n := range re.tokens {
+		if !re.generate(n) {
 			panic(http.ErrAbortHandler)
 		}
-		all.WriteString(an.tokenText(n))
+		all.WriteString(re.tokenText(n))
 	}
 	text, _ := json.Marshal(all.String())
-	an.recordSent(all.String())
-	an.wr.Header().Set("Content-Type", "application/json")
-	fmt.Fprintf(an.wr, `{"object":"chat.completion","model":%q,"choices":[{"index":0,"message":{"role":"assistant","content":%s},"finish_reason":"stop"}],"usage":%s}`,
-		an.en.Model, text, an.usage())
+	re.recordSent(all.String())
+	re.wr.Header().Set("Content-Type", "application/json")
+	fmt.Fprintf(re.wr, `{"object":"chat.completion","model":%q,"choices":[{"index":0,"message":{"role":"assistant","content":%s},"finish_reason":"stop"}],"usage":%s}`,
+		re.en.Model, text, re.usage())
 }
 
-func (an *response) usage() string {
+func (re *response) usage() string {
 	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}`,
-		an.prompt, an.tokens, an.prompt+an.tokens, an.hit)
+		re.prompt, re.tokens, re.prompt+re.tokens, re.hit)
 }
 
-func (an *response) recordSent(answer string) {
-	if an.en.Audit != nil {
-		an.en.Audit.RecordSent(an.nonce, answer)
+func (re *response) recordSent(answer string) {
+	if re.en.Audit != nil {
+		re.en.Audit.RecordSent(re.nonce, answer)
 	}
-	an.en.mu.Lock()
-	an.en.stats.Whole++
-	an.en.mu.Unlock()
+	re.en.mu.Lock()
+	re.en.stats.Whole++
+	re.en.mu.Unlock()
 }
 
 func (en *Engine) sleep(rq *http.Request, d time.Duration) {
--- a/io/fakes/inmem/net.go
+++ b/io/fakes/inmem/net.go
@@ -44,14 +44,14 @@
 var errUnreachable = errors.New("inmem: no way to the peer")
 
 // SetPartition cuts the connection between two members in both directions, or restores it.
-func (ne *Net) SetPartition(one, two core.VMID, broken bool) {
+func (ne *Net) SetPartition(one, two core.VMID, cut bool) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
 	if ne.partitions == nil {
 		ne.partitions = map[[2]core.VMID]bool{}
 	}
-	ne.partitions[[2]core.VMID{one, two}] = broken
-	ne.partitions[[2]core.VMID{two, one}] = broken
+	ne.partitions[[2]core.VMID{one, two}] = cut
+	ne.partitions[[2]core.VMID{two, one}] = cut
 }
 
 // SetReplyLoss sets the fraction of calls that run but whose replies are lost.
@@ -118,8 +118,8 @@
 
 // Serve runs a call on another member. The outcome is unknown if the reply is lost, or if that
 // member dies or is partitioned from this one while the call runs.
-func (po memberPeers) Serve(ctx context.Context, to core.VMID, ca *core.Call, si core.Sink) (*core.Report, error) {
-	me, err := po.net.reach(ctx, po.from, to)
+func (mp memberPeers) Serve(ctx context.Context, to core.VMID, ca *core.Call, si core.Sink) (*core.Report, error) {
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil || me.Agent == nil {
 		return nil, &core.Refusal{
 			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errUnreachable.Error(),
@@ -129,7 +129,7 @@
 	defer cancel()
 	defer context.AfterFunc(me.ctx, cancel)()
 	rep, err := me.Agent.Serve(ctx, ca, &liveSink{sink: si, member: me})
-	if me.dead() || po.net.replyLost(po.from, to) {
+	if me.dead() || mp.net.replyLost(mp.from, to) {
 		return nil, &core.Refusal{
 			Outcome: core.Unknown, Reason: core.ReasonPeerLost, Step: "serve", Peer: string(to), Detail: "the answer was lost",
 		}
@@ -144,16 +144,16 @@
 }
 
 // Send implements core.Sink.
-func (dy *liveSink) Send(pa *core.Part) error {
-	if dy.member.dead() {
+func (ls *liveSink) Send(pa *core.Part) error {
+	if ls.member.dead() {
 		return errUnreachable
 	}
-	return dy.sink.Send(pa)
+	return ls.sink.Send(pa)
 }
 
 // Exchange exchanges digests with another member.
-func (po memberPeers) Exchange(ctx context.Context, to core.VMID, di *core.Digest) (*core.Digest, error) {
-	me, err := po.net.reach(ctx, po.from, to)
+func (mp memberPeers) Exchange(ctx context.Context, to core.VMID, di *core.Digest) (*core.Digest, error) {
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil {
 		return nil, err
 	}
@@ -161,8 +161,8 @@
 }
 
 // Claim sends a claim to another member's claim writer.
-func (po memberPeers) Claim(ctx context.Context, to core.VMID, cl *core.Claim) (*core.ClaimReply, error) {
-	me, err := po.net.reach(ctx, po.from, to)
+func (mp memberPeers) Claim(ctx context.Context, to core.VMID, cl *core.Claim) (*core.ClaimReply, error) {
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil || me.ClaimWriter == nil {
 		return nil, errUnreachable
 	}
@@ -170,14 +170,14 @@
 }
 
 // Fetch fetches configuration changes from another member.
-func (po memberPeers) Fetch(ctx context.Context, to core.VMID, since core.Revision) (*core.Changes, error) {
-	me, err := po.net.reach(ctx, po.from, to)
+func (mp memberPeers) Fetch(ctx context.Context, to core.VMID, since core.Revision) (*core.Changes, error) {
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil {
 		return nil, err
 	}
 	ch, err := me.Log.ChangesSince(since)
 	if err == nil {
-		po.net.addFetched(ch)
+		mp.net.addFetched(ch)
 	}
 	return ch, err
 }
@@ -202,8 +202,8 @@
 }
 
 // UpdatePlacements sends placements to the agent of another member.
-func (po memberPeers) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
-	me, err := po.net.reach(ctx, po.from, to)
+func (mp memberPeers) UpdatePlacements(ctx context.Context, to core.VMID, pls []core.Placement) error {
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil || me.Agent == nil {
 		return errUnreachable
 	}
@@ -212,20 +212,20 @@
 }
 
 // NotifyCrash sends a crash notice to the router of another member.
-func (po memberPeers) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
-	me, err := po.net.reach(ctx, po.from, to)
+func (mp memberPeers) NotifyCrash(ctx context.Context, to core.VMID, no *core.CrashNotice) error {
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil || me.Tracker == nil {
 		return errUnreachable
 	}
-	me.Tracker.ApplyNotice(time.Now(), string(po.from), *no)
+	me.Tracker.ApplyNotice(time.Now(), string(mp.from), *no)
 	return nil
 }
 
 // Order sends an order to the agent of another member.
-func (po memberPeers) Order(ctx context.Context, to core.VMID, or *core.Order) error {
+func (mp memberPeers) Order(ctx context.Context, to core.VMID, or *core.Order) error {
 	ctx = context.WithoutCancel(ctx)
-	_ = po.net.Clock.Sleep(ctx, po.net.orderDelay(po.from))
-	me, err := po.net.reach(ctx, po.from, to)
+	_ = mp.net.Clock.Sleep(ctx, mp.net.orderDelay(mp.from))
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil || me.Executor == nil {
 		return &core.Refusal{
 			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errUnreachable.Error(),
@@ -235,8 +235,8 @@
 }
 
 // Inspect returns the states of the endpoints of another member.
-func (po memberPeers) Inspect(ctx context.Context, to core.VMID) ([]core.EndpointState, error) {
-	me, err := po.net.reach(ctx, po.from, to)
+func (mp memberPeers) Inspect(ctx context.Context, to core.VMID) ([]core.EndpointState, error) {
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil || me.Executor == nil {
 		return nil, errUnreachable
 	}
@@ -244,8 +244,8 @@
 }
 
 // HandOver transfers a context to the agent of another member.
-func (po memberPeers) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
-	me, err := po.net.reach(ctx, po.from, to)
+func (mp memberPeers) HandOver(ctx context.Context, to core.VMID, ha *core.Handover, rd io.Reader) error {
+	me, err := mp.net.reach(ctx, mp.from, to)
 	if err != nil || me.Agent == nil {
 		return &core.Refusal{
 			Outcome: core.NotRun, Reason: core.ReasonUnreachable, Step: "dial", Peer: string(to), Detail: errUnreachable.Error(),
--- a/io/fakes/inmem/ownkv.go
+++ b/io/fakes/inmem/ownkv.go
@@ -16,65 +16,65 @@
 
 var _ core.KV = memberKV{}
 
-func (ow memberKV) check() error {
-	if ow.member.KVUnreachable.Load() || ow.member.dead() {
+func (mk memberKV) check() error {
+	if mk.member.KVUnreachable.Load() || mk.member.dead() {
 		return kvsrv.ErrUnavailable
 	}
 	return nil
 }
 
 // Get implements core.KV.
-func (ow memberKV) Get(ctx context.Context, key string) (core.Entry, error) {
-	if err := ow.check(); err != nil {
+func (mk memberKV) Get(ctx context.Context, key string) (core.Entry, error) {
+	if err := mk.check(); err != nil {
 		return core.Entry{}, err
 	}
-	return ow.kv.Get(ctx, key)
+	return mk.kv.Get(ctx, key)
 }
 
 // Put implements core.KV.
-func (ow memberKV) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
-	if err := ow.check(); err != nil {
+func (mk memberKV) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
+	if err := mk.check(); err != nil {
 		return 0, err
 	}
-	return ow.kv.Put(ctx, key, value, expect, le)
+	return mk.kv.Put(ctx, key, value, expect, le)
 }
 
 // Delete implements core.KV.
-func (ow memberKV) Delete(ctx context.Context, key string, expect core.Version) error {
-	if err := ow.check(); err != nil {
+func (mk memberKV) Delete(ctx context.Context, key string, expect core.Version) error {
+	if err := mk.check(); err != nil {
 		return err
 	}
-	return ow.kv.Delete(ctx, key, expect)
+	return mk.kv.Delete(ctx, key, expect)
 }
 
 // List implements core.KV.
-func (ow memberKV) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
-	if err := ow.check(); err != nil {
+func (mk memberKV) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
+	if err := mk.check(); err != nil {
 		return nil, err
 	}
-	return ow.kv.List(ctx, from, to, limit)
+	return mk.kv.List(ctx, from, to, limit)
 }
 
 // Grant implements core.KV.
-func (ow memberKV) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
-	if err := ow.check(); err != nil {
+func (mk memberKV) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
+	if err := mk.check(); err != nil {
 		return 0, err
 	}
-	return ow.kv.Grant(ctx, ttl)
+	return mk.kv.Grant(ctx, ttl)
 }
 
 // Renew implements core.KV.
-func (ow memberKV) Renew(ctx context.Context, le core.LeaseID) error {
-	if err := ow.check(); err != nil {
+func (mk memberKV) Renew(ctx context.Context, le core.LeaseID) error {
+	if err := mk.check(); err != nil {
 		return err
 	}
-	return ow.kv.Renew(ctx, le)
+	return mk.kv.Renew(ctx, le)
 }
 
 // Watch implements core.KV.
-func (ow memberKV) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
-	if err := ow.check(); err != nil {
+func (mk memberKV) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
+	if err := mk.check(); err != nil {
 		return core.Entry{}, err
 	}
-	return ow.kv.Watch(ctx, prefix, after)
+	return mk.kv.Watch(ctx, prefix, after)
 }
--- a/io/fakes/kvsrv/kvsrv.go
+++ b/io/fakes/kvsrv/kvsrv.go
@@ -319,12 +319,12 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.expireLeases()
-	held, live := st.leases[le]
+	current, live := st.leases[le]
 	if !live {
 		return core.ErrLeaseExpired
 	}
-	held.until = st.Clock.Now().Add(held.ttl)
-	st.leases[le] = held
+	current.until = st.Clock.Now().Add(current.ttl)
+	st.leases[le] = current
 	return nil
 }
 
