--- a/io/demo/fleet.go
+++ b/io/demo/fleet.go
@@ -79,7 +79,7 @@
 	kvAddr       string
 	vmsAddr      string
 	running      sync.WaitGroup
-	mu           sync.Mutex // guards failed
+	mu           sync.Mutex // guards err
 	err          error
 	closers      []func()
 	vms          []core.VM
--- a/io/fakes/inmem/fleet.go
+++ b/io/fakes/inmem/fleet.go
@@ -107,7 +107,8 @@
 	// Zones is the number of zones; 0 means 3.
 	Zones int
 	// VMListLag is the delay with which every second member sees changes of the VM list.
-	VMListLag     time.Duration
+	VMListLag time.Duration
+	// ControlBudget is how many bytes of control messages a member may send per second; 0 means 2500.
 	ControlBudget core.Bytes
 
 	Clock       clock.Wall
