--- a/io/capac/rows.go
+++ b/io/capac/rows.go
@@ -1,6 +1,6 @@
 package capac
 
-// Size and load of the target fleet, as its users stated them.
+// Size and load of the target fleet, as its users stated them in letter 1.
 const (
 	routers           = 420
 	agents            = 2100
