--- a/io/entry/caller.go
+++ b/io/entry/caller.go
@@ -13,32 +13,29 @@
 )
 
 const (
-	// defaultIdleTimeout and defaultHead are how long callers' connections may be idle, and
-	// how long a head may take, while no configuration says otherwise: what common
-	// HTTP servers allow.
+	// Timeouts that apply until the first configuration arrives; common HTTP servers use the same.
 	defaultIdleTimeout   = time.Minute
 	defaultHeaderTimeout = 10 * time.Second
-	// idleSentinel and headMark stand for the configuration's times in the server's
-	// settings, which cannot be changed while it runs. They are far longer than any
-	// real time, and a day apart, so that each can be told from the other.
+	// idleSentinel and headerSentinel stand in the server's settings, which cannot be changed while
+	// it runs, for the timeouts of the configuration. They are far longer than any real timeout, and
+	// a day apart so that they can be told from each other.
 	idleSentinel   = 24 * time.Hour
 	headerSentinel = 48 * time.Hour
-	// sentinelSpan is how far a deadline may be from its mark and still be told: the
-	// server sets it a moment after it has worked it out.
+	// sentinelSpan is how far below its sentinel a deadline is still recognized: the server sets
+	// the deadline a moment after it has computed it.
 	sentinelSpan = time.Hour
-	// callerAckTimeout is how long bytes to a caller may stay unacknowledged. A caller
-	// without power would otherwise hold an endpoint's place.
+	// callerAckTimeout is how long bytes sent to a caller may stay unacknowledged. Without it a
+	// caller that has lost power would hold an endpoint's slot.
 	callerAckTimeout = 4 * time.Second
 )
 
-// callerTimeouts are the times that callers have, in ns. They change with the
-// configuration.
+// callerTimeouts are the timeouts of callers' connections, in ns. The configuration sets them.
 type callerTimeouts struct {
 	idle   atomic.Int64
 	header atomic.Int64
 }
 
-// set takes the configuration's times; 0 stands for the default.
+// set applies the configuration's timeouts; 0 stands for the default.
 func (ct *callerTimeouts) set(idle, header time.Duration) {
 	if idle <= 0 {
 		idle = defaultIdleTimeout
@@ -56,7 +53,6 @@
 	timeouts *callerTimeouts
 }
 
-// Accept waits for a connection.
 func (cl *callerListener) Accept() (net.Conn, error) {
 	co, err := cl.Listener.Accept()
 	if err != nil {
@@ -67,24 +63,24 @@
 		return co, nil
 	}
 	if rc, err := tcp.SyscallConn(); err == nil {
-		_ = conns.SetUserTimeout(rc, callerAckTimeout) // without it the connection only ends later
+		_ = conns.SetUserTimeout(rc, callerAckTimeout) // if this fails, a dead connection is just found later
 	}
 	return &callerConn{TCPConn: tcp, timeouts: cl.timeouts}, nil
 }
 
 // callerConn is a caller's connection.
 //
-// A request that arrives just as its idle connection is closed must not be passed
-// on: the caller could not be answered, and would not know whether it ran. The idle
-// time is therefore a read deadline, which loses against bytes that have arrived;
-// and where the server closes the connection, at its end, the relay finds that with
-// ended before it sends anything.
+// A request that arrives just as its idle connection is closed must not be forwarded: the
+// response could not be delivered, and the caller would not know whether the request ran. The idle
+// timeout is therefore a read deadline, which has no effect on bytes that have already arrived. If
+// the server closes the connection because it shuts down, the relay finds that out with closed
+// before it forwards anything.
 type callerConn struct {
 	*net.TCPConn
 	timeouts *callerTimeouts
 }
 
-// SetReadDeadline puts the configuration's times in the place of their marks.
+// SetReadDeadline replaces a sentinel by the timeout that the configuration sets.
 func (cc *callerConn) SetReadDeadline(at time.Time) error {
 	switch left := time.Until(at); {
 	case left > headerSentinel-sentinelSpan:
@@ -95,15 +91,15 @@
 	return cc.TCPConn.SetReadDeadline(at)
 }
 
-// closed tells whether the connection was closed, on this side or by the caller.
+// closed reports whether the connection was closed, by this side or by the caller.
 //
-// The server notices a caller's close only once it reads again, which it does beside the
-// request; a router with more to do than it can would pass requests on by the hundred
-// whose callers gave up while they waited to be read. So the socket is asked.
+// The server notices that a caller has closed the connection only when it reads again, in a
+// goroutine beside the one that handles the request. An overloaded router would forward hundreds
+// of requests whose callers gave up before they were read. So closed asks the socket itself.
 func (cc *callerConn) closed() bool {
 	rc, err := cc.SyscallConn()
 	if err != nil {
-		return true // it is closed on this side
+		return true // closed by this side
 	}
 	left := false
 	err = rc.Control(func(fd uintptr) {
@@ -111,10 +107,10 @@
 		count, _, rerr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		left = count == 0 && rerr == nil || errors.Is(rerr, syscall.ECONNRESET)
 	})
-	return left || err != nil // Control fails on a connection that is closed on this side
+	return left || err != nil // Control fails if this side has closed the connection
 }
 
-// callerContext lets the relay see whether the connection has ended.
+// callerContext lets the relay find out whether the connection was closed.
 func callerContext(ctx context.Context, co net.Conn) context.Context {
 	if cc, ok := co.(*callerConn); ok {
 		return relay.WithConnClosed(ctx, cc.closed)
--- a/io/entry/caller_test.go
+++ b/io/entry/caller_test.go
@@ -9,8 +9,8 @@
 	"almondrill/io/entry"
 )
 
-// connPair is both ends of a caller's connection: the caller's, and the router's with what
-// tells that it has ended.
+// connPair returns both ends of a caller's connection, the caller's first, and a function that
+// reports whether the router's end is closed.
 func connPair(t *testing.T) (*net.TCPConn, net.Conn, func() bool) {
 	t.Helper()
 	li, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,27 +34,27 @@
 	return caller.(*net.TCPConn), own, closed
 }
 
-// A router has more to do than it can. Callers give up and close their connections while
-// their requests wait for a processor; the server has not read the close yet. Sent on
-// all the same, by the hundred, these keep endpoints busy for nobody.
+// Guards against an overloaded router that forwards requests of callers who have closed their
+// connections while the requests waited for a processor: the server has not read the close yet, and
+// hundreds of such requests would keep endpoints busy for nobody.
 func TestClosedCallerIsDetectedBeforeTheServerReads(t *testing.T) {
 	caller, own, ended := connPair(t)
 	if ended() {
-		t.Error("ended though both sides are open")
+		t.Error("closed though both sides are open")
 	}
 	_, _ = caller.Write([]byte("next"))
 	time.Sleep(20 * time.Millisecond)
 	if ended() {
-		t.Error("ended though the caller has sent more")
+		t.Error("closed though the caller has sent more data")
 	}
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(own, got); err != nil || string(got) != "next" {
-		t.Errorf("looking took away bytes: %q %v", got, err)
+		t.Errorf("the check consumed bytes: %q %v", got, err)
 	}
 	_ = caller.Close()
 	time.Sleep(20 * time.Millisecond)
 	if !ended() {
-		t.Error("not ended though the caller has closed")
+		t.Error("not closed though the caller has closed the connection")
 	}
 }
 
@@ -64,7 +64,7 @@
 	_ = caller.Close()
 	time.Sleep(20 * time.Millisecond)
 	if !ended() {
-		t.Error("not ended though the caller has reset the connection")
+		t.Error("not closed though the caller has reset the connection")
 	}
 }
 
@@ -72,6 +72,6 @@
 	_, own, ended := connPair(t)
 	_ = own.Close()
 	if !ended() {
-		t.Error("not ended though this side has closed")
+		t.Error("not closed though this side has closed the connection")
 	}
 }
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -1,23 +1,23 @@
-// Package entry assembles and runs a router that calls endpoints itself, without
-// agents.
+// Package entry assembles and runs a router that sends requests to endpoints itself, without
+// agents in between.
 //
 // # Concepts
 //
-// A Process takes callers on one address and the balancer's question on another,
-// follows the platform's store, and exchanges news with its peers. What differs
-// between platforms comes in as a Platform.
+// A Process serves callers on one address and the load balancer's health checks on another,
+// watches the platform's store, and exchanges updates with its peers. All that differs between
+// platforms is provided by a Platform.
 //
 // # Invariants
 //
-//   - It says that it is ready only while it knows a configuration and endpoints,
-//     and is not about to stop.
-//   - Asked to stop, it first says so, then closes the callers' address, then lets
-//     work in progress end within DrainTimeout.
+//   - The process reports itself ready only while it has a configuration and endpoints, and is
+//     not shutting down.
+//   - On a request to stop, it first reports itself not ready, then closes the callers' address,
+//     then gives requests in progress until DrainTimeout to finish.
 //   - A configuration is replaced only by one of a higher version.
 //
 // # Usage
 //
-//	pr := &entry.Process{Settings: se, Platform: pf, Logs: lo, Ring: ri}
+//	pr := &entry.Process{Settings: se, Platform: pf, Logs: lo}
 //	err := pr.Run(ctx)
 package entry
 
@@ -49,47 +49,46 @@
 	"almondrill/io/watch"
 )
 
-// Platform is what a router needs of the platform it runs on.
+// Platform is what a router needs of the platform that it runs on.
 type Platform interface {
 	core.ChangeFeed
 	core.QuarantineStore
-	// Decode tells what an item of the store means: a *route.Document, a
-	// place.Endpoint, a Departure, an Unusable, an Evacuation, a PeerAddr, a core.Quarantine,
-	// a Released, or nil if nothing.
+	// Decode converts an item of the store to a *route.Document, place.Endpoint, Deregistration,
+	// InvalidRegistration, Evacuation, PeerAddr, core.Quarantine or QuarantineRemoval. It returns
+	// nil for an item that does not concern routers.
 	Decode(it core.Item) (any, error)
 	Dialect() relay.Dialect
-	// Outranks tells that an item of the store is later than another of its key, whatever their
-	// versions.
+	// Outranks reports whether an item of the store is newer than another of the same key by its
+	// content, whatever their versions in the store.
 	Outranks(it, other core.Item) bool
-	// ReadyPath is where the balancer asks whether to send callers.
+	// ReadyPath is the path of the load balancer's health check.
 	ReadyPath() string
-	// Announce keeps the address for peers in the store until ctx ends.
+	// Announce keeps this router's peer address in the store until ctx ends.
 	Announce(ctx context.Context, self core.VMID, addr string, log *zap.Logger)
 }
 
-// Deregistration tells that an endpoint's registration is gone.
+// Deregistration reports that an endpoint's registration was removed.
 type Deregistration struct{ ID core.EndpointID }
 
-// InvalidRegistration tells that an endpoint's registration is there, but names no endpoint that
-// could be used, and why.
+// InvalidRegistration reports that an endpoint has a registration that cannot be used, and why.
 type InvalidRegistration struct {
 	ID  core.EndpointID
 	Err error
 }
 
-// Evacuation tells that a zone's endpoints are to get nothing new, or that this has ended.
+// Evacuation reports that endpoints of a zone must get no new requests, or that this has ended.
 type Evacuation struct {
 	Zone  core.Zone
 	Ended bool
 }
 
-// QuarantineRemoval tells that the entry of a quarantined request is gone.
+// QuarantineRemoval reports that the entry of a quarantined request was removed.
 type QuarantineRemoval struct {
 	Request core.Fingerprint
 	Rev     core.Version
 }
 
-// PeerAddr is the address of a peer.
+// PeerAddr is the address of a peer router.
 type PeerAddr string
 
 // Process is one router. Set the exported fields before Run.
@@ -97,7 +96,7 @@
 	Settings *conf.RelaySettings
 	Platform Platform
 	Logs     *logs.Logs
-	// Dropped tells how many log lines were dropped.
+	// Dropped returns the number of log lines that were dropped.
 	Dropped func() int64
 	// Reload reads the settings again; nil if they cannot change.
 	Reload func() (*conf.RelaySettings, error)
@@ -121,15 +120,15 @@
 	app          atomic.Pointer[kratos.App]
 }
 
-// bufferShare is the part of the process's memory that bodies and answers may take.
+// bufferShare is the share of the process's memory that buffered requests and responses may take.
 const bufferShare = 0.25
 
-// evacuationWindow is how long after its acceptance an evacuation may be obeyed.
+// evacuationWindow is how long after its acceptance an evacuation may take to be in force.
 func (pr *Process) evacuationWindow() time.Duration {
 	return time.Duration(pr.Settings.EvacuateMs) * time.Millisecond
 }
 
-// Run runs the process until it is told to stop by a signal or by ctx.
+// Run runs the process until a signal or the end of ctx stops it.
 func (pr *Process) Run(ctx context.Context) error {
 	pr.Build()
 	pr.log.Info("Started.", zap.String("Name", string(pr.Settings.Name)), zap.String("Zone", string(pr.Settings.Zone)),
@@ -142,7 +141,7 @@
 	} {
 		go func() {
 			if err := loop(control); err != nil && control.Err() == nil {
-				pr.log.Error("A part of the process ended.", logs.ErrorFields(err)...)
+				pr.log.Error("A background task of the process failed.", logs.ErrorFields(err)...)
 			}
 		}()
 	}
@@ -152,10 +151,10 @@
 	return err
 }
 
-// Peers are the other routers that this one knows; valid after Build.
+// Peers returns the group of peer routers. It is valid after Build.
 func (pr *Process) Peers() *gossip.Group { return pr.peers }
 
-// Build makes the parts. Run calls it, unless it was called before.
+// Build creates the parts of the process. Run calls it unless it was called before.
 func (pr *Process) Build() {
 	if pr.log != nil {
 		return
@@ -197,30 +196,30 @@
 	pr.publishStats()
 }
 
-// probe tells whether a connection to an endpoint can be made; known is false for one that is gone.
+// probe reports whether a connection to an endpoint can be made; known is false for an endpoint
+// that was removed.
 func (pr *Process) probe(ctx context.Context, endpoint uint64) (reached, known bool) {
 	addr, known := pr.placer.AddrOf(endpoint)
 	return known && pr.pool.Connect(ctx, addr) == nil, known
 }
 
-// addSeeds makes the routers known that the settings name. Their port for peers is
-// the own one.
+// addSeeds adds the peers that the settings name as seeds. Their peer port is that of this router.
 func (pr *Process) addSeeds() {
 	_, port, err := net.SplitHostPort(pr.Settings.PeersAddr)
 	if err != nil {
-		return // the settings were checked
+		return // cannot happen: the settings were validated
 	}
 	for _, addr := range pr.Settings.Seeds {
 		host, _, err := net.SplitHostPort(addr)
 		if err != nil {
-			pr.log.Warn("A seed is no address.", zap.String("Seed", addr))
+			pr.log.Warn("Seed is not a valid address.", zap.String("Seed", addr))
 			continue
 		}
 		pr.peers.Add(net.JoinHostPort(host, port))
 	}
 }
 
-// publishStats makes the counters read what other parts hold.
+// publishStats registers the counters whose values other parts hold.
 func (pr *Process) publishStats() {
 	pr.latency.Publish(pr.Stats)
 	pr.Stats.SetFunc(stats.ConfigRevision, func() int64 { return int64(pr.configVersion()) })
@@ -236,7 +235,7 @@
 	}
 }
 
-// boolCount is a condition as a counter.
+// boolCount converts a condition to a counter value.
 func boolCount(is bool) int64 {
 	if is {
 		return 1
@@ -252,8 +251,8 @@
 	return 0
 }
 
-// servingEndpoints is how many endpoints may get work. One that registered for a pool which the
-// configuration does not name serves nobody.
+// servingEndpoints counts the endpoints that may get requests. An endpoint that registered for a
+// pool which the configuration does not name is not counted.
 func (pr *Process) servingEndpoints() int {
 	ta := pr.relay.Table()
 	if ta == nil {
@@ -262,11 +261,11 @@
 	return pr.placer.Serving(func(id core.PoolID) bool { return ta.Pool(id) != nil })
 }
 
-// announceCheckInterval is how often a router looks whether it is to be found through the store. It
-// is long enough to have heard of the peers that are.
+// announceCheckInterval is how often a router checks whether it should announce itself in the
+// store. It is long enough to learn of the peers that are announced already.
 const announceCheckInterval = time.Second
 
-// announce makes this router known in the store once it is among those that should be.
+// announce announces this router in the store once the peer group decides that it should.
 func (pr *Process) announce(ctx context.Context) error {
 	tick := time.NewTicker(announceCheckInterval)
 	defer tick.Stop()
@@ -281,7 +280,7 @@
 	return nil
 }
 
-// idleCheckInterval is how often idle connections are looked at; their limits are seconds.
+// idleCheckInterval is how often idle connections are checked; their timeouts are seconds.
 const idleCheckInterval = 250 * time.Millisecond
 
 // closeIdleConns closes connections to endpoints that were idle for too long.
@@ -298,7 +297,7 @@
 	}
 }
 
-// readyz answers the balancer.
+// readyz handles the load balancer's health check.
 func (pr *Process) readyz(wr http.ResponseWriter, _ *http.Request) {
 	switch {
 	case pr.shuttingDown.Load():
--- a/io/entry/export_test.go
+++ b/io/entry/export_test.go
@@ -8,16 +8,16 @@
 	"almondrill/core/place"
 )
 
-// WrapCallerConn makes a connection one of a caller's, and returns what tells that it has ended.
+// WrapCallerConn wraps a connection as a caller's, and returns its closed method.
 func WrapCallerConn(co net.Conn) (net.Conn, func() bool) {
 	cc := &callerConn{TCPConn: co.(*net.TCPConn), timeouts: &callerTimeouts{}}
 	return cc, cc.closed
 }
 
-// ApplyItem takes an item that is new to the mirror.
+// ApplyItem applies an item that is new to the mirror.
 func (pr *Process) ApplyItem(it core.Item) { pr.view.applyItem(it) }
 
-// Endpoints is how many are known, of whichever pools.
+// Endpoints counts the known endpoints of all pools.
 func (pr *Process) Endpoints() int { return pr.placer.Serving(func(core.PoolID) bool { return true }) }
 
 // Pick chooses an endpoint of the pool.
@@ -25,7 +25,7 @@
 	return pr.placer.Pick(time.Now(), &place.Request{Pool: pool})
 }
 
-// Interrupted tells that an attempt broke off.
+// Interrupted reports that an attempt was interrupted.
 func (pr *Process) Interrupted(en core.EndpointRef, began time.Time, fp core.Fingerprint) {
 	pr.crashes.Interrupted(en, began, fp)
 }
--- a/io/entry/reload.go
+++ b/io/entry/reload.go
@@ -14,10 +14,10 @@
 	"almondrill/io/conf"
 )
 
-// reloadInterval is how often the settings file is looked at without a signal.
+// reloadInterval is how often the settings file is checked for changes without a signal.
 const reloadInterval = 2 * time.Second
 
-// watchSettings takes changed settings in force, on SIGHUP and without.
+// watchSettings applies changed settings, on SIGHUP and on periodic checks.
 func (pr *Process) watchSettings(ctx context.Context) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -39,7 +39,7 @@
 		}
 		se, err := pr.Reload()
 		if err != nil {
-			pr.log.Warn("Cannot use the changed settings; those in force stay.", zap.Error(err))
+			pr.log.Warn("Changed settings are invalid; keeping those in force.", zap.Error(err))
 			continue
 		}
 		if same := reflect.DeepEqual(last, *se); same && !signalled {
@@ -50,7 +50,7 @@
 	}
 }
 
-// applySettings takes in force what may change while the process runs.
+// applySettings applies the settings that may change while the process runs.
 func (pr *Process) applySettings(se *conf.RelaySettings) {
 	pr.placer.SetBounds(se.CapFactor, place.ColdLimits{Overrun: se.ColdOverrun, Slack: se.ColdSlack})
 	pr.budget.SetBound(se.RetryRatio, se.RetrySlack)
--- a/io/entry/serve.go
+++ b/io/entry/serve.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// maxHeaderBytes bounds what is read of a head, whatever the configuration says,
-	// so that heads cannot use up the memory; net/http's own default.
+	// maxHeaderBytes bounds the size of a header that is read, whatever the configuration says, so
+	// that headers cannot exhaust the memory. It is the default of net/http.
 	maxHeaderBytes = http.DefaultMaxHeaderBytes
-	// headerTimeout bounds the reading of a head on the addresses that callers do
-	// not use. The configuration sets it on theirs.
+	// headerTimeout bounds the time to read a header on the addresses that callers do not use; on
+	// theirs the configuration sets it.
 	headerTimeout = 10 * time.Second
-	// stopMargin is the time between cutting what is still in progress and the end
-	// of DrainTimeout, for closing and the last log lines.
+	// stopMargin is the time between closing the connections that are still in use and the end of
+	// DrainTimeout; it is for cleanup and the last log lines.
 	stopMargin = 400 * time.Millisecond
 )
 
@@ -50,8 +50,8 @@
 	return app.Run()
 }
 
-// Stop leaves gracefully, as a signal would; Run returns once it is done. It does
-// nothing before the process serves.
+// Stop shuts down gracefully, as a signal does; Run returns once it is done. It does nothing
+// before the process serves.
 func (pr *Process) Stop() error {
 	app := pr.app.Load()
 	if app == nil {
@@ -103,12 +103,12 @@
 	return servers, nil
 }
 
-// metrics serves the counters as text. Its port is the same on all VMs and may be taken
-// on one: callers are served all the same.
+// metrics serves the counters as text. Its port is the same on all VMs and may be in use on one
+// of them: that must not keep the router from serving callers.
 func (pr *Process) metrics() []transport.Server {
 	li, err := listen("MetricsAddr", pr.Settings.MetricsAddr)
 	if err != nil {
-		pr.log.Warn("Serves no metrics.", logs.ErrorFields(err)...)
+		pr.log.Warn("Cannot serve metrics.", logs.ErrorFields(err)...)
 		return nil
 	}
 	mux := http.NewServeMux()
@@ -116,8 +116,8 @@
 	return []transport.Server{pr.httpServer(li, mux)}
 }
 
-// httpServer makes one of kratos' HTTP servers with the handler in place of its
-// router, which redirects paths that it finds unclean. The endpoint is given, or the
+// httpServer creates a kratos HTTP server that uses the handler in place of kratos' own router,
+// which redirects paths that are not clean. It passes the endpoint's URL explicitly because the
 // library would list the machine's interfaces to find it.
 func (pr *Process) httpServer(li net.Listener, handler http.Handler) *kratoshttp.Server {
 	own := &url.URL{Scheme: "http", Host: li.Addr().String()}
@@ -129,8 +129,8 @@
 	return srv
 }
 
-// beforeStop lets the balancer see that this router leaves, while it goes on
-// serving: callers keep their connections until an answer tells them to close.
+// beforeStop reports the router as not ready while it goes on serving, so that the load balancer
+// stops sending callers. Callers keep their connections until a response tells them to close.
 func (pr *Process) beforeStop(context.Context) error {
 	pr.shuttingDown.Store(true)
 	pr.log.Info("Leaving.", zap.Duration("Delay", pr.Settings.DrainDelay), zap.Int64("InProgress", pr.Stats.Value("InProgress")))
--- a/io/entry/view.go
+++ b/io/entry/view.go
@@ -13,35 +13,36 @@
 	"almondrill/io/stats"
 )
 
-// view puts what the store says in force.
+// view applies changes of the store to the parts of the process.
 type view struct {
 	pr  *Process
 	log *zap.Logger
 
 	mu         sync.Mutex                       // guards all below
-	missing    map[core.EndpointID]bool         // doubted, as their registrations are missing
-	registered map[core.EndpointID]registration // endpoints with a usable registration
-	unusable   map[core.EndpointID]string
-	// byAddr is which endpoint has an address, by the latest registration that names it.
+	missing    map[core.EndpointID]bool         // registration is missing, removal not confirmed yet
+	registered map[core.EndpointID]registration // endpoints with a valid registration
+	unusable   map[core.EndpointID]string       // why a registration is invalid
+	// byAddr is the endpoint that has an address, by the latest registration that names it.
 	byAddr map[string]core.EndpointID
-	// removed are the last starts of endpoints whose registrations are gone, and when they went;
-	// returned are those that are back though the store may have brought them from a copy.
+	// removed are the last incarnations of endpoints whose registrations are gone, and when they
+	// went; reappeared are endpoints that are registered again, perhaps only because the store was
+	// restored from a backup.
 	removed     map[core.EndpointID]removal
 	reappeared  map[core.EndpointID]place.Endpoint
 	evacuations evacuations
 }
 
-// removal is a start of an endpoint that is gone.
+// removal records which incarnation of an endpoint was removed, and when.
 type removal struct {
 	incarnation core.Incarnation
 	at          time.Time
 }
 
-// removalTTL is how long departures are remembered: a copy from which the store comes back is some
+// removalTTL is how long removals are remembered: a backup that the store is restored from is some
 // seconds old.
 const removalTTL = time.Minute
 
-// registration is what was last registered of an endpoint, and in which version of the store.
+// registration is the last registration of an endpoint, and its version in the store.
 type registration struct {
 	addr        string
 	incarnation core.Incarnation
@@ -49,19 +50,19 @@
 	rev         core.Version
 }
 
-// equalIgnoringRev tells that two registrations differ in their versions at most.
+// equalIgnoringRev reports whether two registrations differ at most in their versions.
 func (kn registration) equalIgnoringRev(other registration) bool {
 	other.rev = kn.rev
 	return kn == other
 }
 
-// applyItem takes an item that is new to the mirror. A fault that the item brings about must not
-// end the process: all routers read the same store, and read it again when they start.
+// applyItem applies an item that is new to the mirror. A panic that the item causes must not end
+// the process: all routers read the same store, and read it again whenever they start.
 func (vi *view) applyItem(it core.Item) {
 	defer vi.recoverPanic(it)
 	decoded, err := vi.pr.Platform.Decode(it)
 	if err != nil {
-		vi.log.Warn("Cannot use an item of the store; what is in force stays.", zap.String("Key", it.Key),
+		vi.log.Warn("Cannot decode an item of the store; keeping what is in force.", zap.String("Key", it.Key),
 			zap.Stringer("Rev", it.Rev), zap.Error(err))
 		return
 	}
@@ -85,32 +86,32 @@
 	}
 }
 
-// recoverPanic tells of a fault and lets the process go on; what was in force before the item stays.
+// recoverPanic logs a panic and lets the process go on; what was in force before the item stays.
 func (vi *view) recoverPanic(it core.Item) {
 	fault := recover()
 	if fault == nil {
 		return
 	}
 	vi.pr.Stats.Add(stats.ItemsFailed, 1)
-	vi.log.Error("An item of the store brought a fault about; it is passed over.", zap.String("Key", it.Key),
+	vi.log.Error("An item of the store caused a panic; it is skipped.", zap.String("Key", it.Key),
 		zap.Stringer("Rev", it.Rev), zap.Any("Fault", fault), zap.StackSkip("Stack", 1))
 }
 
-// adoptConfig puts a configuration in force unless a later one is.
+// adoptConfig puts a configuration in force unless a later one is in force.
 func (vi *view) adoptConfig(doc *route.Document, rev core.Version) {
 	old := vi.pr.relay.Table()
 	if old != nil && doc.Version == old.Version {
-		vi.log.Info("The configuration in force was written again.", zap.Uint64("Version", uint64(doc.Version)), zap.Stringer("Rev", rev))
+		vi.log.Info("The configuration in force was rewritten unchanged.", zap.Uint64("Version", uint64(doc.Version)), zap.Stringer("Rev", rev))
 		return
 	}
 	if old != nil && doc.Version < old.Version {
-		vi.log.Warn("Refused an older configuration.", zap.Uint64("Version", uint64(doc.Version)),
+		vi.log.Warn("Rejected an older configuration.", zap.Uint64("Version", uint64(doc.Version)),
 			zap.Uint64("InForce", uint64(old.Version)), zap.Stringer("Rev", rev))
 		return
 	}
 	ta, err := route.Compile(doc)
 	if err != nil {
-		vi.log.Warn("Refused a configuration; the one in force stays.", zap.Stringer("Rev", rev), zap.Error(err))
+		vi.log.Warn("Rejected an invalid configuration; keeping the one in force.", zap.Stringer("Rev", rev), zap.Error(err))
 		return
 	}
 	vi.pr.relay.SetTable(ta)
@@ -128,7 +129,7 @@
 		zap.String("Addr", ep.Addr), zap.Bool("Draining", ep.Draining), zap.Stringer("Rev", rev),
 	}
 	if !vi.pr.placer.Register(time.Now(), ep) {
-		vi.log.Info("Ignored the registration of an endpoint's earlier start.", fields...)
+		vi.log.Info("Ignored the registration of an earlier incarnation of an endpoint.", fields...)
 		return
 	}
 	delete(vi.missing, ep.ID)
@@ -142,19 +143,20 @@
 	vi.registered[ep.ID] = now
 	switch {
 	case was && old.incarnation != ep.Incarnation:
-		// Its process is gone, and with it the connections: those left idle would only
-		// show that once a request is lost on them.
+		// Its process is gone, and so are the connections to it: an idle one would only be
+		// found broken when a request is lost on it.
 		vi.pr.pool.CloseIdle(old.addr)
 		vi.reportReplaced(ep.ID, old)
-		vi.log.Info("Endpoint started again.", fields...)
+		vi.log.Info("Endpoint restarted.", fields...)
 	case !was || !old.equalIgnoringRev(now):
 		vi.log.Info("Endpoint.", fields...)
 	}
 	vi.claimAddress(&ep, rev)
 }
 
-// suspectReappeared doubts an endpoint that had departed and is back, while the store may have brought it
-// from a copy. It is taken for one that is there once the doubt ends, unless it departs again.
+// suspectReappeared marks an endpoint as missing that was removed and is registered again, while
+// the store may have brought the registration back from a backup. The endpoint is used once the
+// grace period ends, unless it is removed again.
 func (vi *view) suspectReappeared(ep place.Endpoint) {
 	gone, was := vi.removed[ep.ID]
 	delete(vi.removed, ep.ID)
@@ -162,7 +164,7 @@
 	if !was || gone.incarnation != ep.Incarnation || !vi.pr.reader.RecentlyRestored() {
 		return
 	}
-	vi.log.Info("Endpoint is back, perhaps from a copy of the store.", zap.String("Endpoint", string(ep.ID)))
+	vi.log.Info("Endpoint is registered again, perhaps by a restore of the store from a backup.", zap.String("Endpoint", string(ep.ID)))
 	if vi.reappeared == nil {
 		vi.reappeared = map[core.EndpointID]place.Endpoint{}
 	}
@@ -170,7 +172,7 @@
 	vi.pr.placer.MarkMissing(ep.ID)
 }
 
-// rememberRemoval remembers that an endpoint is gone.
+// rememberRemoval records that an endpoint was removed.
 func (vi *view) rememberRemoval(id core.EndpointID) {
 	now := time.Now()
 	for other, gone := range vi.removed {
@@ -184,9 +186,10 @@
 	vi.removed[id] = removal{vi.registered[id].incarnation, now}
 }
 
-// claimAddress notes an endpoint's address. An address belongs to one process: of two endpoints that are
-// registered with it, the later one is there, and the other is gone though its registration has not
-// lapsed yet. A registration for a pool that the configuration does not name displaces nobody.
+// claimAddress records an endpoint's address. An address belongs to one process: if two endpoints
+// are registered with it, the later one exists and the other is gone, although its registration
+// has not expired yet. A registration for a pool that the configuration does not name displaces no
+// other endpoint.
 func (vi *view) claimAddress(ep *place.Endpoint, rev core.Version) {
 	if vi.byAddr == nil {
 		vi.byAddr = map[string]core.EndpointID{}
@@ -206,32 +209,32 @@
 	}
 }
 
-// poolConfigured tells whether the configuration names the pool, or none is in force yet.
+// poolConfigured reports whether the configuration names the pool, or none is in force yet.
 func (vi *view) poolConfigured(pool core.PoolID) bool {
 	ta := vi.pr.relay.Table()
 	return ta == nil || ta.Pool(pool) != nil
 }
 
-// displace takes an endpoint whose address another has for gone. It is only doubted: its registration
-// is removed or renewed by itself.
+// displace handles an endpoint whose address belongs to another one now. The endpoint is only
+// marked as missing: its registration will be removed or renewed.
 func (vi *view) displace(id, by core.EndpointID) {
 	addr := vi.registered[id].addr
 	vi.pr.placer.MarkMissing(id)
 	vi.pr.pool.CloseIdle(addr)
 	vi.pr.Stats.Add(stats.EndpointsDisplaced, 1)
-	vi.log.Info("Another endpoint has this one's address.", zap.String("Endpoint", string(id)), zap.String("Other", string(by)),
+	vi.log.Info("Endpoint's address was taken by another endpoint.", zap.String("Endpoint", string(id)), zap.String("Other", string(by)),
 		zap.String("Addr", addr), zap.Duration("Age", vi.pr.reader.Age()))
 }
 
-// reportReplaced tells that the process of an endpoint is gone, if that was not planned.
+// reportReplaced reports that the process of an endpoint is gone, unless the endpoint was draining.
 func (vi *view) reportReplaced(id core.EndpointID, old registration) {
 	if !old.draining {
 		vi.pr.crashes.Replaced(core.EndpointRef{ID: id, Addr: old.addr, Hash: place.EndpointHash(id, old.incarnation)})
 	}
 }
 
-// rejectRegistration takes an endpoint out whose registration cannot be used any more: unlike one
-// that is missing, it did not lapse while the store was away.
+// rejectRegistration removes an endpoint whose registration cannot be used any more: unlike a
+// missing one, it did not expire during an outage of the store.
 func (vi *view) rejectRegistration(un *InvalidRegistration, rev core.Version) {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
@@ -241,25 +244,24 @@
 		vi.unusable = map[core.EndpointID]string{}
 	}
 	if vi.unusable[un.ID] == reason {
-		return // written again as it was
+		return // rewritten with the same fault
 	}
 	vi.unusable[un.ID] = reason
 	vi.pr.Stats.Add(stats.RegistrationsUnusable, 1)
-	vi.log.Warn("Cannot use a registration; it names no endpoint.", zap.String("Endpoint", string(un.ID)),
+	vi.log.Warn("Rejected an invalid registration of an endpoint.", zap.String("Endpoint", string(un.ID)),
 		zap.Stringer("Rev", rev), zap.Error(un.Err))
 }
 
 const (
-	// propagationMargin covers the time from an endpoint's return in the store to its
-	// arrival here.
+	// propagationMargin covers the time from an endpoint's return in the store to its arrival here.
 	propagationMargin = 300 * time.Millisecond
 	settleInterval    = 100 * time.Millisecond
 )
 
-// deregister takes an endpoint out whose registration is gone. Registrations lapse
-// while endpoints cannot reach the store; during and right after its outage, one
-// that is missing may be back in a moment, and a whole pool would seem gone. Once
-// the doubt ends, run takes out what has not come back.
+// deregister removes an endpoint whose registration is gone. Registrations expire while endpoints
+// cannot reach the store. During an outage of the store and right after it, a missing endpoint
+// may return in a moment, and a whole pool could seem gone. What has not returned at the end of the
+// grace period is removed by settle.
 func (vi *view) deregister(id core.EndpointID, rev core.Version) {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
@@ -268,7 +270,7 @@
 		return
 	}
 	uncertain := vi.pr.reader.Uncertain()
-	vi.log.Info("Endpoint's registration is gone.", zap.String("Endpoint", string(id)),
+	vi.log.Info("Endpoint was deregistered.", zap.String("Endpoint", string(id)),
 		zap.Stringer("Rev", rev), zap.Bool("Doubted", uncertain))
 	if !uncertain || vi.reappeared[id].ID == id {
 		vi.rememberRemoval(id)
@@ -292,8 +294,8 @@
 	delete(vi.reappeared, id)
 }
 
-// settle ends doubts: it removes endpoints whose registration did not come back, takes those into use
-// that are back and have stayed, and does the same with evacuations.
+// settle ends grace periods: it removes endpoints whose registrations did not return, puts those
+// into use that reappeared and stayed, and settles evacuations likewise.
 func (vi *view) settle(ctx context.Context) error {
 	tick := time.NewTicker(settleInterval)
 	defer tick.Stop()
@@ -313,23 +315,23 @@
 	}
 }
 
-// removeMissing takes out the endpoints whose registrations did not come back.
+// removeMissing removes the endpoints whose registrations did not return.
 func (vi *view) removeMissing() {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
 	for id := range vi.missing {
-		vi.log.Info("Endpoint did not come back.", zap.String("Endpoint", string(id)))
+		vi.log.Info("Endpoint did not return; removed it.", zap.String("Endpoint", string(id)))
 		vi.rememberRemoval(id)
 		vi.remove(id)
 	}
 }
 
-// acceptReappeared takes the endpoints into use that are back and have stayed.
+// acceptReappeared puts the endpoints into use that reappeared and stayed.
 func (vi *view) acceptReappeared() {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
 	for id, ep := range vi.reappeared {
-		vi.log.Info("Endpoint has come back.", zap.String("Endpoint", string(id)))
+		vi.log.Info("Endpoint returned.", zap.String("Endpoint", string(id)))
 		vi.pr.placer.Register(time.Now(), ep)
 		delete(vi.reappeared, id)
 	}
--- a/io/entry/view_test.go
+++ b/io/entry/view_test.go
@@ -18,8 +18,8 @@
 	"almondrill/io/stats"
 )
 
-// faulty is a platform whose decoder has a fault for one item. The others are endpoints at
-// addr, and drain if their value says so.
+// faulty is a platform whose decoder panics for one item. The other items are endpoints at addr,
+// draining if their value says so.
 type faulty struct{ addr string }
 
 func (faulty) List(context.Context, bool, func([]core.Item)) ([]core.Item, core.Version, error) {
@@ -69,8 +69,9 @@
 	return pr
 }
 
-// An endpoint goes silent under a request, which runs out of time, and seconds later another
-// registers at its address: the first has crashed. One that drained before has left.
+// Guards against a crash that is not noticed: an endpoint goes silent during a request, which times
+// out, and seconds later another endpoint registers at its address. If the first was draining
+// before, it was shut down and has not crashed.
 func TestReplacedEndpointCountsAsCrashed(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		addr := local.Listen(t).Addr().String()
@@ -90,9 +91,9 @@
 	}
 }
 
-// Guards against requests that are sent to endpoints which are gone until their registrations lapse:
-// after a part of a pool had crashed and come back at the same addresses under other ids, callers were
-// refused for as long as that takes.
+// Guards against requests that are sent to endpoints which are gone, until their registrations
+// expire: after a part of a pool had crashed and come back at the same addresses under other ids,
+// callers were refused for as long as that takes.
 func TestDisplacedEndpointGetsNoRequests(t *testing.T) {
 	item := func(key string, rev core.Version, value string) core.Item {
 		return core.Item{Key: key, Rev: rev, Value: []byte(value)}
@@ -128,18 +129,18 @@
 	}
 }
 
-// Something writes an item into the store that brings a fault of the decoder about. All
-// routers read it, now and at each start: without a guard all end together, again and again
-// until somebody removes it, and callers find nobody. What else the store has is in force.
+// Guards against an item of the store that makes the decoder panic. All routers read it, now and at
+// each start: without a recover, all would crash together until somebody removes the item. The
+// other items of the store must be applied.
 func TestDecoderPanicDoesNotStopTheRouter(t *testing.T) {
 	pr := newProcess(faulty{"127.0.0.1:1"})
 	for rev, key := range []string{"one", "faulty", "two"} {
 		pr.ApplyItem(core.Item{Key: key, Rev: core.Version(rev + 1)})
 	}
 	if known := pr.Endpoints(); known != 2 {
-		t.Errorf("%d endpoints are known, want 2", known)
+		t.Errorf("%d endpoints known, want 2", known)
 	}
 	if got := pr.Stats.Value(stats.ItemsFailed); got != 1 {
-		t.Errorf("%d items are counted, want 1", got)
+		t.Errorf("%d failed items counted, want 1", got)
 	}
 }
--- a/io/entry/zones.go
+++ b/io/entry/zones.go
@@ -8,21 +8,22 @@
 	"almondrill/core"
 )
 
-// evacuationMargin is the part of EvacuateMs that is not used: for the store's answer on its way,
-// and what is on its way to endpoints.
+// evacuationMargin is the part of EvacuateMs that is reserved for the transit of the store's response
+// and of requests on their way to endpoints.
 const evacuationMargin = 1500 * time.Millisecond
 
-// evacuations are what the store says of evacuations and may not hold, as it came back from a copy. The view's
-// lock guards it.
+// evacuations are the changes of evacuations that may be wrong because the store was restored from
+// a backup. The view's lock guards them.
 type evacuations struct {
 	// ended is when evacuations last ended.
 	ended map[core.Zone]time.Time
-	// missing are those in force that the store does not have, back those that had ended and that it has.
+	// missing are those in force that the store has lost; reappeared are those that had ended and
+	// that the store has again.
 	missing    map[core.Zone]bool
 	reappeared map[core.Zone]seenItem
 }
 
-// seenItem is an item's version and when it was heard of.
+// seenItem is an item's version and when it was received.
 type seenItem struct {
 	rev core.Version
 	at  time.Time
@@ -32,8 +33,8 @@
 	return evacuations{ended: map[core.Zone]time.Time{}, missing: map[core.Zone]bool{}, reappeared: map[core.Zone]seenItem{}}
 }
 
-// applyEvacuation puts the evacuation of a zone in force, or ends it. What a restore of the store took away or
-// brought back is settled once the operator has had time to write it again.
+// applyEvacuation puts the evacuation of a zone in force, or ends it. What a restore of the store
+// removed or brought back is settled after the operator has had time to write it again.
 func (vi *view) applyEvacuation(ev Evacuation, rev core.Version) {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
@@ -43,12 +44,12 @@
 	switch {
 	case ev.Ended && uncertain:
 		vi.evacuations.missing[ev.Zone] = true
-		vi.log.Info("The evacuation of a zone is missing.", fields...)
+		vi.log.Info("The evacuation of a zone is missing in the store; keeping it until the grace period ends.", fields...)
 	case ev.Ended:
 		vi.endEvacuation(ev.Zone)
 	case uncertain && si.at.Sub(vi.evacuations.ended[ev.Zone]) < removalTTL:
 		vi.evacuations.reappeared[ev.Zone] = si
-		vi.log.Info("The evacuation of a zone is back, perhaps from a copy of the store.", fields...)
+		vi.log.Info("The evacuation of a zone reappeared, perhaps by a restore of the store from a backup.", fields...)
 	default:
 		vi.beginEvacuation(ev.Zone, si)
 	}
@@ -58,7 +59,7 @@
 	delete(vi.evacuations.missing, zone)
 	delete(vi.evacuations.reappeared, zone)
 	now, age := time.Now(), vi.pr.reader.Age()
-	// What is believed was confirmed age ago without it, so that it was accepted since.
+	// The view was last confirmed age ago, without the evacuation, which was accepted after that.
 	until := si.at.Add(max(0, vi.pr.evacuationWindow()-evacuationMargin-age))
 	if !vi.pr.placer.Evacuate(now, zone, until) {
 		return
@@ -68,9 +69,9 @@
 		zap.String("Zone", string(zone)), zap.Stringer("Rev", si.rev), zap.Duration("Age", age),
 		zap.Duration("Within", max(0, until.Sub(now))), zap.Int("EndpointsLeft", open),
 	}
-	vi.log.Warn("A zone is evacuated.", fields...)
+	vi.log.Warn("Zone evacuated.", fields...)
 	if open == 0 {
-		vi.log.Error("All endpoints are in evacuated zones; every request is refused.", fields...)
+		vi.log.Error("All endpoints are in evacuated zones; rejecting all requests.", fields...)
 	}
 }
 
@@ -80,12 +81,12 @@
 	now := time.Now()
 	vi.evacuations.ended[zone] = now
 	if vi.pr.placer.Restore(now, zone) {
-		vi.log.Info("The evacuation of a zone has ended.", zap.String("Zone", string(zone)), zap.Duration("Age", vi.pr.reader.Age()))
+		vi.log.Info("Evacuation of a zone ended.", zap.String("Zone", string(zone)), zap.Duration("Age", vi.pr.reader.Age()))
 	}
 }
 
-// settleEvacuations ends the evacuations that were not written again, and puts those in force that are
-// back and have stayed.
+// settleEvacuations ends the evacuations that were not written again, and puts those in force that
+// reappeared and stayed.
 func (vi *view) settleEvacuations() {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
