--- a/core/admit/stats.go
+++ b/core/admit/stats.go
@@ -94,7 +94,7 @@
 	limit := core.Work(ga.limits.LoadFactor*float64(mean)) - wo
 	return &core.Refusal{
 		Outcome: core.NotRun, Reason: core.ReasonLoadCap, Step: "admit", Peer: string(ga.VM),
-		Detail:       "load cap reached: the endpoint's load is at the limit relative to the pool's mean",
+		Detail:       "the endpoint is at its multiple of the pool's mean load",
 		Alternatives: ga.Loads.LessLoaded(max(limit, mean), maxAlternatives, ga.Rand),
 		RetryAfter:   minRetryAfter,
 	}
@@ -103,13 +103,13 @@
 func (ga *Gate) queueFullRefusal(ti *Ticket) *core.Refusal {
 	re := &core.Refusal{
 		Outcome: core.NotRun, Reason: core.ReasonQueueFull, Step: "admit", Peer: string(ga.VM),
-		Detail:       "endpoint queue full",
+		Detail:       "the endpoint's queue is full",
 		Alternatives: ga.Loads.LessLoaded(ga.load, maxAlternatives, ga.Rand),
 		RetryAfter:   ga.retryAfter(),
 	}
 	if float64(ti.account.queuedWork)*ga.activeWeight > float64(ga.queue.work)*ti.account.weight {
 		re.Reason = core.ReasonShareExceeded
-		re.Detail = "endpoint queue full and customer over its share of it"
+		re.Detail = "the queue is full and the customer is over its share of it"
 	}
 	return re
 }
--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -152,7 +152,7 @@
 func (ag *Agent) Serve(ctx context.Context, ca *core.Call, si core.Sink) (*core.Report, error) {
 	known := ca.Key != "" && ag.Keys != nil && ag.Keys.Seen(ca)
 	if !ag.calls.begin(known) {
-		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonDraining, "enter", "the agent is draining")
+		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonDraining, "enter", "the agent is leaving")
 	}
 	defer ag.calls.end()
 	sn := ag.Board.Snapshot()
@@ -163,7 +163,7 @@
 	key := ring.Key(ca.Customer, ca.Pool, ca.Chat)
 	sl, he := ag.chooseSlot(ca.Pool, key)
 	if sl == nil || gr == nil {
-		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonWrongPool, "enter", "the agent has no endpoint in pool "+string(ca.Pool))
+		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonWrongPool, "enter", "no endpoint of pool "+string(ca.Pool))
 	}
 	if !gr.Service && !known {
 		if re := ag.redirect(sn, gr, sl, ca, key, he); re != nil {
@@ -286,9 +286,9 @@
 		sl.gate.Release(ti)
 	}
 	if context.Cause(ctx) == context.DeadlineExceeded {
-		return ag.refuse(core.ReasonDeadline, "queue", "deadline exceeded while waiting for a slot")
+		return ag.refuse(core.ReasonDeadline, "queue", "the deadline passed while waiting for a slot")
 	}
-	return ag.refuse(core.ReasonCallerGone, "queue", "caller disconnected while waiting for a slot")
+	return ag.refuse(core.ReasonCallerGone, "queue", "the caller left while waiting for a slot")
 }
 
 // waitLimit returns a channel that is closed when the ticket's WaitLimit has passed. For a ticket
--- a/core/agent/handover.go
+++ b/core/agent/handover.go
@@ -146,7 +146,7 @@
 	home := ag.nextHome(sn, &he.Placement)
 	ca := ag.cacheOf(he.Endpoint)
 	if home == "" || ca == nil {
-		return 0, ag.refuse(core.ReasonNoEndpoint, "hand on", "no agent to receive the context, or the engine cannot export it")
+		return 0, ag.refuse(core.ReasonNoEndpoint, "hand on", "no agent to hand it to, or an engine that cannot export")
 	}
 	key := ring.Key(he.Placement.Customer, he.Placement.Pool, he.Placement.Chat)
 	rd, wr := io.Pipe()
@@ -188,14 +188,14 @@
 	key := ring.Key(pl.Customer, pl.Pool, pl.Chat)
 	sl, _ := ag.chooseSlot(pl.Pool, key)
 	if sl == nil || ag.cacheOf(sl.ID) == nil {
-		return ag.refuse(core.ReasonWrongPool, "take", "the agent has no engine in pool "+string(pl.Pool)+" that can import contexts")
+		return ag.refuse(core.ReasonWrongPool, "take", "no engine of pool "+string(pl.Pool)+" here that can import")
 	}
 	if ag.Draining() || sl.Paused() {
-		return ag.refuse(core.ReasonDraining, "take", "the agent is draining or its engine is paused")
+		return ag.refuse(core.ReasonDraining, "take", "the agent or its engine is leaving")
 	}
 	if ag.importing.Add(1) > maxConcurrentImports {
 		ag.importing.Add(-1)
-		return ag.refuse(core.ReasonQueueFull, "take", "too many contexts are being imported")
+		return ag.refuse(core.ReasonQueueFull, "take", "other contexts are being taken in")
 	}
 	defer ag.importing.Add(-1)
 	if err := ag.cacheOf(sl.ID).Import(ctx, key, rd); err != nil {
--- a/core/agent/placement.go
+++ b/core/agent/placement.go
@@ -72,7 +72,7 @@
 		return ag.refuseRedirect(vm, "another agent has the chat's context")
 	}
 	if home := ag.home(sn, ca.Pool, key); home != ag.Self && home != ca.StaleHolder && home != "" {
-		return ag.refuseRedirect(home, "another agent is the chat's home")
+		return ag.refuseRedirect(home, "the chat's home is another agent")
 	}
 	return nil
 }
@@ -94,7 +94,7 @@
 	if gain := float64(sl.gate.Load() - there); !fresh || gain <= prefill {
 		return nil
 	}
-	re := ag.refuse(core.ReasonBusyHolder, "place", "prefill on a less loaded endpoint is quicker than waiting for the cached context")
+	re := ag.refuse(core.ReasonBusyHolder, "place", "prefilling elsewhere is quicker than waiting here")
 	re.Alternatives = less
 	return re
 }
--- a/core/claim/keeper.go
+++ b/core/claim/keeper.go
@@ -56,7 +56,7 @@
 )
 
 // ErrUnsettled means that the KV did not confirm in time whether the claim was made.
-var ErrUnsettled = errors.New("the key-value service did not confirm the claim in time")
+var ErrUnsettled = errors.New("the key-value service did not settle the claim in time")
 
 // Hash is the hash that identifies a customer's key in claims.
 func Hash(cu core.CustomerID, key core.IdemKey) core.KeyHash {
--- a/core/claim/keys.go
+++ b/core/claim/keys.go
@@ -156,7 +156,7 @@
 	parts, dropped := re.parts, re.responseDropped
 	ke.mu.Unlock()
 	if dropped {
-		return ke.refuse(core.Unknown, core.ReasonAnswerGone, "the call completed, but its response is no longer kept")
+		return ke.refuse(core.Unknown, core.ReasonAnswerGone, "it ran to its end, but the answer is no longer kept")
 	}
 	for ix := range parts {
 		pa := parts[ix]
@@ -213,7 +213,7 @@
 	}
 	if rp.Holder.VM == ke.Self.VM || !ke.Alive(rp.Holder) {
 		return ke.refuse(core.Unknown, core.ReasonClaimLost,
-			"the key was claimed by a process that no longer runs: "+string(rp.Holder.VM))
+			"the key was claimed by a process that is gone: "+string(rp.Holder.VM))
 	}
 	re := ke.refuse(core.NotRun, core.ReasonHeldElsewhere, "the key was claimed by another agent")
 	re.Alternatives = []core.VMID{rp.Holder.VM}
--- a/core/decl/check.go
+++ b/core/decl/check.go
@@ -149,7 +149,7 @@
 		return
 	}
 	if other, taken := ch.keyOwners[sum]; taken {
-		ch.add(object, "KeyHashes", "contains a key that customer %s has too", other)
+		ch.add(object, "KeyHashes", "holds a key that customer %s has too", other)
 	}
 	ch.keyOwners[sum] = owner
 }
--- a/core/order/control.go
+++ b/core/order/control.go
@@ -377,7 +377,7 @@
 func (co *Controller) issueOne(ctx context.Context, as *Assignment) *core.Refusal {
 	fence, held := co.Lease.Fence()
 	if !held || fence != co.fence {
-		return &core.Refusal{Outcome: core.NotRun, Reason: core.ReasonOldFence, Step: "give", Peer: string(as.VM), Detail: "the lease has expired"}
+		return &core.Refusal{Outcome: core.NotRun, Reason: core.ReasonOldFence, Step: "give", Peer: string(as.VM), Detail: "the lease has lapsed"}
 	}
 	as.Fence = fence
 	ctx, cancel := context.WithTimeout(ctx, issueTimeout)
--- a/core/order/executor.go
+++ b/core/order/executor.go
@@ -57,7 +57,7 @@
 	}
 	re := ex.checkFence(ctx, or)
 	if re == nil && !ep.acceptFence(or.Fence) {
-		re = ex.refuse(core.ReasonOldFence, "a later holder of the lease has issued an order here")
+		re = ex.refuse(core.ReasonOldFence, "a later holder has given an order here")
 	}
 	if re != nil {
 		ep.release(re)
@@ -112,7 +112,7 @@
 		return ex.refuse(core.ReasonOldFence, "the order is from a past holder of the lease")
 	case or.Fence > now:
 		// The holder wrote its number before it issued any order.
-		return ex.refuse(core.ReasonKVDown, "the KV returned older content than the order's issuer had written")
+		return ex.refuse(core.ReasonKVDown, "the KV answers with older content than the order's holder wrote")
 	}
 	return nil
 }
--- a/core/orders.go
+++ b/core/orders.go
@@ -80,7 +80,7 @@
 }
 
 // ErrOrdersUnsupported is returned for an endpoint without an interface for orders.
-var ErrOrdersUnsupported = errors.New("endpoint does not support orders")
+var ErrOrdersUnsupported = errors.New("endpoint takes no orders")
 
 // Orderable is an endpoint that supports orders. Order returns once the engine has completed the
 // order; its error is a *Refusal. Source: the engine's own HTTP protocol.
--- a/core/platform.go
+++ b/core/platform.go
@@ -21,11 +21,11 @@
 // Errors of a KV. After any other error the call may or may not have taken effect.
 var (
 	// ErrNotFound: the entry does not exist.
-	ErrNotFound = errors.New("kv: entry not found")
+	ErrNotFound = errors.New("kv: entry absent")
 	// ErrConflict: the entry's version is not the expected one; nothing was written.
 	ErrConflict = errors.New("kv: version conflict")
 	// ErrLeaseExpired: the lease has expired; nothing was written.
-	ErrLeaseExpired = errors.New("kv: lease expired")
+	ErrLeaseExpired = errors.New("kv: lease gone")
 )
 
 // Entry is a KV entry. Version increases with every write to the store, so it also serves as a
--- a/core/revlog/history.go
+++ b/core/revlog/history.go
@@ -39,7 +39,7 @@
 	}
 	doc, got := past.Document()
 	if got != rev {
-		return nil, fmt.Errorf("revision %d is no longer kept", rev)
+		return nil, fmt.Errorf("revision %d is not kept any more", rev)
 	}
 	return doc, nil
 }
--- a/core/revlog/revlog.go
+++ b/core/revlog/revlog.go
@@ -151,7 +151,7 @@
 		if own == 0 {
 			return nil
 		}
-		return fmt.Errorf("the log lacks revision %d and no snapshot covers it", own+1)
+		return fmt.Errorf("the log misses revision %d and no snapshot covers it", own+1)
 	}
 	newest := snaps[len(snaps)-1]
 	rev, err := snapRevision(newest.Key)
@@ -182,7 +182,7 @@
 			continue
 		}
 		if de.Revision != lo.rev+1 {
-			return fmt.Errorf("gap in the changes: revision %d follows %d", de.Revision, lo.rev)
+			return fmt.Errorf("revision %d follows %d", de.Revision, lo.rev)
 		}
 		doc := lo.doc
 		if doc == nil {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -200,18 +200,18 @@
 	case !strings.HasPrefix(ro.Prefix, "/") || !strings.HasSuffix(ro.Prefix, "/"):
 		return fmt.Sprintf("prefix %q does not begin and end with a slash", ro.Prefix)
 	case ro.Timeout <= 0:
-		return "timeout is not positive"
+		return "has no timeout"
 	case ro.MaxAttempts < 1:
-		return "maximum number of attempts is below 1"
+		return "allows no attempt"
 	case len(ro.Split) == 0:
-		return "has no pool"
+		return "names no pool"
 	}
 	for _, sh := range ro.Split {
 		if ta.pools[sh.Pool] == nil {
-			return fmt.Sprintf("unknown pool %q", sh.Pool)
+			return fmt.Sprintf("names unknown pool %q", sh.Pool)
 		}
 		if !(sh.Weight >= 0) {
-			return fmt.Sprintf("weight of pool %q is %g, must not be negative", sh.Pool, sh.Weight)
+			return fmt.Sprintf("gives pool %q the weight %g", sh.Pool, sh.Weight)
 		}
 	}
 	return ""
--- a/core/router/router.go
+++ b/core/router/router.go
@@ -94,7 +94,7 @@
 	sn := ro.Board.Snapshot()
 	po := sn.Pools[rq.Group.ID]
 	if po == nil || len(po.Members) == 0 {
-		return nil, ro.refuse(core.ReasonNoEndpoint, "pick", string(rq.Group.ID), "the pool has no live endpoints")
+		return nil, ro.refuse(core.ReasonNoEndpoint, "pick", string(rq.Group.ID), "the pool has no live endpoint")
 	}
 	ro.Budget.RecordFirst(rq.Call.Customer)
 	at := &attempts{ro: ro, rq: rq, pool: po, se: pick.Search{
@@ -157,7 +157,7 @@
 	if !as.ended {
 		return rep, &core.Refusal{
 			Outcome: core.Unknown, Reason: core.ReasonCutShort, Step: "serve", Peer: string(as.vm),
-			Detail: "response ended without its end mark",
+			Detail: "the answer stopped before its end mark",
 		}
 	}
 	return rep, nil
@@ -300,7 +300,7 @@
 	lost := *re
 	lost.Outcome = core.Unknown
 	lost.Reason = core.ReasonClaimLost
-	lost.Detail = "the process that claimed the key did not report its outcome: " + re.Detail
+	lost.Detail = "the process that claimed the key did not tell its outcome: " + re.Detail
 	return &lost
 }
 
--- a/io/gossip/fetch.go
+++ b/io/gossip/fetch.go
@@ -66,11 +66,11 @@
 func parseFetchRequest(query url.Values) (fetchRequest, error) {
 	after, err := strconv.ParseUint(query.Get("After"), 10, 64)
 	if err != nil {
-		return fetchRequest{}, fmt.Errorf("invalid revision in After: %q", query.Get("After"))
+		return fetchRequest{}, fmt.Errorf("no revision in After: %q", query.Get("After"))
 	}
 	rev, err := strconv.ParseUint(cmp.Or(query.Get("Rev"), "0"), 10, 64)
 	if err != nil {
-		return fetchRequest{}, fmt.Errorf("invalid revision in Rev: %q", query.Get("Rev"))
+		return fetchRequest{}, fmt.Errorf("no revision in Rev: %q", query.Get("Rev"))
 	}
 	return fetchRequest{core.Version(after), query.Get("Key"), core.Version(rev)}, nil
 }
--- a/io/rpc/client.go
+++ b/io/rpc/client.go
@@ -96,7 +96,7 @@
 func (cl *Client) acquire(vm core.VMID) (*conn, error) {
 	addr := cl.Addr(vm)
 	if addr == "" {
-		return nil, oops.In("dial").With("peer", vm).Errorf("address unknown")
+		return nil, oops.In("dial").With("peer", vm).Errorf("no address known")
 	}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -219,7 +219,7 @@
 	return re
 }
 
-var errNoConnection = errors.New("cannot connect to the agent")
+var errNoConnection = errors.New("the agent takes no connection")
 
 func unreachable(to core.VMID, err error) *core.Refusal {
 	return &core.Refusal{
--- a/io/rpc/convert.go
+++ b/io/rpc/convert.go
@@ -132,7 +132,7 @@
 	return out
 }
 
-var errBadCrashNotice = errors.New("invalid crash notice")
+var errBadCrashNotice = errors.New("this is no note of a request")
 
 func crashNoticeFromWire(now time.Time, in *wire.BlameCall) (*core.CrashNotice, error) {
 	no := &core.CrashNotice{Kind: core.CrashNoticeKind(in.Kind)}
--- a/io/rpc/handover.go
+++ b/io/rpc/handover.go
@@ -72,14 +72,14 @@
 // Hand receives a context.
 func (ha *handler) Hand(st grpc.ClientStreamingServer[wire.HandPart, wire.HandReply]) error {
 	if ha.se.HandOver == nil {
-		return status.Error(codes.Unimplemented, "this process does not hold contexts")
+		return status.Error(codes.Unimplemented, "this process keeps no contexts")
 	}
 	first, err := st.Recv()
 	if err != nil {
 		return err
 	}
 	if first.Placement == nil {
-		return status.Error(codes.InvalidArgument, "the first message has no placement")
+		return status.Error(codes.InvalidArgument, "the first part names no chat")
 	}
 	pl := placementsFromWire(&wire.PlaceCall{Placements: []*wire.Placement{first.Placement}})[0]
 	re := &wire.HandReply{Revision: ha.revision()}
--- a/io/rpc/server.go
+++ b/io/rpc/server.go
@@ -88,7 +88,7 @@
 // refusal. A stream that ends without this message was interrupted in transit.
 func (ha *handler) Serve(in *wire.Call, st grpc.ServerStreamingServer[wire.Part]) error {
 	if ha.se.Serve == nil {
-		return status.Error(codes.Unimplemented, "this process does not run calls")
+		return status.Error(codes.Unimplemented, "this process runs no calls")
 	}
 	ca := callFromWire(in, time.Now())
 	ctx := st.Context()
@@ -134,7 +134,7 @@
 // Exchange exchanges digests.
 func (ha *handler) Exchange(_ context.Context, in *wire.Digest) (*wire.Digest, error) {
 	if ha.se.Exchange == nil {
-		return nil, status.Error(codes.Unimplemented, "this process does not exchange digests")
+		return nil, status.Error(codes.Unimplemented, "this process keeps no loads")
 	}
 	ha.revisionSeen(core.VMID(in.From), in.Revision)
 	return digestToWire(ha.se.Exchange(digestFromWire(in))), nil
@@ -143,7 +143,7 @@
 // Claim decides on a claim of an idempotency key.
 func (ha *handler) Claim(ctx context.Context, in *wire.ClaimCall) (*wire.ClaimReply, error) {
 	if ha.se.Claim == nil {
-		return nil, status.Error(codes.Unimplemented, "this process does not hold claims")
+		return nil, status.Error(codes.Unimplemented, "this process keeps no claims")
 	}
 	ve, err := ha.se.Claim(ctx, claimFromWire(in))
 	if err != nil {
@@ -155,7 +155,7 @@
 // Fetch returns the configuration changes after a revision.
 func (ha *handler) Fetch(_ context.Context, in *wire.FetchCall) (*wire.FetchReply, error) {
 	if ha.se.Fetch == nil {
-		return nil, status.Error(codes.Unimplemented, "this process does not serve configuration")
+		return nil, status.Error(codes.Unimplemented, "this process keeps no configuration")
 	}
 	ch, err := ha.se.Fetch(core.Revision(in.Since))
 	if err != nil {
@@ -167,7 +167,7 @@
 // Place applies placements.
 func (ha *handler) Place(_ context.Context, in *wire.PlaceCall) (*wire.PlaceReply, error) {
 	if ha.se.UpdatePlacements == nil {
-		return nil, status.Error(codes.Unimplemented, "this process does not hold placements")
+		return nil, status.Error(codes.Unimplemented, "this process keeps no chats")
 	}
 	ha.se.UpdatePlacements(placementsFromWire(in))
 	return &wire.PlaceReply{Revision: ha.revision()}, nil
@@ -176,7 +176,7 @@
 // Blame applies a notice about a request that crashes endpoints.
 func (ha *handler) Blame(_ context.Context, in *wire.BlameCall) (*wire.BlameReply, error) {
 	if ha.se.NotifyCrash == nil {
-		return nil, status.Error(codes.Unimplemented, "this process does not track crashes")
+		return nil, status.Error(codes.Unimplemented, "this process sends no requests to agents")
 	}
 	no, err := crashNoticeFromWire(time.Now(), in)
 	if err != nil {
@@ -189,7 +189,7 @@
 // Order accepts or refuses an order.
 func (ha *handler) Order(ctx context.Context, in *wire.OrderCall) (*wire.OrderReply, error) {
 	if ha.se.Order == nil {
-		return nil, status.Error(codes.Unimplemented, "this process does not accept orders")
+		return nil, status.Error(codes.Unimplemented, "this process takes no orders")
 	}
 	re := &wire.OrderReply{Revision: ha.revision()}
 	if err := ha.se.Order(ctx, orderFromWire(in)); err != nil {
