--- a/io/entry/view.go
+++ b/io/entry/view.go
@@ -51,9 +51,9 @@
 }
 
 // equalIgnoringRev reports whether two registrations differ at most in their versions.
-func (kn registration) equalIgnoringRev(other registration) bool {
-	other.rev = kn.rev
-	return kn == other
+func (re registration) equalIgnoringRev(other registration) bool {
+	other.rev = re.rev
+	return re == other
 }
 
 // applyItem applies an item that is new to the mirror. A panic that the item causes must not end
@@ -235,21 +235,21 @@
 
 // rejectRegistration removes an endpoint whose registration cannot be used any more: unlike a
 // missing one, it did not expire during an outage of the store.
-func (vi *view) rejectRegistration(un *InvalidRegistration, rev core.Version) {
+func (vi *view) rejectRegistration(ir *InvalidRegistration, rev core.Version) {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
-	vi.remove(un.ID)
-	reason := un.Err.Error()
+	vi.remove(ir.ID)
+	reason := ir.Err.Error()
 	if vi.unusable == nil {
 		vi.unusable = map[core.EndpointID]string{}
 	}
-	if vi.unusable[un.ID] == reason {
+	if vi.unusable[ir.ID] == reason {
 		return // rewritten with the same fault
 	}
-	vi.unusable[un.ID] = reason
+	vi.unusable[ir.ID] = reason
 	vi.pr.Stats.Add(stats.RegistrationsUnusable, 1)
-	vi.log.Warn("Rejected an invalid registration of an endpoint.", zap.String("Endpoint", string(un.ID)),
-		zap.Stringer("Rev", rev), zap.Error(un.Err))
+	vi.log.Warn("Rejected an invalid registration of an endpoint.", zap.String("Endpoint", string(ir.ID)),
+		zap.Stringer("Rev", rev), zap.Error(ir.Err))
 }
 
 const (
