--- a/core/place/backoff.go
+++ b/core/place/backoff.go
@@ -28,9 +28,9 @@
 	return !known
 }
 
-// rememberBackoff keeps until when an endpoint accepts no requests, so that this also holds after
-// the endpoint is removed and registers again. It applies to a later incarnation too: its
-// registration may arrive late, so that the later incarnation may be the one that asked.
+// rememberBackoff stores the time until which an endpoint accepts no requests, so that it also
+// applies after the endpoint is removed and registers again. It applies to a later incarnation too:
+// its registration may arrive late, so that the later incarnation may be the one that asked.
 func (pl *Placer) rememberBackoff(now time.Time, endpoint core.EndpointID, until time.Time) {
 	for other, ends := range pl.backoffs {
 		if !now.Before(ends) {
--- a/core/place/bench_test.go
+++ b/core/place/bench_test.go
@@ -21,7 +21,7 @@
 	// has some 20 calls in progress.
 	callsPerPeer = 20
 	// chatsPerEndpoint is how many chats return to each endpoint. sharedPrefixes is how many
-	// prefixes all chats share.
+	// distinct prefixes the chats share.
 	chatsPerEndpoint = 20
 	sharedPrefixes   = 12
 )
--- a/core/place/cache.go
+++ b/core/place/cache.go
@@ -71,8 +71,8 @@
 	pi.byPart[part] = rest
 }
 
-// evict evicts the least recently used part of one cache model after the other until the index is
-// within its bound.
+// evict goes round the cache models and evicts the least recently used part of each until the index
+// is within its bound.
 func (pi *partIndex) evict() {
 	for pi.entries > maxIndexEntries {
 		pi.nextEvict = (pi.nextEvict + 1) % len(pi.caches)
@@ -123,7 +123,7 @@
 }
 
 // uncached estimates how many of the prompt's tokens the endpoint has to prefill, given its cache
-// model. It has at least the assumed fraction of all parts but the last.
+// model. The endpoint is taken to have at least the assumed fraction of all parts but the last.
 func (st *state) uncached(parts []Part, prefixes []uint64, assumed float64) core.Tokens {
 	var cached core.Tokens
 	all := promptTokens(parts)
--- a/core/place/choice.go
+++ b/core/place/choice.go
@@ -16,9 +16,10 @@
 	// go, including draining ones.
 	chatKey uint64
 	members []*state
-	// homes are the best homes among usable endpoints, firstHome is the best of all that are not
-	// closed. formerHome is the home before recent changes of the pool: a router whose cache models
-	// lack the prompt finds it there, because its peers sent it there.
+	// homes are the usable endpoints that score highest for the chat, firstHome is the one that
+	// scores highest of all that are not closed. formerHome is the home before recent changes of
+	// the pool: a router whose cache models lack the prompt finds it there, because its peers sent
+	// it there.
 	homes      homes
 	firstHome  *state
 	formerHome *state
--- a/core/place/cold_test.go
+++ b/core/place/cold_test.go
@@ -15,7 +15,7 @@
 const (
 	coldFor   = 3 * time.Second
 	overrun   = 1.5
-	coldSlack = 5.0 // slack
+	coldSlack = 5.0
 )
 
 // coldFleet simulates routers with one pool that share the limits of its cold endpoints, on virtual
--- a/core/place/counts_test.go
+++ b/core/place/counts_test.go
@@ -38,11 +38,11 @@
 }
 
 // Guards against overloaded homes of popular chats: at the start of a stage twice as many
-// spectators ask for some seconds, and a popular runner's chats share a home. Each of many routers
-// sees its own few calls there and those that its peers had most of a second ago, so that the
-// engine gets twice as many calls as it has slots, and they queue while other engines have free
-// slots. Asked before the choice, the router that owns the engine's count reports how many calls it
-// has.
+// spectators send requests for some seconds, and a popular runner's chats share a home. Each of
+// many routers sees its own few calls there and those that its peers had most of a second ago, so
+// that the engine gets twice as many calls as it has slots, and they queue while other engines have
+// free slots. Asked before the choice, the router that owns the engine's count reports how many
+// calls it has.
 func TestPopularHomesAreNotOverrun(t *testing.T) {
 	const (
 		many, rarely = 50, 80 // each receives the others' reports every 0.8 s
--- a/core/place/health.go
+++ b/core/place/health.go
@@ -80,7 +80,7 @@
 }
 
 // looksDead reports whether the endpoint should get no call now: it is down and its next trial is
-// not due, or it has been silent with calls in progress.
+// not due or still in progress, or it has been silent with calls in progress.
 func (he *health) looksDead(now time.Time, calls int) bool {
 	if now.Before(he.downUntil) {
 		return true
@@ -126,8 +126,8 @@
 	return he.failureStreak >= failAllStreak && now.Before(he.failAllUntil)
 }
 
-// recordDuration updates the endpoint's mean duration of calls with one of ms; typical is that of
-// its pool.
+// recordDuration updates the endpoint's mean duration of calls with a call that took ms; typical is
+// the mean of its pool.
 func (he *health) recordDuration(ms, typical float64) {
 	he.callMs = he.typicalMs(typical)
 	he.callMs += durationWeight * (ms - he.callMs)
@@ -143,7 +143,7 @@
 }
 
 // callDuration is the mean duration of a pool's calls. One router of hundreds has few calls or none
-// at each of hundreds of endpoints, so that it expects of each one the mean of all.
+// at each of hundreds of endpoints, so that it assumes the pool's mean for each.
 type callDuration struct {
 	ms    float64
 	count int
--- a/core/place/health_test.go
+++ b/core/place/health_test.go
@@ -12,7 +12,7 @@
 func plainRequest() *place.Request { return &place.Request{Pool: pool, MaxConns: 200} }
 
 // Guards against calls to an endpoint that fails all of them while the other is busy: of two
-// endpoints of a plain service behind 26 routers, one breaks connections off, and the other is
+// endpoints of a plain service behind 26 routers, one closes connections early, and the other is
 // fully loaded and responds after 120 ms.
 func TestEndpointFailingEveryCallIsSkipped(t *testing.T) {
 	const routers, answerSteps = 26, 12
@@ -26,7 +26,7 @@
 	}
 	ra := newRand(4)
 	failed, served := 0, 0
-	for re.step < 500 { // of 10 ms
+	for re.step < 500 { // steps of 10 ms
 		for range 1 + ra.IntN(3) {
 			tk, rf := re.routers[ra.IntN(routers)].Pick(re.now(), plainRequest())
 			switch {
--- a/core/place/load_test.go
+++ b/core/place/load_test.go
@@ -159,9 +159,9 @@
 	}
 }
 
-// Guards against a hot chat that is prefilled on many endpoints: a tenth of the requests are about
-// one thing and fill its home. All routers send the overflow to the same few further homes, which
-// fetch the context from the first.
+// Guards against a hot chat that is prefilled on many endpoints: more than a quarter of the
+// requests are for one chat and fill its home. All routers send the overflow to the same few
+// further homes, which fetch the context from the first.
 func TestHotChatSpreadsToFewEndpoints(t *testing.T) {
 	re := newReplay(4, 12)
 	ra := newRand(4)
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -103,7 +103,7 @@
 const (
 	// Served: the endpoint responded.
 	Served Result = iota
-	// Failed: the endpoint broke off, sent an invalid response, or reported a failure.
+	// Failed: the response ended early or was invalid, or the endpoint reported a failure.
 	Failed
 	// Rejected: the endpoint refused the request without executing it.
 	Rejected
@@ -145,7 +145,7 @@
 	partIndex *partIndex
 	// incarnations holds the latest known incarnation of each endpoint, including removed ones.
 	incarnations incarnations
-	// backoffs holds until when endpoints accept no requests.
+	// backoffs maps endpoints to the time until which they accept no requests.
 	backoffs map[core.EndpointID]time.Time
 	reports  loadReports
 	// moves are this router's placements away from a chat's home; movedChats are those of peers.
--- a/core/place/pool_stats.go
+++ b/core/place/pool_stats.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// failAllRatio is how many times as many endpoints as those that fail all calls a pool must have
-// for these to be skipped.
+// failAllRatio is the least ratio of open endpoints to endpoints that fail all calls at which the
+// latter are skipped.
 const failAllRatio = 2.0
 
 // collectUsable finds the endpoints that may be picked: those with capacity or, if none of these
--- a/core/place/random_test.go
+++ b/core/place/random_test.go
@@ -88,10 +88,10 @@
 	return rq
 }
 
-// Guards against errors in the shortcuts of a choice, which shows on large pools only: among
-// thousands of endpoints the choice skips those that cannot be the cheapest, and checks little of
-// those with nothing to check before. Wrongly skipped endpoints would make chats leave the engines
-// that have them cached, or send calls to an endpoint that is down.
+// Guards against errors in the shortcuts of a choice, which show on large pools only: among
+// thousands of endpoints the choice skips those that cannot be the cheapest, and most checks of
+// those for which an earlier choice found nothing to check. Wrongly skipped endpoints would make
+// chats leave the engines that have them cached, or send calls to an endpoint that is down.
 func TestChoiceMatchesWeighingAll(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wo := newWorld()
--- a/core/place/shutdown_test.go
+++ b/core/place/shutdown_test.go
@@ -8,8 +8,8 @@
 	"almondrill/core/place"
 )
 
-// Guards against calls to an endpoint that was draining, when its earlier registration returns from
-// a copy of the store.
+// Guards against calls to an endpoint that was draining, when its earlier registration returns, as
+// after the store is restored from a backup.
 func TestDrainingSurvivesReregistration(t *testing.T) {
 	for _, at := range []core.Incarnation{0, 100} {
 		pl := newPlacer(1)
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -19,8 +19,8 @@
 	pendingPrefill core.Tokens
 	// missing is set while the registration is missing but may come back.
 	missing bool
-	// sameZone is set if the endpoint is in the router's zone, removed once Remove or a later
-	// incarnation has replaced it.
+	// sameZone is set if the endpoint is in the router's zone, removed once the endpoint was
+	// removed or a later incarnation of it registered.
 	sameZone, removed bool
 	// evacuated is the evacuation of the endpoint's zone, nil if there is none.
 	evacuated *evacuation
@@ -30,9 +30,10 @@
 	// clears it with markChanged.
 	fastPath  bool
 	fullUntil time.Time
-	// backoffUntil is until when the endpoint accepts no requests from this router.
+	// backoffUntil is the time until which the endpoint accepts no requests from this router.
 	backoffUntil time.Time
-	// unreachableUntil is until when the endpoint is assumed to be down, as reported by peers.
+	// unreachableUntil is the time until which the endpoint is assumed to be down, as peers
+	// reported.
 	unreachableUntil time.Time
 	health           health
 	cold             coldState
--- a/core/place/surge_test.go
+++ b/core/place/surge_test.go
@@ -47,7 +47,7 @@
 	seed uint64
 	// prompt returns the prompt of a chat.
 	prompt func(id uint64) []place.Part
-	// counts is asked before each choice; nil if nobody owns the counts.
+	// counts is asked before each choice; nil if the routers share no counts.
 	counts counts
 }
 
--- a/core/place/ticket.go
+++ b/core/place/ticket.go
@@ -60,8 +60,8 @@
 }
 
 // BeforeSend must be called immediately before the call is sent. It returns "", or the reason why
-// the call must not be sent: the endpoint was closed to new calls, or became cold, after it was
-// chosen.
+// the call must not be sent: after it was chosen, the endpoint was closed to new calls, asked for
+// none for a time, or became cold.
 func (tk *Ticket) BeforeSend(now time.Time) core.Reason {
 	tk.pl.mu.Lock()
 	defer tk.pl.mu.Unlock()
--- a/core/place/zone.go
+++ b/core/place/zone.go
@@ -8,17 +8,17 @@
 	"almondrill/core"
 )
 
-// evacuation is the evacuation of a zone: its endpoints get no new calls from until onwards.
-// Between from, when the evacuation became known, and until, chats leave them in the order of their
+// evacuation is the evacuation of a zone. It becomes known at from; once until is reached, the
+// zone's endpoints get no new calls. In between, chats leave them in the order of the chats'
 // hashes, which is the same at all routers.
 type evacuation struct {
 	from, until time.Time
 }
 
-// Evacuate starts the evacuation of a zone: from until onwards, no endpoint there gets new calls,
-// including those that register later. Before that, chats leave the zone one by one, so that not
-// all of them move at once. Calls in progress continue, and cached contexts can still be fetched
-// from there. Evacuate returns false if the zone is under evacuation already.
+// Evacuate starts the evacuation of a zone: once until is reached, no endpoint there gets new
+// calls, including those that register later. Before that, chats leave the zone one by one, so that
+// not all of them move at once. Calls in progress continue, and cached contexts can still be
+// fetched from there. Evacuate returns false if the zone is under evacuation already.
 func (pl *Placer) Evacuate(now time.Time, zone core.Zone, until time.Time) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
