--- a/io/gossip/counts.go
+++ b/io/gossip/counts.go
@@ -31,8 +31,8 @@
 	// askTimeout bounds the wait for an owner: a few transit delays between zones, and the
 	// scheduling delay on a busy peer.
 	askTimeout = 5 * time.Millisecond
-	// ownerBackoff is how long an owner that did not answer in time is not queried again: then one
-	// request a second waits in vain for a lost router.
+	// ownerBackoff is how long an owner that did not answer in time is not queried again, so that
+	// only one request per second waits in vain for a lost router.
 	ownerBackoff = time.Second
 	// unknownCalls stands for a count that the owner does not know.
 	unknownCalls = 1<<32 - 1
@@ -148,7 +148,7 @@
 }
 
 // query sends a query to an owner and waits for the reply. It returns false if none arrives in
-// time, or one timed out within ownerBackoff.
+// time, or if an earlier query to this owner timed out less than ownerBackoff ago.
 func (gr *Group) query(ctx context.Context, owner *candidate, cm *countMessage) (uint32, bool) {
 	if time.Now().UnixNano() < owner.backoff.until.Load() {
 		return 0, false
--- a/io/gossip/counts_test.go
+++ b/io/gossip/counts_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer lost.Close()
-	datagram := []byte("\xa1\x01\x01") // it knows revision 1
+	datagram := []byte("\xa1\x01\x01") // AsOf: revision 1
 	eventually(t, "the owner is alive", func() bool {
 		_, _ = lost.WriteTo(datagram, ro.address(t))
 		return ro.Live() == 1
--- a/io/gossip/crash.go
+++ b/io/gossip/crash.go
@@ -11,7 +11,7 @@
 	"almondrill/core/ring"
 )
 
-// crashOwners is how many routers count the crashes of a request: if one ends, the other still has
+// crashOwners is how many routers count the crashes of a request: if one stops, the other still has
 // the count.
 const crashOwners = 2
 
--- a/io/gossip/crash_test.go
+++ b/io/gossip/crash_test.go
@@ -48,8 +48,8 @@
 	return all, received
 }
 
-// Routers that see a request crash endpoints notify the same two of them, which thus count all
-// crashes, whoever saw them. Conclusions are sent to all.
+// Routers that see a request crash endpoints notify the same two owners, which thus count all
+// crashes, whoever saw them. What the owners conclude is sent to all.
 func TestCrashNotesReachTheSameOwners(t *testing.T) {
 	all, received := meetCollecting(t, 5)
 	now := time.Now()
--- a/io/gossip/down.go
+++ b/io/gossip/down.go
@@ -8,7 +8,7 @@
 )
 
 // When a router cannot connect to an endpoint, the owner of its count tries to connect itself, and
-// repeats it with doubled delays while it cannot. All routers then learn of a lost endpoint from
+// retries with doubling delays until it succeeds. All routers then learn of a lost endpoint from
 // the one request that found it, however few requests each endpoint gets, and need not find it
 // again.
 
@@ -44,7 +44,7 @@
 }
 
 // reconnectLoop tries to connect to an endpoint until it succeeds, the endpoint is gone, or this
-// router ends.
+// router stops.
 func (gr *Group) reconnectLoop(endpoint uint64) {
 	defer gr.counts.endReconnect(endpoint)
 	announced := false
--- a/io/gossip/down_test.go
+++ b/io/gossip/down_test.go
@@ -80,7 +80,7 @@
 			t.Fatal(rf)
 		}
 		if tk.CostMs > 100 {
-			t.Errorf("router %d takes the endpoint for lost: %g ms", ix, tk.CostMs)
+			t.Errorf("router %d treats the endpoint as lost: %g ms", ix, tk.CostMs)
 		}
 		tk.Done(time.Now(), place.Neutral)
 	}
--- a/io/gossip/export_test.go
+++ b/io/gossip/export_test.go
@@ -7,7 +7,8 @@
 	"almondrill/core"
 )
 
-// PickAhead returns the peer to fetch changes after own from, without a fetch; "" if there is none.
+// PickAhead returns the peer from which changes after own would be fetched, without fetching them;
+// "" if there is none.
 func (gr *Group) PickAhead(own core.Version) string {
 	addr, _ := gr.pickAhead(own)
 	gr.mu.Lock()
--- a/io/gossip/fetch.go
+++ b/io/gossip/fetch.go
@@ -83,7 +83,7 @@
 	packed map[fetchRequest][]byte
 }
 
-// maxResponses bounds the cached responses; peers are rarely behind by many different amounts.
+// maxResponses bounds the cached responses; peers that lag are rarely at many different revisions.
 const maxResponses = 16
 
 func (rc *responseCache) get(fr fetchRequest, mi *mirror.Mirror) ([]byte, error) {
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -55,8 +55,9 @@
 	// notify others in turn: 420 routers learn of it within three ticks.
 	updateFanout = 64
 	// startGrace is how long after its start a router leaves watching the store to the announced
-	// routers, which a joining router finds first, unless it is announced itself or has begun to
-	// watch: it knows few peers yet, and where all routers start at once, so do the others.
+	// routers, which a joining router finds first. It does not apply to a router that is announced
+	// itself or already watches. A router that has just started knows few peers yet, and where all
+	// start at once, so do the others.
 	startGrace = 1200 * time.Millisecond
 	// maxAnnouncers is how many routers can be found through the store, whatever the number of
 	// routers: enough for a joining router to reach one, even after the loss of a zone or two.
@@ -75,8 +76,8 @@
 	// deadPeerWindow is how long a dead peer still counts among the routers that share the
 	// endpoints: it may be cut off and still serve callers.
 	deadPeerWindow = 30 * time.Second
-	// isolatedAfter is how long after the last message from any peer a router calls the store
-	// without waiting for others.
+	// isolatedAfter is how long a router may receive no message from any peer before it calls the
+	// store without waiting for others.
 	isolatedAfter = time.Second
 	// maxDatagram keeps a message within one Ethernet frame.
 	maxDatagram = 1400
@@ -138,7 +139,7 @@
 	// or nothing has been received for longer than is usual.
 	Failing() bool
 	Unresponsive() bool
-	// OwnAge is the time since one of this router's calls was answered.
+	// OwnAge is the time since the store last answered a call of this router.
 	OwnAge() time.Duration
 }
 
@@ -240,7 +241,7 @@
 }
 
 // Routers is an upper estimate of the number of routers, this one included: all that are alive,
-// were until recently, or are known but have not been heard yet.
+// were until recently, or are known but have not sent a message yet.
 func (gr *Group) Routers() int {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -259,8 +260,8 @@
 
 func anyMember(*member) bool { return true }
 
-// rank is how many live peers precede this router in the order of their addresses' hashes, of those
-// that include accepts and that are not leaving.
+// rank counts the live peers that are not leaving, that include accepts, and whose address hash is
+// lower than this router's.
 func (gr *Group) rank(include func(me *member) bool) int {
 	own, preceding := xxhash.Sum64String(gr.Addr), 0
 	for addr, me := range gr.members {
--- a/io/gossip/grants.go
+++ b/io/gossip/grants.go
@@ -12,7 +12,8 @@
 
 const (
 	// settleWindow is how long no new peer may have appeared before a Group treats the peers that
-	// it knows as complete: several times what a starting router takes to be heard by its peers.
+	// it knows as complete: several times what it takes until its peers have messages of a starting
+	// router.
 	settleWindow = 2 * time.Second
 	// unknownRetryDelay is how long to wait where no owner could decide, minRetryDelay where an
 	// endpoint's limit is used up.
--- a/io/gossip/grants_test.go
+++ b/io/gossip/grants_test.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// Guards against routers that start while the store accepts no announcements and each believe to be
-// the only one: three of them sent a cold endpoint three times its limit.
+// Guards against routers that start while the store accepts no announcements and each assume that
+// there is no other: three of them sent a cold endpoint three times its limit.
 func TestUnannouncedRouterGetsNoGrant(t *testing.T) {
 	alone := start(t, 0)
 	time.Sleep(2500 * time.Millisecond)
@@ -77,6 +77,6 @@
 	alone.Add(silent.LocalAddr().String())
 	time.Sleep(2500 * time.Millisecond)
 	if granted, _ := alone.Grant(context.Background(), 1, 100); granted {
-		t.Error("granted, though a peer is known that was never heard")
+		t.Error("granted, though a peer is known from which no message has arrived")
 	}
 }
