--- a/core/crash/interruptions.go
+++ b/core/crash/interruptions.go
@@ -27,13 +27,13 @@
 }
 
 const (
-	// refusedWindow is how long before it refused a connection an endpoint may have crashed.
+	// refusedWindow is how long ago an endpoint that refuses a connection may have crashed.
 	refusedWindow = time.Second
 	// crashSpread is the longest time between attempts interrupted by the same crash: all
-	// connections break at once, but a busy router reads some of them later.
+	// connections break at once, but a busy router notices some of them later.
 	crashSpread = 200 * time.Millisecond
-	// replacedWindow is how long before it was replaced an endpoint may have crashed: one that
-	// stops responding is restarted within seconds.
+	// replacedWindow is how long ago an endpoint that is found to be replaced may have crashed: one
+	// that stops responding is restarted within seconds.
 	replacedWindow = 10 * time.Second
 	// maxEndpoints and maxAttempts bound the endpoints with recent interruptions, and the
 	// attempts remembered for each.
@@ -42,7 +42,7 @@
 )
 
 // Attempt is an attempt to run a request at an endpoint. The endpoint is named by the hash of its
-// ID and start.
+// ID and incarnation.
 type Attempt struct {
 	Endpoint  uint64
 	Request   core.Fingerprint
--- a/core/crash/table.go
+++ b/core/crash/table.go
@@ -14,8 +14,8 @@
 	// bystander of the cause is rarely there three times by chance.
 	crashesToQuarantine = 3
 	// totalCrashesToQuarantine is the number of crashes with which a request is quarantined even if
-	// they are attributed to other requests: two causes that run side by side would excuse each
-	// other.
+	// they are attributed to other requests: otherwise two causes that run side by side would clear
+	// each other.
 	totalCrashesToQuarantine = 5
 	// sameCrashWindow is the time within which crashes of one endpoint, reported by several
 	// routers, count as one.
@@ -127,7 +127,7 @@
 	return ef
 }
 
-// ApplyNotice applies a peer's note.
+// ApplyNotice applies a peer's notice.
 func (ta *Table) ApplyNotice(now time.Time, no core.CrashNotice) Effects {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -159,8 +159,8 @@
 	return ef
 }
 
-// clearedBySuccess reports whether this router saw the request succeed after, or shortly before, the
-// first crash in the note.
+// clearedBySuccess reports whether this router saw the request succeed after, or shortly before,
+// the first crash in the notice.
 func (ta *Table) clearedBySuccess(no core.CrashNotice) bool {
 	if len(no.Crashes) == 0 {
 		return false
--- a/core/crash/table_test.go
+++ b/core/crash/table_test.go
@@ -33,7 +33,7 @@
 }
 
 // Three endpoints crash under a request, each seen by another router. The owner of the request
-// receives all three notes and notifies all; a fourth router refuses it from then on.
+// receives all three notices and notifies all; a fourth router refuses it from then on.
 func TestThirdCrashQuarantinesEverywhere(t *testing.T) {
 	routers := []*crash.Table{{}, {}, {}, {}}
 	owner := routers[3]
@@ -126,7 +126,7 @@
 	}
 	objection := witness.ApplyNotice(after(32), ef.ToAll[0])
 	if len(objection.ToAll) != 1 || objection.ToAll[0].Kind != core.NoticeCleared {
-		t.Fatalf("the router that served it does not object: %+v", objection)
+		t.Fatalf("the router that served it does not clear the request: %+v", objection)
 	}
 	owner.ApplyNotice(after(34), objection.ToAll[0])
 	if quarantined(owner, after(35), first) || quarantined(witness, after(35), first) {
