--- a/io/watch/reader.go
+++ b/io/watch/reader.go
@@ -40,8 +40,8 @@
 )
 
 const (
-	// longPollWait is how long the store holds a call for changes when there are none. It trades
-	// the number of calls, which are billed, for how often the mirror is confirmed.
+	// longPollWait is how long the store holds a call for changes when there are none. It balances
+	// the number of calls, which are billed, against how often the mirror is confirmed.
 	longPollWait = 600 * time.Millisecond
 	// answerTimeout is how long a response may take beyond the long poll: a slow store takes 60
 	// times its usual 4 ms, for each page of a listing.
--- a/io/watch/reader_test.go
+++ b/io/watch/reader_test.go
@@ -56,7 +56,7 @@
 // Guards against routers that refuse callers until the last page of a listing has arrived. With
 // thousands of registrations and all routers starting at once, a listing takes seconds, but its
 // first page has the configuration and some endpoints. Until the listing is complete, peers must
-// not be told of a revision.
+// not receive a revision.
 func TestFirstPageIsAppliedImmediately(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
@@ -369,8 +369,8 @@
 }
 
 // Guards against a stale listing that is taken for current: a change that it lacks would never
-// arrive, and peers would be told that the store has just confirmed old state. Changes lost with
-// the history of the store are not in a stale listing either.
+// arrive, and peers would receive a fresh confirmation of old state. Changes lost with the history
+// of the store are not in a stale listing either.
 func TestStaleListingConfirmsNothing(t *testing.T) {
 	st := newStore()
 	st.set("a", false)
