--- a/core/swim/fleet_test.go
+++ b/core/swim/fleet_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// join has a router tell two others how many peers it knows. One that knows more returns some.
+// join has a router send two others the number of peers it knows. One that knows more returns some.
 func (fl *fleet) join(ro *router) {
 	every := joinInterval
 	if fl.now.Sub(ro.started) < startPeriod {
--- a/core/swim/swim.go
+++ b/core/swim/swim.go
@@ -56,15 +56,16 @@
 	rumorRetransmits = 2
 	// directContactWindow is how long a message from a peer itself overrides rumors.
 	directContactWindow = time.Second
-	// isolatedAfter is how long a router may receive no message before it considers itself isolated;
-	// isolatedDeadAfter is when it treats its peers as dead all the same.
+	// isolatedAfter is how long a router may receive no message before it considers itself
+	// isolated; isolatedDeadAfter is after how long without a message it treats its peers as dead
+	// even so.
 	isolatedAfter     = 500 * time.Millisecond
 	isolatedDeadAfter = 3 * time.Second
 	// rejoinPeriods is the interval, in periods, at which a dead peer is probed, so that two
 	// partitions of a fleet rejoin.
 	rejoinPeriods = 5
-	// ForgetAfter is how long a dead peer is remembered, longer than regions are partitioned;
-	// forgetLeftAfter how long one that announced its shutdown.
+	// ForgetAfter is how long a dead peer is remembered, longer than partitions between regions
+	// last; forgetLeftAfter how long one that announced its shutdown.
 	ForgetAfter     = 10 * time.Minute
 	forgetLeftAfter = 30 * time.Second
 )
