--- a/io/relay/crash_test.go
+++ b/io/relay/crash_test.go
@@ -81,7 +81,7 @@
 	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, http.StatusBadGateway, 1)
 	if len(bl.broken) != 1 || len(bl.ended) != 0 {
-		t.Errorf("%d attempts reported as broken, %d as ended; want 1, 0", len(bl.broken), len(bl.ended))
+		t.Errorf("%d attempts reported as interrupted, %d as succeeded; want 1, 0", len(bl.broken), len(bl.ended))
 	}
 }
 
@@ -110,7 +110,7 @@
 			bl.mu.Lock()
 			defer bl.mu.Unlock()
 			if len(bl.ended) != tc.ended || len(bl.broken) != tc.broken || len(bl.refused) != 0 {
-				t.Errorf("%d ended, %d broke, %d refused; want %d, %d, 0", len(bl.ended), len(bl.broken), len(bl.refused), tc.ended, tc.broken)
+				t.Errorf("%d succeeded, %d interrupted, %d refused; want %d, %d, 0", len(bl.ended), len(bl.broken), len(bl.refused), tc.ended, tc.broken)
 			}
 		})
 	}
@@ -132,7 +132,7 @@
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	if len(bl.ended)+len(bl.broken) > 0 {
-		t.Errorf("%d attempts reported as ended, %d as broken; want none", len(bl.ended), len(bl.broken))
+		t.Errorf("%d attempts reported as succeeded, %d as interrupted; want none", len(bl.ended), len(bl.broken))
 	}
 	if got := fl.faults.Load(); got != 0 {
 		t.Errorf("%d panics while it was served", got)
--- a/io/relay/memory.go
+++ b/io/relay/memory.go
@@ -35,8 +35,8 @@
 	// initialBuffer is the initial buffer size, in bytes, whatever the Content-Length: memory is
 	// reserved only as data arrives.
 	initialBuffer = 4 << 10
-	// memoryRetryAfter is when a caller may retry if there was no memory for its body. Slow senders
-	// are cut off after some seconds, which frees memory.
+	// memoryRetryAfter is the retry delay for a caller if there was no memory for its body. Slow
+	// senders are cut off after some seconds, which frees memory.
 	memoryRetryAfter = time.Second
 )
 
--- a/io/relay/refused_test.go
+++ b/io/relay/refused_test.go
@@ -110,9 +110,9 @@
 	first, second ending
 }
 
-// Guards against REFUSED: a caller that is told that its request has not run, although an endpoint has
-// run it, sends it again. Covers every pair of endings at two endpoints, each kind of route, and a
-// router that is shutting down.
+// Guards against a status that tells a caller that its request has not run although an endpoint has
+// run it: the caller would send it again. Covers every pair of endings at two endpoints, each kind
+// of route, and a router that is shutting down.
 func TestNotRunStatusIsTruthful(t *testing.T) {
 	kinds := map[string]route.Route{
 		"once only": {Kind: route.OnceOnly, MaxAttempts: 2}, "idempotent": {Kind: route.Idempotent, MaxAttempts: 2},
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -122,7 +122,8 @@
 	// defaultMaxHead and defaultMaxBody, in bytes, apply if the configuration sets no limits.
 	defaultMaxHead = 64 << 10
 	defaultMaxBody = 4 << 20
-	// noConfigRetryAfter is when callers may retry if the configuration is missing or outdated.
+	// noConfigRetryAfter is the retry delay for callers if the configuration is missing or
+	// outdated.
 	noConfigRetryAfter = 500 * time.Millisecond
 )
 
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -42,7 +42,8 @@
 	tried []core.EndpointID
 	// sends counts how often the request was sent to an endpoint.
 	sends int
-	// countAsked is set if another router reported an endpoint's calls in flight before the choice.
+	// countAsked is set if an endpoint's calls in flight were requested before the choice, and
+	// known.
 	countAsked bool
 	// mayHaveRun is the result of the last attempt that may have run, nil if there is none.
 	mayHaveRun *core.Refusal
@@ -167,9 +168,9 @@
 	return rq.re.Placer.Pick(time.Now(), as)
 }
 
-// refreshCount asks the other routers for the calls in flight of the endpoint that would be chosen,
-// if this router's count is uncertain. If the endpoint turns out to be full, the next one is chosen
-// without another query.
+// refreshCount requests the calls in flight, from all routers, of the endpoint that would be
+// chosen, if the count known here is uncertain. If the endpoint turns out to be full, the next one
+// is chosen without another query.
 func (rq *request) refreshCount(ctx context.Context, as *place.Request) {
 	if rq.re.Counts == nil {
 		return
--- a/io/relay/stall.go
+++ b/io/relay/stall.go
@@ -9,11 +9,11 @@
 	"almondrill/core/route"
 )
 
-// Failure: an endpoint is so busy that an attempt receives nothing for longer than the stall timeout,
-// and no other endpoint has free capacity. If the attempt were abandoned all the same, the request
-// would fail, or its stream would be cut, although the endpoint would have continued. Therefore a
-// stalled attempt is abandoned only once its replacement is reserved: a slot at another, healthy
-// endpoint, and a retry of the budget.
+// Failure: an endpoint is so busy that an attempt receives nothing for longer than the stall
+// timeout, and no other endpoint has free capacity. If the attempt were abandoned all the same, the
+// request would fail, or its stream would be cut, although the endpoint would have continued.
+// Therefore a stalled attempt is abandoned only once its replacement is reserved: a slot at
+// another, healthy endpoint, and one retry from the budget.
 
 const (
 	// attemptShare is the fraction of the remaining time after which an idempotent attempt counts as
