--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -77,7 +77,7 @@
 		}
 	}
 	if len(holders) < 3 {
-		t.Errorf("seed %d: only %d holders in turn; the history is too quiet to test anything", seed, len(holders))
+		t.Errorf("seed %d: only %d holders in turn, too few for the history to test anything", seed, len(holders))
 	}
 }
 
@@ -152,9 +152,9 @@
 	}
 }
 
-// An agent that has just started gets an order while the KV cannot be read or returns content older
-// than the holder's own write, or from a past holder. It must refuse each one with the matching
-// reason.
+// An agent that has just started gets an order from a past holder of the lease, or one while the KV
+// cannot be read or returns content older than the issuer's own write. It must refuse each with the
+// matching reason.
 func TestNoOrderWithoutTheCurrentFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
