--- a/core/claim/chain.go
+++ b/core/claim/chain.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// readSegments reads the segments numbered from up to, not including, to. Expired segments are
-// absent; their claims are older than Window and no longer needed.
+// readSegments reads the segments whose numbers are at least from and less than to. Expired
+// segments are absent; their claims are older than Window and no longer needed.
 func (sh *shard) readSegments(ctx context.Context, from, to uint64) error {
 	for from < to {
 		page, err := sh.writer.KV.List(ctx, segmentKey(sh.shardNo, from), segmentKey(sh.shardNo, to), segmentPage)
--- a/core/claim/history_test.go
+++ b/core/claim/history_test.go
@@ -121,7 +121,7 @@
 
 // A request is sent through two routers at once. Their lists of agents differ, so several writers
 // write the claim of its key while the KV fails and loses responses. Only one claimant may ever be
-// told that it holds the key.
+// granted the key.
 func TestClaimHistoriesAreLinearizable(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	for range *explore {
--- a/core/claim/keeper.go
+++ b/core/claim/keeper.go
@@ -50,7 +50,7 @@
 	maxBatchClaims = 1000
 	// segmentLeaseInterval is how long one lease is used for new segments.
 	segmentLeaseInterval = time.Minute
-	// batchTimeout is how long a failing batch is tried again.
+	// batchTimeout is how long a failing batch is retried.
 	batchTimeout = 2 * time.Second
 	segmentPage  = 400
 )
--- a/core/claim/keys.go
+++ b/core/claim/keys.go
@@ -42,7 +42,7 @@
 type state uint8
 
 const (
-	// open: not executed so far; the next call with the key may be.
+	// open: no call with the key was executed so far; the next one may be.
 	open state = iota
 	running
 	done
