--- a/io/entry/view_test.go
+++ b/io/entry/view_test.go
@@ -102,12 +102,12 @@
 		items []core.Item
 		want  core.EndpointID
 	}{
-		"registered later":         {[]core.Item{item("a", 2, ""), item("b", 3, "")}, "b"},
-		"listed first":             {[]core.Item{item("a", 3, ""), item("b", 2, "")}, "a"},
-		"back at its address":      {[]core.Item{item("a", 2, ""), item("b", 3, ""), item("a", 4, "again")}, "a"},
-		"entry of another writer":  {[]core.Item{item("a", 2, ""), item("b", 3, "other pool")}, "a"},
-		"three after one another":  {[]core.Item{item("a", 2, ""), item("b", 3, ""), item("c", 4, "")}, "c"},
-		"the last to come is left": {[]core.Item{item("a", 2, ""), item("b", 3, ""), {Key: "a", Rev: 4, Deleted: true}}, "b"},
+		"registered later":                  {[]core.Item{item("a", 2, ""), item("b", 3, "")}, "b"},
+		"listed first":                      {[]core.Item{item("a", 3, ""), item("b", 2, "")}, "a"},
+		"registered again at its address":   {[]core.Item{item("a", 2, ""), item("b", 3, ""), item("a", 4, "again")}, "a"},
+		"for a pool that is not configured": {[]core.Item{item("a", 2, ""), item("b", 3, "other pool")}, "a"},
+		"three in succession":               {[]core.Item{item("a", 2, ""), item("b", 3, ""), item("c", 4, "")}, "c"},
+		"the earlier one is deregistered":   {[]core.Item{item("a", 2, ""), item("b", 3, ""), {Key: "a", Rev: 4, Deleted: true}}, "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pr := newProcess(faulty{"127.0.0.1:1"})
