--- a/io/capac/rows.go
+++ b/io/capac/rows.go
@@ -57,15 +57,15 @@
 		TargetSize: 41, Scale: 1.0 / megabyte, Unit: "MB", Budget: 32, Note: "in a fleet of 41; heap and stacks, without the program itself",
 	},
 	{
-		Role: "every process", What: "control messages sent", Mechanism: "core/meter, core/agent/control.go", Prefix: "Control/own/nodes=", Metric: "B/s/node",
+		Role: "every process", What: "control messages sent", Mechanism: "core/bucket, core/agent/control.go", Prefix: "Control/own/nodes=", Metric: "B/s/node",
 		TargetSize: processes, Scale: 1.0 / 1000, Unit: "KB/s", Budget: 5, Note: "held to 2.5 KB/s by the meter whatever the size",
 	},
 	{
-		Role: "every process", What: "configuration sent", Mechanism: "core/spread", Prefix: "Config/own/nodes=", Metric: "config-B/s/node",
+		Role: "every process", What: "configuration sent", Mechanism: "core/syncer", Prefix: "Config/own/nodes=", Metric: "config-B/s/node",
 		TargetSize: processes, Scale: 1.0 / 1000, Unit: "KB/s", Budget: 0.3, Note: "3,800 changes a day; aim 300 B/s",
 	},
 	{
-		Role: "every process", What: "processor time of control", Mechanism: "core/agent/control.go, core/spread", Prefix: "Idle/processes=", Metric: "core-%",
+		Role: "every process", What: "processor time of control", Mechanism: "core/agent/control.go, core/syncer", Prefix: "Idle/processes=", Metric: "core-%",
 		TargetSize: 41, Mean: true, Scale: 1, Unit: "% of a core", Budget: 1.4, Note: "does not grow with the fleet in the range measured; the share of larger digests and views is not measured",
 	},
 	{
@@ -81,7 +81,7 @@
 		Mean: true, Scale: 512.0 / megabyte, Unit: "MB", Note: "bounded at 512 by MaxConnections; both ends of each",
 	},
 	{
-		Role: roleAgent, What: "chats remembered", Mechanism: "core/chats", Prefix: "Memory/chats/count=", Metric: "B/each",
+		Role: roleAgent, What: "chats remembered", Mechanism: "core/ctxdir", Prefix: "Memory/chats/count=", Metric: "B/each",
 		Mean: true, Scale: rememberedChats / float64(agents) / megabyte, Unit: "MB", Budget: 32, Note: "1,048 chats an agent; pointers to chats elsewhere cost less each",
 	},
 	{
@@ -97,7 +97,7 @@
 		Mean: true, Scale: requestsPerSecond * 0.2 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "70,313 claims a keeper",
 	},
 	{
-		Role: roleKV, What: "configuration polls", Mechanism: "core/spread", Prefix: "Config/own/nodes=", Metric: "kv-calls/s",
+		Role: roleKV, What: "configuration polls", Mechanism: "core/syncer", Prefix: "Config/own/nodes=", Metric: "kv-calls/s",
 		TargetSize: processes, Scale: 1, Unit: "calls/s", Budget: 150, Note: "the whole fleet's pace is fixed at 60 a second",
 	},
 	{
@@ -121,11 +121,11 @@
 		TargetSize: 5000, Scale: requestsPerSecond * 0.2 * keyWindow / megabyte, Unit: "MB", Note: "4.5 million claims over the window",
 	},
 	{
-		Role: roleOperator, What: "in force everywhere, p99", Mechanism: "core/spread", Prefix: "InForce/own/nodes=", Suffix: "/kv-lost=false", Metric: "p99-s",
+		Role: roleOperator, What: "in force everywhere, p99", Mechanism: "core/syncer", Prefix: "InForce/own/nodes=", Suffix: "/kv-lost=false", Metric: "p99-s",
 		TargetSize: processes, Scale: 1, Unit: "s", Budget: 9, Note: "a line through 50 to 500 processes; spreading grows with the logarithm, so this is high",
 	},
 	{
-		Role: roleOperator, What: "in force everywhere, KV lost, p99", Mechanism: "core/spread", Prefix: "InForce/own/nodes=", Suffix: "/kv-lost=true", Metric: "p99-s",
+		Role: roleOperator, What: "in force everywhere, KV lost, p99", Mechanism: "core/syncer", Prefix: "InForce/own/nodes=", Suffix: "/kv-lost=true", Metric: "p99-s",
 		TargetSize: processes, Scale: 1, Unit: "s", Budget: 9, Note: "as above",
 	},
 	{
