--- a/core/call.go
+++ b/core/call.go
@@ -131,8 +131,8 @@
 	Draining   bool
 }
 
-// Placement states that an agent holds a chat's context. It is sent to the chat's home endpoint, the
-// one that rendezvous hashing prefers.
+// Placement states that an agent holds a chat's context. It is sent to the chat's home, the agent
+// that rendezvous hashing prefers for the chat, see pick.Home.
 type Placement struct {
 	Customer CustomerID
 	Pool     PoolID
@@ -163,7 +163,7 @@
 	By   Claimant
 }
 
-// KeyHash is the 128-bit hash of a customer and its idempotency key.
+// KeyHash is the 128-bit hash of a customer and an idempotency key of that customer.
 type KeyHash [16]byte
 
 // Claimant is a process that wants to run the call of an idempotency key. A restarted process is a
--- a/core/crash.go
+++ b/core/crash.go
@@ -21,7 +21,8 @@
 	Hash uint64
 }
 
-// Crash is a crash of an endpoint, identified by its hash, while it ran a request.
+// Crash records that an endpoint crashed while it ran a request. Endpoint is the hash that identifies
+// the endpoint.
 type Crash struct {
 	Endpoint uint64
 	At       time.Time
@@ -51,8 +52,8 @@
 // longer sent to any. The entry expires unless it is rewritten.
 type Quarantine struct {
 	Request Fingerprint
-	// Trials is how often the request has been sent since, to test whether it still crashes
-	// endpoints. Crashes is the number of endpoint crashes during the request that the writer
+	// Trials is how often the request has been sent since it was quarantined, to test whether it
+	// still crashes endpoints. Crashes is the number of endpoint crashes during the request that the writer
 	// knew of.
 	Trials  int
 	Crashes int
@@ -74,17 +75,17 @@
 	// Allowed reports whether the request may be sent to an endpoint now, and if not, after what
 	// time to ask again.
 	Allowed(ctx context.Context, fp Fingerprint) (allowed bool, after time.Duration)
-	// Succeeded reports that an attempt succeeded.
+	// Succeeded records that an attempt succeeded.
 	Succeeded(fp Fingerprint)
-	// Crashed reports that an endpoint, identified by its hash, crashed while it ran the request.
+	// Crashed records that an endpoint, identified by its hash, crashed while it ran the request.
 	Crashed(endpoint uint64, fp Fingerprint)
 }
 
 // CrashDetector is a CrashTracker that detects by itself whether endpoints crashed.
 type CrashDetector interface {
 	CrashTracker
-	// Interrupted reports that an attempt begun at the given time was interrupted or timed out.
+	// Interrupted records that an attempt begun at the given time was interrupted or timed out.
 	Interrupted(en EndpointRef, began time.Time, fp Fingerprint)
-	// ConnRefused reports that the endpoint refused a connection.
+	// ConnRefused records that the endpoint refused a connection.
 	ConnRefused(en EndpointRef)
 }
--- a/core/platform.go
+++ b/core/platform.go
@@ -70,8 +70,9 @@
 
 // RateLimiter divides limits in requests per second among all routers.
 type RateLimiter interface {
-	// Grant takes one request from the rate that the endpoint gets from all routers together. It
-	// returns false, and after what time to ask again, if none is left or if no router could decide.
+	// Grant asks for permission to send one request to the endpoint, which all routers together may
+	// send perSecond requests a second. It returns false, and after what time to ask again, if the
+	// limit is used up or no router could decide.
 	Grant(ctx context.Context, endpoint uint64, perSecond int) (granted bool, after time.Duration)
 }
 
