--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -8,7 +8,7 @@
 // have the chat's context? Is the idempotency key known? Does the gate admit the call? Is the key
 // claimed? Only then does the endpoint run the call.
 //
-// The home of a chat is the agent that rendezvous hashing over the pool prefers for it. It keeps a
+// The home of a chat is the agent that rendezvous hashing prefers for it, see pick.Home. It keeps a
 // pointer to the agent whose engine has the chat's context in its cache, if that is another one.
 //
 // # Invariants
@@ -57,8 +57,8 @@
 
 // Keys decides whether a call with an idempotency key may run. It is implemented by core/claim.
 type Keys interface {
-	// Begin returns an Execution if the call may run. Otherwise it returns nil: with a nil error
-	// after it has replayed the recorded response to si, or with a refusal.
+	// Begin returns an Execution if the call may run. If the call has already run, it replays the
+	// recorded response to si and returns nil and a nil error. Otherwise it returns a refusal.
 	Begin(ctx context.Context, ca *core.Call, si core.Sink) (Execution, error)
 	// Seen reports whether a call with the same key has run or is running on this agent.
 	Seen(ca *core.Call) bool
@@ -208,7 +208,8 @@
 		Work:     workOf(ca, he),
 	}
 	if gr := sn.Config.Group(ca.Pool); he != nil && gr != nil {
-		// Waiting for the cached context is worthwhile for as long as a prefill elsewhere takes.
+		// The call may wait for its cached context for as long as a prefill elsewhere would take,
+		// scaled by ReuseBias.
 		saved := min(ca.Prompt, he.Tokens)
 		ti.WaitLimit = time.Duration(gr.ReuseBias * float64(sl.gate.EstimatePrefill(core.WorkOf(saved, 0))))
 	}
@@ -270,7 +271,7 @@
 		if sl.gate.WithdrawCapWait(ti) {
 			return sl.gate.LoadCapRefusal(ti)
 		}
-		// The load cap no longer holds the ticket back; it is queued for a slot.
+		// The ticket now fits under the load cap and is queued for a slot.
 		select {
 		case re = <-ti.Ready():
 			return re
--- a/core/agent/control.go
+++ b/core/agent/control.go
@@ -71,8 +71,8 @@
 	return ag.AllowSend == nil || ag.AllowSend(size)
 }
 
-// Digest returns the agent's own load in each pool and, up to maxEntries in all per pool, the
-// freshest loads that it knows of its peers.
+// Digest returns, for each pool, the agent's own load and the freshest loads that it knows of its
+// peers, together at most maxEntries.
 func (ag *Agent) Digest(maxEntries int) *core.Digest {
 	di := &core.Digest{
 		From: ag.Self, Incarnation: ag.Incarnation, Draining: ag.Draining(),
@@ -88,7 +88,8 @@
 }
 
 // fillOwnLoad sets the entry's load and throughput to the means over the agent's endpoints in the
-// pool, because the load cap compares single endpoints.
+// pool, because the load cap compares single endpoints. It marks the entry as draining if all of
+// these endpoints are paused.
 func (ag *Agent) fillOwnLoad(own *core.LoadEntry) {
 	count, paused := core.Work(0), true
 	for _, sl := range ag.Slots {
--- a/core/agent/crash.go
+++ b/core/agent/crash.go
@@ -11,7 +11,8 @@
 const (
 	// aliveTimeout limits the liveness probe of an endpoint, which runs on the same VM.
 	aliveTimeout = 200 * time.Millisecond
-	// crashWindow is the time within which one crash interrupts all its calls.
+	// crashWindow is the time within which a crash interrupts all calls that were running; later
+	// interruptions are taken to be from another crash.
 	crashWindow = time.Second
 )
 
--- a/core/agent/handover.go
+++ b/core/agent/handover.go
@@ -19,8 +19,8 @@
 	// maxConcurrentImports the number that an agent receives at a time: its engine also serves calls.
 	maxConcurrentHandovers = 4
 	maxConcurrentImports   = 4
-	// maxHandovers is the maximum number of pointers, and of contexts, that a draining agent hands
-	// over.
+	// maxHandovers is the maximum number of pointers that a draining agent hands over, and also the
+	// maximum number of contexts.
 	maxHandovers = 20_000
 	// maxPlacementsPerMessage is the maximum number of pointers in one message.
 	maxPlacementsPerMessage = 64
@@ -141,7 +141,8 @@
 	ha.Contexts, ha.Refused, ha.Bytes = int(done.Load()), int(refused.Load()), core.Bytes(moved.Load())
 }
 
-// handOverContext streams one context from the local engine to the next home and returns its size.
+// handOverContext streams one context from the local engine to the next home and returns the number
+// of bytes that the transfer read.
 func (ag *Agent) handOverContext(ctx context.Context, sn *board.Snapshot, he *ctxdir.CachedContext) (int64, error) {
 	home := ag.nextHome(sn, &he.Placement)
 	ca := ag.cacheOf(he.Endpoint)
--- a/core/agent/placement.go
+++ b/core/agent/placement.go
@@ -100,8 +100,7 @@
 }
 
 // worthRedirect reports whether vm, which has the chat's context, is likely to admit the call: it is
-// in the pool, and its load as far as it is known is neither over the cap nor much above the load
-// here.
+// in the pool, and its load, if known, is neither over the cap nor much above the load here.
 func (ag *Agent) worthRedirect(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, vm core.VMID) bool {
 	po := sn.Pools[ca.Pool]
 	if po == nil || po.Index(vm) < 0 {
