--- a/core/admit/account.go
+++ b/core/admit/account.go
@@ -12,8 +12,8 @@
 	finishTag    float64 // virtual time at which the customer's last ticket ends
 }
 
-// slotAllowed reports whether the customer may take a free slot. The last Headroom part of the
-// slots is reserved for customers within their share.
+// slotAllowed reports whether the customer may take a free slot. Headroom is the fraction of the
+// slots, the last ones to be taken, that is reserved for customers within their share.
 func (ga *Gate) slotAllowed(ac *account) bool {
 	free := ga.limits.Slots - ga.running
 	if free > int(ga.limits.Headroom*float64(ga.limits.Slots)) {
@@ -42,8 +42,8 @@
 	ti.account = ac
 }
 
-// removeFromAccount removes the ticket from its customer's account. A ticket that never started is
-// credited back to the customer.
+// removeFromAccount removes the ticket from its customer's account. The work of a ticket that
+// never started is credited back to the customer.
 func (ga *Gate) removeFromAccount(ti *Ticket) {
 	ac := ti.account
 	if !ti.started {
--- a/core/admit/fair_test.go
+++ b/core/admit/fair_test.go
@@ -10,8 +10,8 @@
 )
 
 // One customer uses an otherwise idle engine for a long time. When a second customer arrives and
-// both queue, they must take turns. The first must not be delayed until the second has used as much
-// as the first did before.
+// both queue, they must take turns. The first customer's calls must not be delayed until the second one
+// has used as much as the first did before.
 func TestUseOfIdleEndpointIsNotCharged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := newGate(2, 20)
--- a/core/admit/gate.go
+++ b/core/admit/gate.go
@@ -165,8 +165,8 @@
 	}
 	ga.addLoad(ti.Work)
 	ga.enqueue(ti)
-	// A slot may be free although tickets are queued ahead: reserved slots are not given to
-	// customers over their share.
+	// The ticket may start at once although others are queued ahead of it: free slots may be
+	// reserved, and the customers of those tickets over their share.
 	ga.dispatch()
 	return false, nil
 }
--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -222,10 +222,10 @@
 				settle()
 				st := ga.Stats()
 				if st.Load != core.Work(100*len(inside)) {
-					rt.Fatalf("load %d for %d tickets", st.Load, len(inside))
+					rt.Fatalf("load %d for %d admitted tickets of work 100", st.Load, len(inside))
 				}
 				if st.Running > 4 || st.Queued > 6 || st.Running+st.Queued != len(inside) {
-					rt.Fatalf("%+v for %d tickets", st, len(inside))
+					rt.Fatalf("stats %+v for %d admitted tickets, limits are 4 running and 6 queued", st, len(inside))
 				}
 			},
 		})
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -110,7 +110,7 @@
 // victimFor returns the queued ticket to evict for an arriving one, nil if there is none. It is a
 // ticket of the lowest priority below the arriving one's. If there is no such priority, it is one
 // of the same priority: the last ticket of the customer with the largest backlog relative to its
-// share, provided that it exceeds what the arriving ticket's customer would have.
+// share, provided that this backlog exceeds the one that the arriving ticket's customer would have.
 func (qu *queue) victimFor(ti *Ticket) *Ticket {
 	for pr := range ti.Priority {
 		if victim := largestBacklog(qu.classes[pr]); victim != nil {
--- a/core/admit/stats.go
+++ b/core/admit/stats.go
@@ -44,8 +44,10 @@
 	}
 }
 
+// throughputInterval is the minimum time between updates of the throughput.
 const throughputInterval = 500 * time.Millisecond
 
+// updateThroughput averages the throughput with the rate of finished work since the last update.
 func (ga *Gate) updateThroughput() {
 	now := ga.Clock.Now()
 	past := now.Sub(ga.throughputAt)
@@ -70,8 +72,8 @@
 	return time.Duration(float64(ahead) / ga.throughput * float64(time.Second))
 }
 
-// EstimatePrefill estimates how long prefilling that much work takes at the endpoint's current
-// throughput.
+// EstimatePrefill estimates how long prefilling that much work takes on another endpoint, assuming
+// that it has the recent throughput of this one.
 func (ga *Gate) EstimatePrefill(wo core.Work) time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -81,7 +83,7 @@
 	return time.Duration(float64(wo) / ga.throughput * float64(time.Second))
 }
 
-// LessLoaded returns peers whose load is below the pool's mean.
+// LessLoaded returns at most maxAlternatives peers whose load is below the pool's mean.
 func (ga *Gate) LessLoaded() []core.VMID {
 	ga.mu.Lock()
 	limit := ga.Loads.Mean(ga.load)
@@ -114,7 +116,8 @@
 	return re
 }
 
-// retryAfter estimates when about half of the queue will be done.
+// retryAfter estimates when about half of the queued work will be done, within the bounds of
+// RetryAfter. It is 1 s if the throughput is unknown.
 func (ga *Gate) retryAfter() time.Duration {
 	if ga.throughput < 1 {
 		return time.Second
