--- a/core/router/router.go
+++ b/core/router/router.go
@@ -9,8 +9,8 @@
 //
 // # Invariants
 //
-//   - After the outcome NotRun another attempt needs no Budget; only MaxAttempts and the deadline
-//     limit these.
+//   - After the outcome NotRun, the Budget does not limit further attempts; MaxAttempts and the
+//     deadline do.
 //   - After Failed or Unknown another attempt is made only if the call is idempotent, no part of its
 //     response has been forwarded, and the Budget allows it.
 //   - Route returns the outcome NotRun only if no attempt can have run.
@@ -47,7 +47,7 @@
 	Peers  core.Peers
 	Budget *retry.Budget
 	Zone   core.Zone
-	// Retried, if set, is called for each further attempt with the reason why the last one ended.
+	// Retried, if set, is called for each retry with the reason why the previous attempt failed.
 	// Dropped, if set, is called for each part that belongs to another attempt.
 	Retried func(re core.Reason)
 	Dropped func()
@@ -237,8 +237,8 @@
 	return false
 }
 
-// isTransient reports whether another endpoint may succeed, which is not the case for failures that
-// the request itself caused.
+// isTransient reports whether the call may succeed on another endpoint. It is false for failures
+// that the request itself caused.
 func isTransient(re *core.Refusal) bool {
 	const firstServerError = 500
 	switch re.Reason {
