--- a/core/route/route.go
+++ b/core/route/route.go
@@ -30,7 +30,7 @@
 // Version numbers the operator's documents. It increases, but not necessarily by 1.
 type Version uint64
 
-// Kind determines which requests of a route may be repeated.
+// Kind determines whether the requests of a route may be repeated.
 type Kind uint8
 
 // Kinds of routes.
