--- a/core/revlog/commit.go
+++ b/core/revlog/commit.go
@@ -52,7 +52,8 @@
 
 // Commit commits doc as the revision after planned. It returns the accepted revision or an error: a
 // *Conflict; an *Uncertain; or another one, which means that the change was not accepted. Called
-// again with the same ID after the change was accepted, it returns the same revision.
+// again with the same ID after the change was accepted, it returns the same revision, provided that
+// the change is still among the recent deltas in memory.
 func (lo *Log) Commit(ctx context.Context, planned core.Revision, doc *decl.Document, me Meta) (core.Revision, error) {
 	if err := lo.Refresh(ctx); err != nil {
 		return 0, err
@@ -140,7 +141,7 @@
 	}
 }
 
-// revisionOf is the revision of a recently accepted change with that ID, 0 if none is known.
+// revisionOf returns the revision of a recently accepted change with that ID, 0 if none is known.
 func (lo *Log) revisionOf(id string) core.Revision {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
--- a/core/revlog/revlog.go
+++ b/core/revlog/revlog.go
@@ -43,7 +43,8 @@
 const (
 	logPrefix  = "config/log/"
 	snapPrefix = "config/snap/"
-	// prefixEnd sorts after every digit, so that a prefix with it ends the range of the prefix's keys.
+	// prefixEnd sorts after every digit, so a prefix followed by it is an upper bound of the keys with
+	// that prefix.
 	prefixEnd = "~"
 	// snapshotInterval is the number of revisions between snapshots.
 	snapshotInterval = 100
@@ -73,14 +74,15 @@
 	packedRev core.Revision
 }
 
-// Revision is the revision in force in this process, 0 if there is none.
+// Revision returns the revision in force in this process, 0 if there is none.
 func (lo *Log) Revision() core.Revision {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	return lo.rev
 }
 
-// Document is the document in force in this process, which must not be changed, and its revision.
+// Document returns the document in force in this process, which must not be modified, and its
+// revision.
 func (lo *Log) Document() (*decl.Document, core.Revision) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
@@ -281,8 +283,8 @@
 }
 
 // compact writes a snapshot every snapshotInterval revisions and deletes the entries and snapshots
-// that are more than retainedEntries revisions older. It may fail at any point; the next one does
-// what was left.
+// that are more than retainedEntries revisions older. It may fail at any point; the next call
+// completes what is left.
 func (lo *Log) compact(ctx context.Context, rev core.Revision) {
 	if rev%snapshotInterval != 0 {
 		return
--- a/core/revlog/revlog_test.go
+++ b/core/revlog/revlog_test.go
@@ -194,7 +194,7 @@
 		for _, pr := range []*process{first, second, first} {
 			rev, err := pr.Commit(ctx, 0, document("m"), revlog.Meta{ID: "job-7", Author: "a"})
 			if err != nil || rev != 1 {
-				t.Fatalf("revision %d, %v", rev, err)
+				t.Fatalf("commit returned revision %d, error %v; want revision 1 and no error", rev, err)
 			}
 		}
 	})
@@ -221,14 +221,14 @@
 		}
 		doc, rev := fresh.Document()
 		if rev != changes || doc.Pools[0].Model != fmt.Sprint("m", changes) {
-			t.Errorf("revision %d, %+v", rev, doc)
+			t.Errorf("after the start: revision %d, document %+v; want revision and model 1250", rev, doc)
 		}
 		if len(fresh.adopted) > 200 {
 			t.Errorf("adopted %d revisions to start, want at most 200", len(fresh.adopted))
 		}
 		old, err := fresh.DocumentAt(ctx, 450)
 		if err != nil || old.Pools[0].Model != "m450" {
-			t.Errorf("%+v %v", old, err)
+			t.Errorf("DocumentAt(450): document %+v, error %v; want model m450", old, err)
 		}
 		if _, err = fresh.DocumentAt(ctx, 3); err == nil {
 			t.Error("revision 3 is deleted, but was returned")
@@ -250,13 +250,13 @@
 		}
 		pr.KV = &kvsrv.Store{Clock: clock.Wall{}, Rand: ra}
 		if err := pr.Refresh(ctx); !errors.Is(err, revlog.ErrKVBehind) || pr.behind != 1 {
-			t.Errorf("%v, reported %d times", err, pr.behind)
+			t.Errorf("Refresh with an older KV: error %v, want ErrKVBehind; Behind called %d times, want once", err, pr.behind)
 		}
 		if _, err := pr.Commit(ctx, 3, document("new"), revlog.Meta{ID: "x"}); !errors.Is(err, revlog.ErrKVBehind) {
-			t.Errorf("committed over older content: %v", err)
+			t.Errorf("commit with an older KV: error %v, want ErrKVBehind", err)
 		}
 		if pr.Revision() != 3 {
-			t.Errorf("reverted to revision %d", pr.Revision())
+			t.Errorf("revision %d in force, want 3", pr.Revision())
 		}
 	})
 }
