--- a/core/mirror/mirror.go
+++ b/core/mirror/mirror.go
@@ -38,7 +38,7 @@
 	// deltas for peers that have them. Below it, a delta is hardly smaller than the item.
 	minPastSize = 4 << 10
 	// maxPastValues is how many earlier values of an item are kept. A peer usually lacks one change;
-	// one that missed more of them gets the whole value.
+	// one whose value is older than those kept gets the whole new value.
 	maxPastValues = 4
 )
 
@@ -48,8 +48,8 @@
 	// they are applied. It is not called for items that only have a new version because the store was
 	// restored from a backup. It must not call the Mirror.
 	Changed func(it core.Item)
-	// Restored is called, before the items, when the store has been restored from a backup since the
-	// last listing. It must not call the Mirror.
+	// Restored is called by Replace, before it applies the items, if the listing is of a later era than
+	// the mirror: the store was restored from a backup in between. It must not call the Mirror.
 	Restored func(from, to core.Version)
 	// Outranks reports whether an item is later than another of its key, whatever their versions: a
 	// store that was restored from a backup returns earlier values. Nil if no item outranks another.
