--- a/core/elect/elect.go
+++ b/core/elect/elect.go
@@ -102,8 +102,8 @@
 	return before < ElectedCount
 }
 
-// TakeoverDelay returns how much longer than the first ones a router of this rank waits for a confirmation
-// before it calls the store on its own.
+// TakeoverDelay returns how much longer than the first ElectedCount routers a router of this rank waits
+// for a confirmation before it calls the store on its own.
 func TakeoverDelay(rank int) time.Duration {
 	behind := time.Duration(max(0, rank-ElectedCount+1))
 	return behind * behind * rankDelay
--- a/core/elect/elect_test.go
+++ b/core/elect/elect_test.go
@@ -129,7 +129,7 @@
 			t.Errorf("%d routers: %d are elected", size, got)
 		}
 		if limit := 2 * int(10*time.Second/watchDuration); fl.calls > limit {
-			t.Errorf("%d routers: %d calls in 10 s, at most %d", size, fl.calls, limit)
+			t.Errorf("%d routers: %d calls in 10 s, want at most %d", size, fl.calls, limit)
 		}
 		if old := fl.oldestConfirmation(); old > confirmationTimeout {
 			t.Errorf("%d routers: the oldest confirmation of the store is %s old", size, old)
@@ -148,7 +148,7 @@
 		const silence = 8 * time.Second
 		fl.run(silence)
 		if fl.calls > 150 {
-			t.Errorf("%d routers: %d calls while the store did not respond for %s", size, fl.calls, silence)
+			t.Errorf("%d routers: %d calls while the store did not respond for %s, want at most 150", size, fl.calls, silence)
 		}
 		fl.rejects = func(*router) bool { return false }
 		fl.run(time.Second)
@@ -202,6 +202,6 @@
 		t.Errorf("%+v", elected)
 	}
 	if elected := ta.Elected(now.Add(2 * time.Second)); len(elected) != 0 {
-		t.Errorf("2 s later %+v", elected)
+		t.Errorf("elected watchers 2 s later: %+v, want none", elected)
 	}
 }
