--- a/core/gauge/gauge.go
+++ b/core/gauge/gauge.go
@@ -6,7 +6,7 @@
 // An endpoint reports with each response how many calls it has, running and queued. A Count holds
 // the latest such report and the changes after it. A Table holds the Counts of the endpoints that a
 // router owns: its peers forward it the endpoints' reports and ask it before they place a call. Each
-// request for a count counts as a call placed, so that routers that ask one after the other do not
+// such query is counted as a call that is placed, so that routers that ask one after the other do not
 // all see the same free slot.
 //
 // # Invariants
@@ -36,7 +36,7 @@
 	// maxChanges bounds the changes remembered since a report.
 	maxChanges = 256
 	// maxEndpoints bounds the Counts of a Table. With 2,100 endpoints and 420 routers each router
-	// owns 5, but all if it assumes to be the only one.
+	// owns 5, but it owns all of them while it knows of no other router.
 	maxEndpoints = 4096
 )
 
@@ -82,7 +82,7 @@
 // Expired reports whether there is no report recent enough to be used.
 func (co *Count) Expired(now time.Time) bool { return co.at.IsZero() || now.Sub(co.at) > ReportTTL }
 
-// Fresh reports whether the last report is at most this old.
+// Fresh reports whether there is a report and it is not older than within.
 func (co *Count) Fresh(now time.Time, within time.Duration) bool {
 	return !co.at.IsZero() && now.Sub(co.at) <= within
 }
@@ -98,8 +98,8 @@
 // Latest returns the last report and its time, which is zero if there is none.
 func (co *Count) Latest() (int, time.Time) { return co.reported, co.at }
 
-// Table holds the Counts of endpoints, by the hash of their ID and start, and which routers could not
-// reach them. It is safe for concurrent use.
+// Table holds the Counts of endpoints, by the hash of their ID and incarnation, and the latest reports
+// of routers that could not reach them. It is safe for concurrent use.
 type Table struct {
 	mu          sync.Mutex // guards all below
 	counts      map[uint64]*Count
@@ -123,9 +123,9 @@
 	rebroadcastInterval = 500 * time.Millisecond
 )
 
-// ReportUnreachable records that a router could not reach the endpoint. It reports whether all routers
-// have to be notified: two routers found it so, as a single one may be cut off itself, and
-// none was sent within rebroadcastInterval.
+// ReportUnreachable records that a router could not reach the endpoint. It returns whether
+// all routers have to be notified. They are if two routers reported it within unreachableWindow, since
+// a single one may itself be cut off, and were not notified within the last rebroadcastInterval.
 func (ta *Table) ReportUnreachable(now time.Time, endpoint uint64, from string) bool {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
