--- a/core/ctxdir/directory.go
+++ b/core/ctxdir/directory.go
@@ -35,10 +35,10 @@
 type CachedContext struct {
 	Endpoint core.EndpointID
 	Tokens   core.Tokens
-	// Placement identifies the chat when its context is handed off.
+	// Placement identifies the chat when its context is handed over to another agent.
 	Placement core.Placement
-	// NotifiedHome is the home endpoint's VM that was last notified of this context, if that is not
-	// this agent.
+	// NotifiedHome is the chat's home that was last notified of this context after a change of the
+	// pool. It is never this agent.
 	NotifiedHome core.VMID
 	usedAt       time.Time
 }
