--- a/core/loads/loads.go
+++ b/core/loads/loads.go
@@ -205,8 +205,8 @@
 	return names
 }
 
-// LoadOf returns the last known load of a peer. The result is false if the sample is older than
-// MaxAge, the peer is draining or unknown.
+// LoadOf returns the last known load of a peer. The second result is false if the sample is
+// older than MaxAge, or the peer is draining or unknown.
 func (ta *Table) LoadOf(vm core.VMID) (core.Work, bool) {
 	now := ta.Clock.Now()
 	ta.mu.Lock()
