--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -16,8 +16,8 @@
 //
 //   - First does not allocate and takes no lock.
 //   - No VM is selected twice, up to maxTried attempts.
-//   - A member that is being readmitted gets only the keys within its Allowance, unless no other
-//     member is left.
+//   - In rendezvous order, a member that is being readmitted is selected only for the keys within its
+//     Allowance, unless no other member is left.
 //
 // # Usage
 //
@@ -75,7 +75,8 @@
 }
 
 // Home returns the index of the chat's home in this process's view of the pool, -1 if the pool is
-// empty. The home is the member that rendezvous hashing prefers for the chat.
+// empty. The home is the member that rendezvous hashing prefers for the chat, among the members in
+// the process's region or, if it has none, among all.
 func Home(po *board.Pool, key uint64) int {
 	se := Search{Pool: po, Key: key}
 	if len(po.Members) == 0 {
@@ -110,7 +111,7 @@
 	return false
 }
 
-// home returns the chat's home: the highest-ranked member of the router's region, or of the pool if
+// home returns the chat's home: the highest-ranked member of the process's region, or of the pool if
 // the region has none.
 func (se *Search) home() int {
 	po := se.Pool
