--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -28,10 +28,13 @@
 )
 
 const (
+	// reserve and customerReserve are the retries that are available at the start, in total and per
+	// customer, and also the most that first attempts can save up.
 	reserve         = 10
 	customerReserve = 3
-	firstBackoff    = 10 * time.Millisecond
-	maxBackoff      = time.Second
+	// firstBackoff and maxBackoff are the bounds of the delay of the first retry and of any retry.
+	firstBackoff = 10 * time.Millisecond
+	maxBackoff   = time.Second
 )
 
 // Budget counts first attempts and retries. Set Ratio before use.
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -48,7 +48,7 @@
 
 // TryExtra takes one further attempt from the bound and reports whether there was one left.
 func (wi *Window) TryExtra(now time.Time, po core.PoolID) bool {
-	routers := max(1, wi.Routers()) // before locking: not to hold mu during a callback
+	routers := max(1, wi.Routers()) // called before locking, so that mu is not held meanwhile
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	co := wi.countsAt(now, po)
