--- a/core/member/member.go
+++ b/core/member/member.go
@@ -243,7 +243,7 @@
 	return false
 }
 
-// Incarnation is the last incarnation that the VM's process announced, 0 if there is none.
+// Incarnation returns the last incarnation that the VM's process announced, 0 if there is none.
 func (ta *Table) Incarnation(id core.VMID) core.Incarnation {
 	if re := ta.records[id]; re != nil {
 		return re.incarnation
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -99,7 +99,7 @@
 		ta.RecordReachability(id(0), true, now)
 		now = now.Add(5 * time.Second)
 		if got := allowance(); got >= last || got <= 0 {
-			t.Errorf("allowance %.2f after %.2f", got, last)
+			t.Errorf("allowance %.2f after another flap, want above 0 and below the previous %.2f", got, last)
 		} else {
 			last = got
 		}
@@ -112,10 +112,10 @@
 	ta := table(3)
 	ta.ApplyAnnouncement(id(0), 1, true, start)
 	if got := len(ta.Usable(start)); got != 2 {
-		t.Errorf("%d usable while one drains", got)
+		t.Errorf("%d usable while one of 3 drains, want 2", got)
 	}
 	ta.ApplyAnnouncement(id(0), 2, false, start)
 	if got := len(ta.Usable(start)); got != 3 {
-		t.Errorf("%d usable after its restart", got)
+		t.Errorf("%d usable after its restart, want 3", got)
 	}
 }
