--- a/core/board/board.go
+++ b/core/board/board.go
@@ -124,7 +124,7 @@
 	AgentRing []ring.Member
 }
 
-// Revision is the revision of the configuration, 0 if there is none.
+// Revision returns the revision of the configuration, 0 if there is none.
 func (sn *Snapshot) Revision() core.Revision {
 	if sn.Config == nil {
 		return 0
@@ -235,7 +235,7 @@
 	}
 }
 
-// Dropped is the number of events dropped because the queue was full.
+// Dropped returns the number of events dropped because the queue was full.
 func (bo *Board) Dropped() int64 { return bo.dropped.Load() }
 
 // Snapshot returns the latest snapshot; it is never nil.
