--- a/core/decl/check.go
+++ b/core/decl/check.go
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s: %s: %s", pr.Object, pr.Field, pr.Text)
 }
 
-// HashName is the stable 64-bit hash of a name. Placement depends on it.
+// HashName returns the stable 64-bit hash of a name. Placement depends on it.
 func HashName(name string) uint64 { return xxhash.Sum64String(name) }
 
 // namePattern keeps names usable in URLs, headers and KV keys.
--- a/core/decl/decl.go
+++ b/core/decl/decl.go
@@ -45,7 +45,7 @@
 	KeyHashes []string `yaml:"KeyHashes,omitempty" json:",omitempty" doc:"Hex SHA-256 sums of its bearer keys."`
 	// Shares are relative weights per pool or service.
 	Shares map[core.PoolID]float64 `yaml:"Shares,omitempty" json:",omitempty" doc:"Relative share per pool or service; above 0."`
-	// MaxPriority bounds what its calls may ask for.
+	// MaxPriority bounds the priority that its calls may request.
 	MaxPriority core.Priority `yaml:"MaxPriority,omitempty" json:",omitempty" doc:"Highest priority its calls may ask for: 0 batch, 1 normal, 2 high, 3 urgent. 0 means 3."`
 }
 
@@ -77,7 +77,7 @@
 	Limits    `yaml:",inline"`
 }
 
-// Endpoint says what one endpoint checks itself.
+// Endpoint declares which checks an endpoint makes itself.
 type Endpoint struct {
 	Name core.EndpointID `yaml:"Name" doc:"Unique name, as in the agent's settings."`
 	// ChecksFence: it refuses orders with an old fencing number on its own.
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// Share is the customer's relative weight in a pool; 1 where unknown.
+// Share returns the customer's relative weight in a pool; 1 if unknown.
 func (cfg *Config) Share(cu core.CustomerID, po core.PoolID) float64 {
 	if found := cfg.byName[cu]; found != nil && found.Shares[po] > 0 {
 		return found.Shares[po]
