--- a/core/syncer/syncer.go
+++ b/core/syncer/syncer.go
@@ -10,7 +10,7 @@
 //     lower one fetches the difference from the sender.
 //   - Compare: each process exchanges digests with a random other about once a second.
 //   - Poll: each process reads the KV's log, at a rate that keeps the whole fleet within
-//     pollsPerSecond. Whatever the size of the fleet, some process polls every few milliseconds.
+//     pollsPerSecond. In a large fleet some process therefore polls about every 17 ms.
 //
 // # Invariants
 //
@@ -44,8 +44,8 @@
 	minPollDelay = 500 * time.Millisecond
 	// digestSize is the size of the message that announces a revision.
 	digestSize core.Bytes = 40
-	// announceRounds is how often an adopted revision is announced, each time to other random
-	// processes. The second round makes up for messages lost in the first.
+	// announceRounds is how often an adopted revision is announced, each time to newly drawn
+	// random processes. The second round makes up for messages lost in the first.
 	announceRounds   = 2
 	announceInterval = 300 * time.Millisecond
 	// compareInterval is the time between exchanges with a random other process. They reach the
@@ -192,7 +192,7 @@
 	}()
 }
 
-// revisionDigest is the own digest without loads, which are exchanged only within pools.
+// revisionDigest returns the own digest without loads, which are exchanged only within pools.
 func (sy *Syncer) revisionDigest() *core.Digest {
 	di := sy.Digest()
 	di.Loads = nil
