--- a/core/bucket/bucket.go
+++ b/core/bucket/bucket.go
@@ -70,14 +70,14 @@
 	bu.last = now
 }
 
-// Sent is the number of bytes sent so far.
+// Sent returns the number of bytes charged so far.
 func (bu *Bucket) Sent() core.Bytes {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	return bu.sent
 }
 
-// Refused is the number of messages for which Allow returned false.
+// Refused returns the number of messages for which Allow returned false.
 func (bu *Bucket) Refused() int64 {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
