--- a/core/trial/crash_test.go
+++ b/core/trial/crash_test.go
@@ -99,8 +99,8 @@
 	})
 }
 
-// Half of the engines crash for reasons other than requests, while many callers send identical
-// requests. These must not be quarantined: the other engines serve them throughout.
+// Half of the engines crash, not because of a request, while many callers send identical requests. The
+// requests must not be quarantined, as the other engines can serve them throughout.
 func TestIdenticalRequestsAreNotQuarantinedInOutage(t *testing.T) {
 	runHarness(t, 44, func(st *harness) {
 		st.crashOnBody(0, 3*time.Second)
--- a/core/trial/handover_test.go
+++ b/core/trial/handover_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-// An agent that is the home of chats which other agents serve shuts down. The next home must get its
+// An agent shuts down that is the home of chats served by other agents. The next home must get its
 // pointers, so that the chats still find their contexts.
 func TestDrainingAgentHandsOverPointers(t *testing.T) {
 	runHarness(t, 42, func(st *harness) {
--- a/core/trial/history_test.go
+++ b/core/trial/history_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// runCallers runs count callers, which send chats without and drafts with an idempotency key, for the
-// duration d.
+// runCallers runs count callers for the duration d. They send chats, which have no idempotency key, and
+// drafts, which have one.
 func (st *harness) runCallers(count int, d time.Duration) {
 	st.phase++
 	phase, end := st.phase, time.Now().Add(d)
