--- a/core/revlog/revlog.go
+++ b/core/revlog/revlog.go
@@ -283,8 +283,8 @@
 }
 
 // compact writes a snapshot every snapshotInterval revisions and deletes the entries and snapshots
-// that are more than retainedEntries revisions older. It may fail at any point; the next call
-// completes what is left.
+// that are more than retainedEntries revisions older. It may fail at any point: the next call
+// writes a newer snapshot and deletes what is left.
 func (lo *Log) compact(ctx context.Context, rev core.Revision) {
 	if rev%snapshotInterval != 0 {
 		return
