--- a/core/order/control.go
+++ b/core/order/control.go
@@ -144,7 +144,7 @@
 	sn := co.Board.Snapshot()
 	pools := ManagedPools(sn.Config)
 	co.inspectAgents(ctx, sn, pools)
-	loads := co.window.Size() - co.loadsInProgress()
+	loads := co.window.Size() - co.ordersInProgress()
 	for _, po := range pools {
 		assignments := Next(po, co.views(sn, po), loads, func(or *core.Order, open int) bool {
 			return co.rollouts[specOf(po.Name, or)].allows(co.Clock.Now(), open)
@@ -260,7 +260,7 @@
 	or, known := st.issued[now.Endpoint]
 	delete(st.issued, now.Endpoint)
 	if now.Problem == nil && now.Phase != core.PhaseUnreachable {
-		co.window.Succeeded()
+		co.window.OrderSucceeded()
 		delete(st.backoffs, now.Endpoint)
 		if known && now.Engine.Satisfies(&or) {
 			co.rolloutOf(now.Pool, &or).proven = true
@@ -313,8 +313,8 @@
 	bo.until = co.Clock.Now().Add(co.jitter(delay))
 }
 
-// loadsInProgress counts the orders in progress on all engines.
-func (co *Controller) loadsInProgress() int {
+// ordersInProgress counts the orders in progress on all engines.
+func (co *Controller) ordersInProgress() int {
 	count := 0
 	for _, st := range co.agents {
 		for ix := range st.states {
--- a/core/order/loadwindow.go
+++ b/core/order/loadwindow.go
@@ -20,8 +20,8 @@
 	return int(lw.size)
 }
 
-// Succeeded records a load that succeeded.
-func (lw *LoadWindow) Succeeded() { lw.size = min(maxLoads, lw.size+1/float64(lw.Size())) }
+// OrderSucceeded records a load that succeeded.
+func (lw *LoadWindow) OrderSucceeded() { lw.size = min(maxLoads, lw.size+1/float64(lw.Size())) }
 
 // Rejected records a load that the store rejected for lack of capacity.
 func (lw *LoadWindow) Rejected() { lw.size = max(1, float64(lw.Size())/2) }
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -83,7 +83,7 @@
 
 // The KV creates the holder's entry, but the response is lost. The process must read its own entry
 // back and hold the lease, rather than wait until it expires.
-func TestLostAnswerToAcquire(t *testing.T) {
+func TestLostReplyToAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := &lossyStore{Store: newStore(), key: "orders/holder"}
 		le := newLease(kv, "router")
@@ -241,7 +241,7 @@
 func TestLoadWindowAdaptsToTheStore(t *testing.T) {
 	var lw order.LoadWindow
 	for range 40 {
-		lw.Succeeded()
+		lw.OrderSucceeded()
 	}
 	grown := lw.Size()
 	lw.Rejected()
