--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -15,7 +15,7 @@
 	"almondrill/io/fakes/kvsrv"
 )
 
-func ask(key string, vm core.VMID, in core.Incarnation) *core.Claim {
+func newClaim(key string, vm core.VMID, in core.Incarnation) *core.Claim {
 	return &core.Claim{Hash: claim.Hash("c", core.IdemKey(key)), By: core.Claimant{VM: vm, Incarnation: in}}
 }
 
@@ -27,7 +27,7 @@
 		store := &kvsrv.Store{Clock: clock.Wall{}, Rand: ra}
 		wr := newWriter(store, ra, 1)
 		store.SetFaults(kvsrv.Faults{ReplyLoss: 1})
-		rp, err := wr.Claim(context.Background(), ask("draft", "a", 1))
+		rp, err := wr.Claim(context.Background(), newClaim("draft", "a", 1))
 		if err != nil || !rp.Granted {
 			t.Fatalf("%+v %v", rp, err)
 		}
@@ -45,7 +45,7 @@
 		store := &kvsrv.Store{Clock: clock.Wall{}, Rand: ra}
 		store.SetFaults(kvsrv.Faults{Down: true})
 		start := time.Now()
-		_, err := newWriter(store, ra, 1).Claim(context.Background(), ask("draft", "a", 1))
+		_, err := newWriter(store, ra, 1).Claim(context.Background(), newClaim("draft", "a", 1))
 		if !errors.Is(err, claim.ErrUnsettled) {
 			t.Fatal(err)
 		}
@@ -65,11 +65,11 @@
 		first, second := newWriter(store, ra, 1), newWriter(store, ra, 1)
 		ctx := context.Background()
 		for _, wr := range []*claim.Writer{first, second, first} {
-			if rp, err := wr.Claim(ctx, ask("flag", "a", 1)); err != nil || !rp.Granted {
+			if rp, err := wr.Claim(ctx, newClaim("flag", "a", 1)); err != nil || !rp.Granted {
 				t.Fatalf("%+v %v", rp, err)
 			}
 		}
-		for _, other := range []*core.Claim{ask("flag", "b", 1), ask("flag", "a", 2)} {
+		for _, other := range []*core.Claim{newClaim("flag", "b", 1), newClaim("flag", "a", 2)} {
 			rp, err := second.Claim(ctx, other)
 			if err != nil || rp.Granted || rp.Holder != (core.Claimant{VM: "a", Incarnation: 1}) {
 				t.Errorf("%+v got %+v %v", other.By, rp, err)
@@ -92,7 +92,7 @@
 		for n := range count {
 			all.Go(func() {
 				time.Sleep(time.Duration(n) * time.Millisecond)
-				if rp, err := old.Claim(ctx, ask(fmt.Sprint(n), "a", 1)); err != nil || !rp.Granted {
+				if rp, err := old.Claim(ctx, newClaim(fmt.Sprint(n), "a", 1)); err != nil || !rp.Granted {
 					t.Errorf("claim %d: %+v %v", n, rp, err)
 				}
 			})
@@ -100,13 +100,13 @@
 		all.Wait()
 		fresh := newWriter(store, ra, 1)
 		for n := range count {
-			if rp, err := fresh.Claim(ctx, ask(fmt.Sprint(n), "b", 1)); err != nil || rp.Granted {
+			if rp, err := fresh.Claim(ctx, newClaim(fmt.Sprint(n), "b", 1)); err != nil || rp.Granted {
 				t.Fatalf("claim %d granted twice: %+v %v", n, rp, err)
 			}
 		}
 		before := store.Bytes()
 		time.Sleep(window + 5*time.Minute)
-		if rp, err := fresh.Claim(ctx, ask("0", "b", 1)); err != nil || !rp.Granted {
+		if rp, err := fresh.Claim(ctx, newClaim("0", "b", 1)); err != nil || !rp.Granted {
 			t.Errorf("after the window: %+v %v", rp, err)
 		}
 		if after := store.Bytes(); after > before/4 || fresh.Size() > count+1 {
