--- a/core/crash/table_test.go
+++ b/core/crash/table_test.go
@@ -124,11 +124,11 @@
 	if len(ef.ToAll) != 1 || !quarantined(owner, after(30), first) {
 		t.Fatalf("the test does not cause the quarantine: %+v", ef)
 	}
-	objection := witness.ApplyNotice(after(32), ef.ToAll[0])
-	if len(objection.ToAll) != 1 || objection.ToAll[0].Kind != core.NoticeCleared {
-		t.Fatalf("the router that served it does not clear the request: %+v", objection)
+	clearing := witness.ApplyNotice(after(32), ef.ToAll[0])
+	if len(clearing.ToAll) != 1 || clearing.ToAll[0].Kind != core.NoticeCleared {
+		t.Fatalf("the router that served it does not clear the request: %+v", clearing)
 	}
-	owner.ApplyNotice(after(34), objection.ToAll[0])
+	owner.ApplyNotice(after(34), clearing.ToAll[0])
 	if quarantined(owner, after(35), first) || quarantined(witness, after(35), first) {
 		t.Error("the request is still quarantined")
 	}
