--- a/core/place/bench_test.go
+++ b/core/place/bench_test.go
@@ -85,11 +85,11 @@
 	for _, fl := range fleets {
 		b.Run(fl.String(), func(b *testing.B) {
 			pl, _ := loadedPlacer(fl)
-			words := [][]byte{peerReport(fl, 1), peerReport(fl, 2)}
+			reports := [][]byte{peerReport(fl, 1), peerReport(fl, 2)}
 			b.ReportAllocs()
 			turn := 0
 			for b.Loop() {
-				pl.ApplyLoadReport(begin, "router0", words[turn%len(words)])
+				pl.ApplyLoadReport(begin, "router0", reports[turn%len(reports)])
 				turn++
 			}
 		})
--- a/core/place/cache.go
+++ b/core/place/cache.go
@@ -83,9 +83,9 @@
 }
 
 func newCacheModel(st *state, index *partIndex) *cacheModel {
-	re := &cacheModel{st: st, order: list.New(), byHash: map[uint64]*list.Element{}, index: index}
-	index.caches = append(index.caches, re)
-	return re
+	cm := &cacheModel{st: st, order: list.New(), byHash: map[uint64]*list.Element{}, index: index}
+	index.caches = append(index.caches, cm)
+	return cm
 }
 
 func (cm *cacheModel) has(hash uint64) bool { return cm.byHash[hash] != nil }
--- a/core/place/health.go
+++ b/core/place/health.go
@@ -17,10 +17,10 @@
 	downUntil time.Time
 	backoff   time.Duration
 	callMs    float64
-	// failureStreak counts the failures since the last successful call. Until failAllUntil, no
+	// failureStreak counts the failures since the last successful call. Until skipUntil, no
 	// further call is risked.
 	failureStreak int
-	failAllUntil  time.Time
+	skipUntil     time.Time
 }
 
 const (
@@ -111,7 +111,7 @@
 func (he *health) recordFailure(now time.Time) {
 	he.recordOutcome(now, 1)
 	if he.failureStreak++; he.failureStreak >= failAllStreak {
-		he.failAllUntil = now.Add(failAllPause)
+		he.skipUntil = now.Add(failAllPause)
 	}
 }
 
@@ -123,7 +123,7 @@
 
 // failsAll reports whether the endpoint failed all recent calls.
 func (he *health) failsAll(now time.Time) bool {
-	return he.failureStreak >= failAllStreak && now.Before(he.failAllUntil)
+	return he.failureStreak >= failAllStreak && now.Before(he.skipUntil)
 }
 
 // recordDuration updates the endpoint's mean duration of calls with a call that took ms; typical is
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -261,12 +261,12 @@
 }
 
 func (pl *Placer) callDurationOf(pool core.PoolID) *callDuration {
-	at := pl.callDurations[pool]
-	if at == nil {
-		at = &callDuration{}
-		pl.callDurations[pool] = at
+	cd := pl.callDurations[pool]
+	if cd == nil {
+		cd = &callDuration{}
+		pl.callDurations[pool] = cd
 	}
-	return at
+	return cd
 }
 
 // addPeerCalls changes the count of peers' calls at the endpoints with the short hash.
--- a/core/place/pool_stats.go
+++ b/core/place/pool_stats.go
@@ -259,9 +259,9 @@
 
 // limits holds the numbers of calls at which an endpoint gets no more.
 type limits struct {
-	// ownCalls limits this router's calls once the endpoint has conns calls in total. slotFactor
+	// ownCalls limits this router's calls once the endpoint has sharedConns calls in total. slotFactor
 	// limits all calls to a multiple of the endpoint's slots, loadCap limits all calls.
-	ownCalls, conns, slotFactor, loadCap int
+	ownCalls, sharedConns, slotFactor, loadCap int
 	// exactCap replaces loadCap for endpoints whose current number of calls is known.
 	exactCap int
 }
@@ -271,7 +271,7 @@
 	if ch.rq.MaxConns > 0 {
 		li.ownCalls = max(1, ch.rq.MaxConns/ch.routers)
 		if li.ownCalls < minShare {
-			li.conns = int(sharedConnsFraction * float64(ch.rq.MaxConns))
+			li.sharedConns = int(sharedConnsFraction * float64(ch.rq.MaxConns))
 		}
 	}
 	if !ch.rq.Engine {
@@ -294,7 +294,7 @@
 	if !st.fastPath && st.load.Fresh(now, freshWindow) {
 		loadCap = li.exactCap
 	}
-	if st.ownCalls >= li.ownCalls && calls >= li.conns || calls >= loadCap || st.Slots > 0 && calls >= li.slotFactor*st.Slots {
+	if st.ownCalls >= li.ownCalls && calls >= li.sharedConns || calls >= loadCap || st.Slots > 0 && calls >= li.slotFactor*st.Slots {
 		return false
 	}
 	return st.fastPath || !now.Before(st.fullUntil)
--- a/core/place/reading.go
+++ b/core/place/reading.go
@@ -60,19 +60,19 @@
 // precedence over peers' reports, which are older. Within it, a popular home gets one or two calls.
 const freshWindow = 20 * time.Millisecond
 
-// askLoadFraction is the mean fraction of its slots in use from which on a pool's counts are
+// queryLoadFraction is the mean fraction of its slots in use from which on a pool's counts are
 // requested. Below it, hardly any engine is full, and a current count would be compared with a mean
 // that lags behind a rising load, so that chats would leave homes that have capacity.
-const askLoadFraction = 0.25
+const queryLoadFraction = 0.25
 
-// askCapFraction is the fraction of the load cap from which on an endpoint's count is requested,
+// queryCapFraction is the fraction of the load cap from which on an endpoint's count is requested,
 // however many slots it has: if much of a pool is evacuated or cold, the mean and the cap are low.
-const askCapFraction = 0.5
+const queryCapFraction = 0.5
 
 // nearCap reports whether the endpoint, as far as is known, may be near the load cap.
 func (ch *choice) nearCap(pl *Placer, st *state) bool {
 	loadCap := ch.limits(pl).loadCap
-	return loadCap != math.MaxInt && float64(st.ownCalls+st.scratch.peerCalls) >= askCapFraction*float64(loadCap)
+	return loadCap != math.MaxInt && float64(st.ownCalls+st.scratch.peerCalls) >= queryCapFraction*float64(loadCap)
 }
 
 // NeedsCount returns the hash of the endpoint that Pick would choose, and whether its current
@@ -97,7 +97,7 @@
 	if st.load.Fresh(now, freshWindow) {
 		return 0, false
 	}
-	return st.hash, ch.meanCalls >= askLoadFraction*float64(st.Slots) || ch.nearCap(pl, st)
+	return st.hash, ch.meanCalls >= queryLoadFraction*float64(st.Slots) || ch.nearCap(pl, st)
 }
 
 // ApplyCount records the current number of calls of an endpoint.
--- a/core/place/ticket.go
+++ b/core/place/ticket.go
@@ -137,9 +137,9 @@
 	case Served:
 		st.health.recordSuccess(now)
 		took := float64(now.Sub(tk.Started)) / float64(time.Millisecond)
-		at := tk.pl.callDurationOf(st.Pool)
-		st.health.recordDuration(took, at.typicalMs())
-		at.record(took)
+		cd := tk.pl.callDurationOf(st.Pool)
+		st.health.recordDuration(took, cd.typicalMs())
+		cd.record(took)
 	case Failed:
 		st.health.recordFailure(now)
 	case Rejected:
