--- a/core/swim/rumor.go
+++ b/core/swim/rumor.go
@@ -46,7 +46,7 @@
 	case ru.Incarnation == me.incarnation && ru.State <= me.state && !me.deadByIsolation:
 		return
 	}
-	if ru.Incarnation == me.incarnation && ru.State > Alive && ru.State < Left && now.Sub(me.lastHeard) < directContactWindow {
+	if ru.Incarnation == me.incarnation && ru.State > Alive && ru.State < Left && now.Sub(me.lastReceived) < directContactWindow {
 		return
 	}
 	me.incarnation = ru.Incarnation
--- a/core/swim/swim.go
+++ b/core/swim/swim.go
@@ -117,8 +117,8 @@
 	// probes are those without a reply.
 	probes  []*probe
 	periods int
-	// startedAt is the first Tick, lastHeard when the last message arrived.
-	startedAt, lastHeard time.Time
+	// startedAt is the first Tick, lastReceived when the last message arrived.
+	startedAt, lastReceived time.Time
 	// rumors are queued for sending; notices inform peers of rumors about themselves.
 	rumors  []*queuedRumor
 	notices []Probe
@@ -127,10 +127,10 @@
 }
 
 type member struct {
-	addr        string
-	state       State
-	incarnation Incarnation
-	lastHeard   time.Time
+	addr         string
+	state        State
+	incarnation  Incarnation
+	lastReceived time.Time
 	// since is when the state began, suspectedUntil when a suspicion ends.
 	since, suspectedUntil time.Time
 	// deadByIsolation is set if it was declared dead because this router was isolated.
@@ -203,7 +203,7 @@
 	if me == nil {
 		return false
 	}
-	ta.lastHeard, me.lastHeard = now, now
+	ta.lastReceived, me.lastReceived = now, now
 	before := me.state
 	if before >= Suspect && !me.deadByIsolation && in <= me.incarnation {
 		ta.notices = append(ta.notices, Probe{To: addr, About: Rumor{addr, before, me.incarnation}})
@@ -268,20 +268,20 @@
 	return count
 }
 
-// LastHeard returns when the last message from a peer arrived; zero if none did.
-func (ta *Table) LastHeard(addr string) time.Time {
+// LastReceived returns when the last message from a peer arrived; zero if none did.
+func (ta *Table) LastReceived(addr string) time.Time {
 	if me := ta.members[addr]; me != nil {
-		return me.lastHeard
+		return me.lastReceived
 	}
 	return time.Time{}
 }
 
 // SilentFor returns the time since the last message from any peer, or since the first Tick if there was none.
 func (ta *Table) SilentFor(now time.Time) time.Duration {
-	if ta.lastHeard.IsZero() {
+	if ta.lastReceived.IsZero() {
 		return now.Sub(ta.startedAt)
 	}
-	return now.Sub(ta.lastHeard)
+	return now.Sub(ta.lastReceived)
 }
 
 // Incarnation returns this router's incarnation, to be sent with probes and their replies.
@@ -343,7 +343,7 @@
 	ta.probes = slices.DeleteFunc(ta.probes, func(pr *probe) bool {
 		me := ta.members[pr.target]
 		switch {
-		case me == nil || !me.state.live() || !me.lastHeard.Before(pr.sentAt):
+		case me == nil || !me.state.live() || !me.lastReceived.Before(pr.sentAt):
 			return true
 		case now.Sub(pr.sentAt) < probeTimeout:
 			return false
@@ -401,7 +401,7 @@
 		addr := ta.order[ta.next]
 		ta.next++
 		me := ta.members[addr]
-		if me != nil && me.state <= Suspect && now.Sub(me.lastHeard) >= Period {
+		if me != nil && me.state <= Suspect && now.Sub(me.lastReceived) >= Period {
 			return addr
 		}
 	}
--- a/io/gossip/grants.go
+++ b/io/gossip/grants.go
@@ -60,7 +60,7 @@
 	// A router without peers can rely on being the only one only if others could find it.
 	connected := len(gr.members) == 0 && !gr.announced.IsZero() && now.Sub(gr.announced) >= settleWindow
 	for addr, me := range gr.members {
-		connected = connected || !gr.membership.LastHeard(addr).IsZero()
+		connected = connected || !gr.membership.LastReceived(addr).IsZero()
 		if gr.membership.Alive(addr) && int(me.peersHeard) > len(gr.members) {
 			settled = false // more peers are alive to it than are known here
 		}
