--- a/io/gossip/counts.go
+++ b/io/gossip/counts.go
@@ -28,9 +28,9 @@
 // the in-flight calls that its peers reported, as it does for endpoints that do not report counts.
 
 const (
-	// askTimeout bounds the wait for an owner: a few transit delays between zones, and the
+	// queryTimeout bounds the wait for an owner: a few transit delays between zones, and the
 	// scheduling delay on a busy peer.
-	askTimeout = 5 * time.Millisecond
+	queryTimeout = 5 * time.Millisecond
 	// ownerBackoff is how long an owner that did not answer in time is not queried again, so that
 	// only one request per second waits in vain for a lost router.
 	ownerBackoff = time.Second
@@ -44,10 +44,10 @@
 	countQuery countKind = iota + 1
 	countReply
 	countReport
-	// countUnreachable tells the owner that the sender cannot connect to the endpoint, countLost
-	// tells all routers that two could not.
+	// countConnectFailed tells the owner that the sender cannot connect to the endpoint,
+	// countUnreachable tells all routers that two could not.
+	countConnectFailed
 	countUnreachable
-	countLost
 	// countGrantRequest asks the owner to grant one of Calls requests a second; it answers with
 	// countReply, whose Calls is 0 if it is granted, or else in how many ms to ask again.
 	countGrantRequest
@@ -62,8 +62,8 @@
 	_        struct{} `cbor:",toarray"`
 	Kind     countKind
 	Endpoint uint64
-	// Calls is the count, or for countLost how many ms the state lasts; Ask is the id of the query
-	// that a reply belongs to.
+	// Calls is the count, or for countUnreachable how many ms the state lasts; Ask is the id of the
+	// query that a reply belongs to.
 	Calls uint32
 	Ask   uint32
 }
@@ -91,7 +91,7 @@
 	mu        sync.Mutex // guards all below
 	lastQuery uint32
 	pending   map[uint32]chan uint32
-	// reconnecting are the lost endpoints for which a reconnectLoop runs.
+	// reconnecting are the unreachable endpoints for which a reconnectLoop runs.
 	reconnecting map[uint64]bool
 }
 
@@ -157,7 +157,7 @@
 	defer gr.counts.removePending(id)
 	cm.Ask = id
 	gr.sendCount(owner.udpAddr, cm)
-	wait := cmp.Or(gr.AskTimeout, askTimeout)
+	wait := cmp.Or(gr.AskTimeout, queryTimeout)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -191,7 +191,7 @@
 	case owner.udpAddr == nil:
 		gr.handleUnreachable(time.Now(), endpoint, gr.Addr)
 	default:
-		gr.sendCount(owner.udpAddr, &countMessage{Kind: countUnreachable, Endpoint: endpoint})
+		gr.sendCount(owner.udpAddr, &countMessage{Kind: countConnectFailed, Endpoint: endpoint})
 	}
 }
 
@@ -199,17 +199,17 @@
 // cannot, all are notified; the owner also tries to connect itself.
 func (gr *Group) handleUnreachable(now time.Time, endpoint uint64, from string) {
 	if gr.counts.table.ReportUnreachable(now, endpoint, from) {
-		gr.broadcastLost(now, endpoint, from, place.UnreachableTTL)
+		gr.broadcastUnreachable(now, endpoint, from, place.UnreachableTTL)
 	}
 	if gr.Reach != nil && gr.counts.startReconnect(endpoint) {
 		go gr.reconnectLoop(endpoint)
 	}
 }
 
-// broadcastLost has all routers treat the endpoint as lost for ttl.
-func (gr *Group) broadcastLost(now time.Time, endpoint uint64, from string, ttl time.Duration) {
-	gr.applyLost(now, endpoint, from, ttl)
-	gr.sendToAll(&countMessage{Kind: countLost, Endpoint: endpoint, Calls: uint32(ttl.Milliseconds())})
+// broadcastUnreachable has all routers treat the endpoint as unreachable for ttl.
+func (gr *Group) broadcastUnreachable(now time.Time, endpoint uint64, from string, ttl time.Duration) {
+	gr.applyUnreachable(now, endpoint, from, ttl)
+	gr.sendToAll(&countMessage{Kind: countUnreachable, Endpoint: endpoint, Calls: uint32(ttl.Milliseconds())})
 }
 
 // sendToAll sends a message to all peers that are alive.
@@ -239,9 +239,9 @@
 	}
 }
 
-// applyLost records that an endpoint is lost: two routers, one of them perhaps its owner, cannot
-// connect to it.
-func (gr *Group) applyLost(now time.Time, endpoint uint64, from string, ttl time.Duration) {
+// applyUnreachable records that an endpoint is unreachable: two routers, one of them perhaps its
+// owner, cannot connect to it.
+func (gr *Group) applyUnreachable(now time.Time, endpoint uint64, from string, ttl time.Duration) {
 	id, accepted := gr.Placer.MarkUnreachable(now, endpoint, ttl)
 	gr.Log.Info("Two routers cannot reach an endpoint.", zap.String("Endpoint", string(id)), zap.String("From", from),
 		zap.Duration("For", ttl), zap.Bool("Believed", accepted))
@@ -282,10 +282,10 @@
 		gr.counts.table.Report(now, cm.Endpoint, int(cm.Calls))
 	case countReply:
 		gr.counts.deliver(cm)
-	case countUnreachable:
+	case countConnectFailed:
 		gr.handleUnreachable(now, cm.Endpoint, from.String())
-	case countLost:
-		gr.applyLost(now, cm.Endpoint, from.String(), min(maxLostTTL, time.Duration(cm.Calls)*time.Millisecond))
+	case countUnreachable:
+		gr.applyUnreachable(now, cm.Endpoint, from.String(), min(maxUnreachableTTL, time.Duration(cm.Calls)*time.Millisecond))
 	case countReachable:
 		gr.Placer.MarkReachable(cm.Endpoint)
 	case countDraining:
--- a/io/gossip/crash_test.go
+++ b/io/gossip/crash_test.go
@@ -50,7 +50,7 @@
 
 // Routers that see a request crash endpoints notify the same two owners, which thus count all
 // crashes, whoever saw them. What the owners conclude is sent to all.
-func TestCrashNotesReachTheSameOwners(t *testing.T) {
+func TestCrashNoticesReachTheSameOwners(t *testing.T) {
 	all, received := meetCollecting(t, 5)
 	now := time.Now()
 	for request := range byte(10) {
@@ -89,7 +89,7 @@
 
 // Invalid notices, from a router of another version or something else that sends to the port, must
 // be dropped, and later valid ones handled.
-func TestInvalidCrashNotesAreDropped(t *testing.T) {
+func TestInvalidCrashNoticesAreDropped(t *testing.T) {
 	all, received := meetCollecting(t, 2)
 	co, err := net.Dial("udp", all[0].Addr)
 	if err != nil {
--- a/io/gossip/down.go
+++ b/io/gossip/down.go
@@ -8,13 +8,14 @@
 )
 
 // When a router cannot connect to an endpoint, the owner of its count tries to connect itself, and
-// retries with doubling delays until it succeeds. All routers then learn of a lost endpoint from
-// the one request that found it, however few requests each endpoint gets, and need not find it
+// retries with doubling delays until it succeeds. All routers then learn of an unreachable endpoint
+// from the one request that found it, however few requests each endpoint gets, and need not find it
 // again.
 
 const (
-	// maxLostTTL is how long, at most, an endpoint is treated as lost without another message.
-	maxLostTTL = 8 * time.Second
+	// maxUnreachableTTL is how long, at most, an endpoint is treated as unreachable without another
+	// message.
+	maxUnreachableTTL = 8 * time.Second
 	// recheckBefore is how long before that state expires the owner tries again: the timeout of a
 	// connection, and the transit delay to all routers.
 	recheckBefore = 500 * time.Millisecond
@@ -48,7 +49,7 @@
 func (gr *Group) reconnectLoop(endpoint uint64) {
 	defer gr.counts.endReconnect(endpoint)
 	announced := false
-	for ttl := place.UnreachableTTL; gr.counts.socket.Load() != nil; ttl = min(maxLostTTL, 2*ttl) {
+	for ttl := place.UnreachableTTL; gr.counts.socket.Load() != nil; ttl = min(maxUnreachableTTL, 2*ttl) {
 		reached, known := gr.Reach(context.Background(), endpoint)
 		if !known {
 			return
@@ -58,7 +59,7 @@
 			return
 		}
 		announced = true
-		gr.broadcastLost(time.Now(), endpoint, gr.Addr, ttl)
+		gr.broadcastUnreachable(time.Now(), endpoint, gr.Addr, ttl)
 		time.Sleep(ttl - recheckBefore)
 	}
 }
--- a/io/gossip/export_test.go
+++ b/io/gossip/export_test.go
@@ -19,7 +19,7 @@
 
 // HandleUnreachable handles a peer's message that it cannot connect to the endpoint.
 func (gr *Group) HandleUnreachable(endpoint uint64, from string) {
-	gr.handleCount(time.Now(), &net.UDPAddr{IP: net.ParseIP(from)}, &countMessage{Kind: countUnreachable, Endpoint: endpoint})
+	gr.handleCount(time.Now(), &net.UDPAddr{IP: net.ParseIP(from)}, &countMessage{Kind: countConnectFailed, Endpoint: endpoint})
 }
 
 // HandleDatagram handles a datagram as received from the socket.
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -112,10 +112,10 @@
 	From     core.VMID       `cbor:"4,keyasint,omitempty"`
 	Peers    []packedAddr    `cbor:"14,keyasint,omitempty"`
 	Readings []place.Reading `cbor:"6,keyasint,omitempty"`
-	// PeersHeard is how many peers are alive to the sender, Config the version of its configuration
+	// LivePeers is how many peers are alive to the sender, Config the version of its configuration
 	// in force; both are set in peer exchanges.
-	PeersHeard uint16        `cbor:"12,keyasint,omitempty"`
-	Config     route.Version `cbor:"13,keyasint,omitempty"`
+	LivePeers uint16        `cbor:"12,keyasint,omitempty"`
+	Config    route.Version `cbor:"13,keyasint,omitempty"`
 	// Count is set in messages about one endpoint's calls, which hold nothing else.
 	Count *countMessage `cbor:"10,keyasint,omitempty"`
 	// Crash is set in messages about a request that crashes endpoints, which hold nothing else.
@@ -159,9 +159,9 @@
 	// InForce returns the version of the configuration in force here; nil if there is none.
 	InForce func() route.Version
 	// Reach reports whether a connection to an endpoint, given by its hash, can be made; known is
-	// false if the endpoint is gone. May be nil: then lost endpoints are not reconnected to.
+	// false if the endpoint is gone. May be nil: then unreachable endpoints are not reconnected to.
 	Reach func(ctx context.Context, endpoint uint64) (reached, known bool)
-	// AskTimeout bounds the wait for the owner of an endpoint's count; askTimeout if it is 0.
+	// AskTimeout bounds the wait for the owner of an endpoint's count; queryTimeout if it is 0.
 	AskTimeout time.Duration
 
 	responses  responseCache
@@ -195,8 +195,8 @@
 	confirmed time.Time
 	failing   bool
 	leaving   bool
-	// peersHeard is how many peers are alive to it, as it reported.
-	peersHeard uint16
+	// livePeers is how many peers are alive to it, as it reported.
+	livePeers uint16
 	// config is the version of its configuration in force, as it reported.
 	config route.Version
 	// udpAddr is its resolved address, nil until it is needed; backoff is set while it does not
@@ -368,8 +368,8 @@
 		gr.Log.Info("A peer is shutting down.", zap.String("Peer", string(me.id)), zap.String("Addr", from))
 	}
 	if ms.From != "" {
-		me.id, me.peersHeard, me.config = ms.From, ms.PeersHeard, ms.Config
-		if gr.membership.KnowsMore(int(ms.PeersHeard)) {
+		me.id, me.livePeers, me.config = ms.From, ms.LivePeers, ms.Config
+		if gr.membership.KnowsMore(int(ms.LivePeers)) {
 			gr.joining = append(gr.joining, from)
 		}
 	}
--- a/io/gossip/grants.go
+++ b/io/gossip/grants.go
@@ -61,7 +61,7 @@
 	connected := len(gr.members) == 0 && !gr.announced.IsZero() && now.Sub(gr.announced) >= settleWindow
 	for addr, me := range gr.members {
 		connected = connected || !gr.membership.LastReceived(addr).IsZero()
-		if gr.membership.Alive(addr) && int(me.peersHeard) > len(gr.members) {
+		if gr.membership.Alive(addr) && int(me.livePeers) > len(gr.members) {
 			settled = false // more peers are alive to it than are known here
 		}
 	}
--- a/io/gossip/send.go
+++ b/io/gossip/send.go
@@ -114,7 +114,7 @@
 	}
 	ms := gr.message(now)
 	ms.From, ms.Readings = gr.Self, gr.Placer.Readings(now)
-	ms.PeersHeard, ms.Config = uint16(min(math.MaxUint16, gr.Live())), gr.configInForce()
+	ms.LivePeers, ms.Config = uint16(min(math.MaxUint16, gr.Live())), gr.configInForce()
 	for _, addr := range gr.randomAlive(maxPeers) {
 		if packed := packAddr(addr); packed != nil {
 			ms.Peers = append(ms.Peers, packed)
