--- a/io/relay/attempt.go
+++ b/io/relay/attempt.go
@@ -40,7 +40,7 @@
 	began := time.Now()
 	rf, result := ex.run(ctx, header)
 	ex.reportOutcome(began, rf)
-	rq.reserved = ex.stall.stop()
+	rq.reservedTicket = ex.stall.stop()
 	ex.tk.Done(time.Now(), result)
 	if counts := rq.re.Counts; counts != nil && result == place.Unreachable {
 		counts.ReportDown(ex.tk.Hash)
@@ -196,7 +196,7 @@
 // already has a part.
 func (ex *exchange) forwardUnbuffered(ctx context.Context, start []byte, re place.Result) (*core.Refusal, place.Result) {
 	// No other endpoint can continue once the caller has a part of this response.
-	ex.rq.reserved = ex.stall.stop()
+	ex.rq.reservedTicket = ex.stall.stop()
 	ex.rq.writeHead(ex.rs.StatusCode, ex.rs.Header, ex.rs.ContentLength)
 	if _, err := ex.rq.wr.Write(start); err != nil {
 		return ex.refusal(core.Unknown, core.ReasonCallerGone, "write", err), place.Neutral
--- a/io/relay/counts_test.go
+++ b/io/relay/counts_test.go
@@ -25,41 +25,41 @@
 	draining []uint64
 }
 
-func (ke *fakeCounts) ReportDown(endpoint uint64) {
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	ke.down = append(ke.down, endpoint)
+func (fc *fakeCounts) ReportDown(endpoint uint64) {
+	fc.mu.Lock()
+	defer fc.mu.Unlock()
+	fc.down = append(fc.down, endpoint)
 }
 
-func (ke *fakeCounts) ReportDraining(endpoint uint64) {
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	ke.draining = append(ke.draining, endpoint)
+func (fc *fakeCounts) ReportDraining(endpoint uint64) {
+	fc.mu.Lock()
+	defer fc.mu.Unlock()
+	fc.draining = append(fc.draining, endpoint)
 }
 
-func (ke *fakeCounts) InFlight(_ context.Context, endpoint uint64) (int, bool) {
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	ke.asked = append(ke.asked, endpoint)
-	return ke.calls, ke.known
+func (fc *fakeCounts) InFlight(_ context.Context, endpoint uint64) (int, bool) {
+	fc.mu.Lock()
+	defer fc.mu.Unlock()
+	fc.asked = append(fc.asked, endpoint)
+	return fc.calls, fc.known
 }
 
-func (ke *fakeCounts) ReportInFlight(endpoint uint64, calls int) {
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	if ke.reported == nil {
-		ke.reported = map[uint64]int{}
+func (fc *fakeCounts) ReportInFlight(endpoint uint64, calls int) {
+	fc.mu.Lock()
+	defer fc.mu.Unlock()
+	if fc.reported == nil {
+		fc.reported = map[uint64]int{}
 	}
-	ke.reported[endpoint] = calls
+	fc.reported[endpoint] = calls
 }
 
 // newSharedPool returns a router with two engines that it shares with another router.
-func newSharedPool(t *testing.T, ke *fakeCounts) *fleet {
+func newSharedPool(t *testing.T, fc *fakeCounts) *fleet {
 	t.Helper()
 	fl := newFleet(t, respond(http.StatusOK, "x"), respond(http.StatusOK, "x"))
 	fl.re.Placer.RouterCount = func() int { return 2 }
 	fl.re.Dialect.Calls = func(http.Header) (int, bool) { return 5, true }
-	fl.re.Counts = ke
+	fl.re.Counts = fc
 	for range 6 { // occupy some slots
 		if _, rf := fl.re.Placer.Pick(time.Now(), &place.Request{Pool: "pool", Engine: true}); rf != nil {
 			t.Fatal(rf)
@@ -71,37 +71,37 @@
 // The engine that the router would choose has no free slot, because of other routers' calls that this
 // router has not learned of yet. It must ask for the count and send the request to the other engine.
 func TestFullEngineIsFoundBeforeSend(t *testing.T) {
-	ke := &fakeCounts{calls: 12, known: true}
-	fl := newSharedPool(t, ke)
+	fc := &fakeCounts{calls: 12, known: true}
+	fl := newSharedPool(t, fc)
 	rs, _, err := fl.send(http.MethodGet, "/r/a", "")
 	fl.expect(rs, err, http.StatusOK, 1)
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	if len(ke.asked) != 1 {
-		t.Fatalf("asked for the counts of %v, want one engine", ke.asked)
+	fc.mu.Lock()
+	defer fc.mu.Unlock()
+	if len(fc.asked) != 1 {
+		t.Fatalf("asked for the counts of %v, want one engine", fc.asked)
 	}
-	if _, reported := ke.reported[ke.asked[0]]; reported || len(ke.reported) != 1 {
-		t.Errorf("counts reported by %v, want only the engine that was not asked about", ke.reported)
+	if _, reported := fc.reported[fc.asked[0]]; reported || len(fc.reported) != 1 {
+		t.Errorf("counts reported by %v, want only the engine that was not asked about", fc.reported)
 	}
 }
 
 // No router knows the engine's count, because its owner is lost. The request must be sent according
 // to the router's own estimate.
 func TestRequestProceedsWithoutCount(t *testing.T) {
-	ke := &fakeCounts{}
-	fl := newSharedPool(t, ke)
+	fc := &fakeCounts{}
+	fl := newSharedPool(t, fc)
 	rs, _, err := fl.send(http.MethodGet, "/r/a", "")
 	fl.expect(rs, err, http.StatusOK, 1)
-	if len(ke.asked) != 1 {
-		t.Errorf("asked for counts %d times, want once", len(ke.asked))
+	if len(fc.asked) != 1 {
+		t.Errorf("asked for counts %d times, want once", len(fc.asked))
 	}
 }
 
 // A router finds that an engine has crashed. It must report this to the other routers, or each of
 // them would find out only by a failed request of its own.
 func TestDeadEngineIsReported(t *testing.T) {
-	ke := &fakeCounts{}
-	fl := newSharedPool(t, ke)
+	fc := &fakeCounts{}
+	fl := newSharedPool(t, fc)
 	fl.re.Placer.Register(time.Now(), place.Endpoint{ID: "dead", Addr: local.Addr(t), Pool: "pool", Zone: "a", Slots: 1000})
 	for range 8 {
 		rs, _, err := fl.send(http.MethodGet, "/r/a", "")
@@ -109,9 +109,9 @@
 			t.Fatal(rs, err)
 		}
 	}
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	if len(ke.down) == 0 {
+	fc.mu.Lock()
+	defer fc.mu.Unlock()
+	if len(fc.down) == 0 {
 		t.Error("an engine that refuses connections was not reported")
 	}
 }
--- a/io/relay/crash.go
+++ b/io/relay/crash.go
@@ -42,20 +42,20 @@
 // of suspicion; a failure response does not, as endpoints also fail requests that they have barely
 // started.
 func (ex *exchange) reportOutcome(began time.Time, rf *core.Refusal) {
-	bl := ex.rq.re.Crashes
-	if bl == nil {
+	cd := ex.rq.re.Crashes
+	if cd == nil {
 		return
 	}
 	en := core.EndpointRef{ID: ex.tk.Endpoint.ID, Addr: ex.tk.Endpoint.Addr, Hash: ex.tk.Hash}
 	switch {
 	case rf == nil:
 		if ex.rq.status < http.StatusMultipleChoices {
-			bl.Succeeded(ex.rq.fingerprint)
+			cd.Succeeded(ex.rq.fingerprint)
 		}
 	case ex.connRefused:
-		bl.ConnRefused(en)
+		cd.ConnRefused(en)
 	case rf.Outcome == core.Unknown && possibleCrash[rf.Reason]:
-		bl.Interrupted(en, began, ex.rq.fingerprint)
+		cd.Interrupted(en, began, ex.rq.fingerprint)
 	}
 }
 
--- a/io/relay/crash_test.go
+++ b/io/relay/crash_test.go
@@ -16,37 +16,37 @@
 
 // fakeCrashDetector records what a relay reports, and allows a number of sends.
 type fakeCrashDetector struct {
-	mu         sync.Mutex // guards all below
-	allowed    int
-	retryAfter time.Duration
-	broken     []core.EndpointID
-	refused    []core.EndpointID
-	ended      []core.Fingerprint
+	mu          sync.Mutex // guards all below
+	allowed     int
+	retryAfter  time.Duration
+	interrupted []core.EndpointID
+	refused     []core.EndpointID
+	succeeded   []core.Fingerprint
 }
 
-func (bl *fakeCrashDetector) Allowed(context.Context, core.Fingerprint) (bool, time.Duration) {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
-	bl.allowed--
-	return bl.allowed >= 0, bl.retryAfter
+func (cd *fakeCrashDetector) Allowed(context.Context, core.Fingerprint) (bool, time.Duration) {
+	cd.mu.Lock()
+	defer cd.mu.Unlock()
+	cd.allowed--
+	return cd.allowed >= 0, cd.retryAfter
 }
 
-func (bl *fakeCrashDetector) Succeeded(fp core.Fingerprint) {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
-	bl.ended = append(bl.ended, fp)
+func (cd *fakeCrashDetector) Succeeded(fp core.Fingerprint) {
+	cd.mu.Lock()
+	defer cd.mu.Unlock()
+	cd.succeeded = append(cd.succeeded, fp)
 }
 
-func (bl *fakeCrashDetector) Interrupted(en core.EndpointRef, _ time.Time, _ core.Fingerprint) {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
-	bl.broken = append(bl.broken, en.ID)
+func (cd *fakeCrashDetector) Interrupted(en core.EndpointRef, _ time.Time, _ core.Fingerprint) {
+	cd.mu.Lock()
+	defer cd.mu.Unlock()
+	cd.interrupted = append(cd.interrupted, en.ID)
 }
 
-func (bl *fakeCrashDetector) ConnRefused(en core.EndpointRef) {
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
-	bl.refused = append(bl.refused, en.ID)
+func (cd *fakeCrashDetector) ConnRefused(en core.EndpointRef) {
+	cd.mu.Lock()
+	defer cd.mu.Unlock()
+	cd.refused = append(cd.refused, en.ID)
 }
 
 func (*fakeCrashDetector) Crashed(uint64, core.Fingerprint) {}
@@ -76,12 +76,12 @@
 // another endpoint, and the caller must not be told that it did not run.
 func TestQuarantineAppliesBetweenAttempts(t *testing.T) {
 	fl := newFleet(t, crashing, crashing).configure(route.Route{Kind: route.Idempotent, MaxAttempts: 2})
-	bl := &fakeCrashDetector{allowed: 1}
-	fl.re.Crashes = bl
+	cd := &fakeCrashDetector{allowed: 1}
+	fl.re.Crashes = cd
 	rs, _, err := fl.send("GET", "/r/x", "")
 	fl.expect(rs, err, http.StatusBadGateway, 1)
-	if len(bl.broken) != 1 || len(bl.ended) != 0 {
-		t.Errorf("%d attempts reported as interrupted, %d as succeeded; want 1, 0", len(bl.broken), len(bl.ended))
+	if len(cd.interrupted) != 1 || len(cd.succeeded) != 0 {
+		t.Errorf("%d attempts reported as interrupted, %d as succeeded; want 1, 0", len(cd.interrupted), len(cd.succeeded))
 	}
 }
 
@@ -103,14 +103,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			fl := newFleet(t, tc.script).configure(route.Route{Kind: route.OnceOnly})
-			bl := &fakeCrashDetector{allowed: 9}
-			fl.re.Crashes = bl
+			cd := &fakeCrashDetector{allowed: 9}
+			fl.re.Crashes = cd
 			rs, _, err := fl.send("POST", "/r/x", "b")
 			fl.expect(rs, err, tc.status, 1)
-			bl.mu.Lock()
-			defer bl.mu.Unlock()
-			if len(bl.ended) != tc.ended || len(bl.broken) != tc.broken || len(bl.refused) != 0 {
-				t.Errorf("%d succeeded, %d interrupted, %d refused; want %d, %d, 0", len(bl.ended), len(bl.broken), len(bl.refused), tc.ended, tc.broken)
+			cd.mu.Lock()
+			defer cd.mu.Unlock()
+			if len(cd.succeeded) != tc.ended || len(cd.interrupted) != tc.broken || len(cd.refused) != 0 {
+				t.Errorf("%d succeeded, %d interrupted, %d refused; want %d, %d, 0", len(cd.succeeded), len(cd.interrupted), len(cd.refused), tc.ended, tc.broken)
 			}
 		})
 	}
@@ -122,19 +122,19 @@
 func TestLongFailureIsForwardedWhole(t *testing.T) {
 	long := strings.Repeat("x", 3<<20)
 	fl := newFleet(t, respond(500, long)).configure(route.Route{Kind: route.OnceOnly})
-	bl := &fakeCrashDetector{allowed: 9}
-	fl.re.Crashes = bl
+	cd := &fakeCrashDetector{allowed: 9}
+	fl.re.Crashes = cd
 	rs, body, err := fl.send("POST", "/r/x", "b")
 	fl.expect(rs, err, http.StatusInternalServerError, 1)
 	if len(body) != len(long) {
 		t.Errorf("got %d bytes, want %d", len(body), len(long))
 	}
-	bl.mu.Lock()
-	defer bl.mu.Unlock()
-	if len(bl.ended)+len(bl.broken) > 0 {
-		t.Errorf("%d attempts reported as succeeded, %d as interrupted; want none", len(bl.ended), len(bl.broken))
+	cd.mu.Lock()
+	defer cd.mu.Unlock()
+	if len(cd.succeeded)+len(cd.interrupted) > 0 {
+		t.Errorf("%d attempts reported as succeeded, %d as interrupted; want none", len(cd.succeeded), len(cd.interrupted))
 	}
-	if got := fl.faults.Load(); got != 0 {
+	if got := fl.panics.Load(); got != 0 {
 		t.Errorf("%d panics while it was served", got)
 	}
 }
--- a/io/relay/harness_test.go
+++ b/io/relay/harness_test.go
@@ -60,8 +60,8 @@
 	viewAge      time.Duration
 	shuttingDown bool
 
-	// faults counts requests whose handler panicked, other than with http.ErrAbortHandler.
-	faults atomic.Int64
+	// panics counts requests whose handler panicked, other than with http.ErrAbortHandler.
+	panics atomic.Int64
 
 	mu  sync.Mutex // guards got
 	got []*received
@@ -120,7 +120,7 @@
 			return
 		}
 		if fault != http.ErrAbortHandler {
-			fl.faults.Add(1)
+			fl.panics.Add(1)
 		}
 		panic(http.ErrAbortHandler)
 	}()
--- a/io/relay/notice_test.go
+++ b/io/relay/notice_test.go
@@ -114,7 +114,7 @@
 // instead of once.
 func TestDrainingEndpointIsReportedOnce(t *testing.T) {
 	const calls = 4
-	ke := &fakeCounts{}
+	fc := &fakeCounts{}
 	var fl *fleet
 	fl = newFleet(t, func(se *received, co net.Conn) bool {
 		for len(fl.requests()) < calls {
@@ -122,7 +122,7 @@
 		}
 		return respondWithHeader(200, "ok", "X-Leaving", "1")(se, co)
 	}).configure(onceOnly)
-	fl.re.Counts = ke
+	fl.re.Counts = fc
 	var all sync.WaitGroup
 	for range calls {
 		all.Go(func() {
@@ -132,15 +132,15 @@
 		})
 	}
 	all.Wait()
-	if got := ke.drainingReports(); got != 1 {
+	if got := fc.drainingReports(); got != 1 {
 		t.Errorf("the endpoint was reported %d times, want once", got)
 	}
 }
 
-func (ke *fakeCounts) drainingReports() int {
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
-	return len(ke.draining)
+func (fc *fakeCounts) drainingReports() int {
+	fc.mu.Lock()
+	defer fc.mu.Unlock()
+	return len(fc.draining)
 }
 
 // refuseWithBackoff refuses requests as not run, and asks for a backoff.
--- a/io/relay/refused_test.go
+++ b/io/relay/refused_test.go
@@ -106,7 +106,7 @@
 // refusedCase is a request to a router with two endpoints.
 type refusedCase struct {
 	kind          route.Route
-	leaving       bool
+	shuttingDown  bool
 	first, second ending
 }
 
@@ -121,7 +121,7 @@
 	for name, kind := range kinds {
 		t.Run(name, func(t *testing.T) { everyPair(t, &refusedCase{kind: kind}) })
 	}
-	t.Run("once only, leaving", func(t *testing.T) { everyPair(t, &refusedCase{kind: kinds["once only"], leaving: true}) })
+	t.Run("once only, leaving", func(t *testing.T) { everyPair(t, &refusedCase{kind: kinds["once only"], shuttingDown: true}) })
 }
 
 // everyPair checks the case with each pair of endings.
@@ -131,7 +131,7 @@
 		for _, second := range all[ix:] { // either of two endpoints may come first
 			t.Run(first.name+", "+second.name, func(t *testing.T) {
 				t.Parallel()
-				(&refusedCase{ca.kind, ca.leaving, first, second}).check(t)
+				(&refusedCase{ca.kind, ca.shuttingDown, first, second}).check(t)
 			})
 		}
 	}
@@ -149,7 +149,7 @@
 		}
 	}
 	fl = newFleet(t, counted(ca.first), counted(ca.second)).configure(ca.kind)
-	fl.shuttingDown = ca.leaving
+	fl.shuttingDown = ca.shuttingDown
 	rs, _, _ := fl.send("POST", "/r/x", "draft", "X-Wait", fmt.Sprint(callerWait.Milliseconds()))
 	ran := runs.Load()
 	if ca.kind.Kind == route.OnceOnly && ran > 1 {
--- a/io/relay/request.go
+++ b/io/relay/request.go
@@ -45,8 +45,8 @@
 	// countAsked is set if an endpoint's calls in flight were requested before the choice, and
 	// known.
 	countAsked bool
-	// mayHaveRun is the result of the last attempt that may have run, nil if there is none.
-	mayHaveRun *core.Refusal
+	// mayHaveRunRefusal is the result of the last attempt that may have run, nil if there is none.
+	mayHaveRunRefusal *core.Refusal
 	// failure is the last failure response of an endpoint.
 	failure *failureResponse
 	// headSent is set once the response head, with this status, was written to the caller, at
@@ -62,8 +62,8 @@
 	ticket     *place.Ticket
 	// notice is that of the last response.
 	notice Notice
-	// reserved is the ticket reserved for the next attempt, nil if there is none.
-	reserved *place.Ticket
+	// reservedTicket is the ticket reserved for the next attempt, nil if there is none.
+	reservedTicket *place.Ticket
 	// lastSend is read by logRunning.
 	lastSend atomic.Pointer[sendRecord]
 }
@@ -100,7 +100,7 @@
 		}
 		rq.tried = append(rq.tried, rq.ticket.Endpoint.ID)
 		if rf.Outcome != core.NotRun {
-			rq.mayHaveRun = rf
+			rq.mayHaveRunRefusal = rf
 		}
 		if !rq.mayRetry(ctx, rf, dials) {
 			rq.finishFailed(rf)
@@ -113,22 +113,22 @@
 
 // releaseReserved releases the ticket reserved for an attempt that is not made.
 func (rq *request) releaseReserved() {
-	if rq.reserved != nil {
-		rq.reserved.Done(time.Now(), place.Neutral)
-		rq.reserved = nil
+	if rq.reservedTicket != nil {
+		rq.reservedTicket.Done(time.Now(), place.Neutral)
+		rq.reservedTicket = nil
 	}
 }
 
 // chooseEndpoint sets the ticket of the next attempt. Attempts after the first send are charged to
 // the retry budget.
 func (rq *request) chooseEndpoint(ctx context.Context) *core.Refusal {
-	if rq.reserved != nil {
-		rq.ticket, rq.reserved = rq.reserved, nil
+	if rq.reservedTicket != nil {
+		rq.ticket, rq.reservedTicket = rq.reservedTicket, nil
 		return nil
 	}
-	as := rq.placementRequest()
-	rq.refreshCount(ctx, as)
-	tk, rf := rq.pick(ctx, as)
+	pr := rq.placementRequest()
+	rq.refreshCount(ctx, pr)
+	tk, rf := rq.pick(ctx, pr)
 	if rf != nil {
 		return rf
 	}
@@ -147,9 +147,9 @@
 
 // pick chooses an endpoint. A cold one needs a grant. Once maxGrantRequests are denied, only warm
 // endpoints are considered.
-func (rq *request) pick(ctx context.Context, as *place.Request) (*place.Ticket, *core.Refusal) {
+func (rq *request) pick(ctx context.Context, pr *place.Request) (*place.Ticket, *core.Refusal) {
 	for range maxGrantRequests {
-		tk, rf := rq.re.Placer.Pick(time.Now(), as)
+		tk, rf := rq.re.Placer.Pick(time.Now(), pr)
 		if rf != nil {
 			return nil, rf
 		}
@@ -164,18 +164,18 @@
 		rq.re.Stats.Add(stats.ColdDenied, 1)
 		tk.Deny(time.Now(), after)
 	}
-	as.WarmOnly = true
-	return rq.re.Placer.Pick(time.Now(), as)
+	pr.WarmOnly = true
+	return rq.re.Placer.Pick(time.Now(), pr)
 }
 
 // refreshCount requests the calls in flight, from all routers, of the endpoint that would be
 // chosen, if the count known here is uncertain. If the endpoint turns out to be full, the next one
 // is chosen without another query.
-func (rq *request) refreshCount(ctx context.Context, as *place.Request) {
+func (rq *request) refreshCount(ctx context.Context, pr *place.Request) {
 	if rq.re.Counts == nil {
 		return
 	}
-	endpoint, uncertain := rq.re.Placer.NeedsCount(time.Now(), as)
+	endpoint, uncertain := rq.re.Placer.NeedsCount(time.Now(), pr)
 	if !uncertain {
 		return
 	}
@@ -187,20 +187,20 @@
 
 // placementRequest returns the criteria for choosing an endpoint.
 func (rq *request) placementRequest() *place.Request {
-	as := &place.Request{Pool: rq.pool, Parts: rq.promptParts, Tried: rq.tried}
+	pr := &place.Request{Pool: rq.pool, Parts: rq.promptParts, Tried: rq.tried}
 	if rq.customer != nil {
-		as.Customer = rq.customer.ID
+		pr.Customer = rq.customer.ID
 	}
 	homes, all := route.HomeRegionsOf(rq.route, rq.customer)
-	as.HomeRegions, as.RegionBound = homes, !all
+	pr.HomeRegions, pr.RegionBound = homes, !all
 	if po := rq.table.Pool(rq.pool); po != nil {
-		as.MaxConns = po.MaxConns
-		as.Engine = po.Engine
-		as.EngineMemory = po.CacheTokens
-		as.FetchTokensPerMs = po.FetchTokensPerMs
-		as.ColdDuration, as.ColdRate = po.ColdDuration, po.ColdRate
+		pr.MaxConns = po.MaxConns
+		pr.Engine = po.Engine
+		pr.EngineMemory = po.CacheTokens
+		pr.FetchTokensPerMs = po.FetchTokensPerMs
+		pr.ColdDuration, pr.ColdRate = po.ColdDuration, po.ColdRate
 	}
-	return as
+	return pr
 }
 
 // mayRetry reports whether another attempt is safe and worth making.
@@ -239,9 +239,9 @@
 	if rq.headSent {
 		rq.abortResponse(rf)
 	}
-	if rf.Outcome == core.NotRun && rq.mayHaveRun != nil {
+	if rf.Outcome == core.NotRun && rq.mayHaveRunRefusal != nil {
 		// The caller has to know that an earlier attempt may have run.
-		rf = rq.mayHaveRun
+		rf = rq.mayHaveRunRefusal
 	}
 	if rq.failure != nil && rf.Outcome != core.NotRun {
 		rq.forwardFailure(rf)
--- a/io/relay/running_test.go
+++ b/io/relay/running_test.go
@@ -18,13 +18,13 @@
 func TestLongRunningRequestIsLogged(t *testing.T) {
 	core, lines := observer.New(zapcore.InfoLevel)
 	isRunning := func() []observer.LoggedEntry { return lines.FilterMessage("A request is still running.").All() }
-	holdUntilTold := func(*received, net.Conn) bool {
+	holdUntilLogged := func(*received, net.Conn) bool {
 		for deadline := time.Now().Add(2 * time.Second); len(isRunning()) == 0 && time.Now().Before(deadline); {
 			time.Sleep(10 * time.Millisecond)
 		}
 		return false
 	}
-	fl := newFleet(t, respond(http.StatusOK, "soon"), holdUntilTold)
+	fl := newFleet(t, respond(http.StatusOK, "soon"), holdUntilLogged)
 	fl.re.Log = zap.New(core)
 	fl.configure(onceOnly)
 	for len(isRunning()) == 0 && len(fl.requests()) < 20 { // until the second endpoint gets a request
--- a/io/relay/stall.go
+++ b/io/relay/stall.go
@@ -36,9 +36,9 @@
 	timer   *time.Timer
 
 	mu sync.Mutex // guards all below
-	// reserved is the ticket of the attempt for which this one was abandoned, nil if it was not.
-	reserved *place.Ticket
-	stopped  bool
+	// reservedTicket is the ticket of the attempt for which this one was abandoned, nil if it was not.
+	reservedTicket *place.Ticket
+	stopped        bool
 }
 
 // stallTimeout returns how long the endpoint may send nothing before another one is tried, 0 if no
@@ -55,57 +55,57 @@
 }
 
 // start arms the timer, if the attempt may be abandoned at all.
-func (si *stallTimer) start(ex *exchange) {
-	si.mu.Lock() // expire uses si.timer, which is not set yet when the timer starts
-	defer si.mu.Unlock()
-	if si.timeout = ex.stallTimeout(); si.timeout > 0 {
-		si.ex = ex
-		si.timer = time.AfterFunc(si.timeout, si.expire)
+func (st *stallTimer) start(ex *exchange) {
+	st.mu.Lock() // expire uses si.timer, which is not set yet when the timer starts
+	defer st.mu.Unlock()
+	if st.timeout = ex.stallTimeout(); st.timeout > 0 {
+		st.ex = ex
+		st.timer = time.AfterFunc(st.timeout, st.expire)
 	}
 }
 
 // reset restarts the timer.
-func (si *stallTimer) reset() {
-	if si.timer != nil {
-		si.timer.Reset(si.timeout)
+func (st *stallTimer) reset() {
+	if st.timer != nil {
+		st.timer.Reset(st.timeout)
 	}
 }
 
 // stop stops the timer. It returns the reserved ticket, nil if the attempt was not abandoned.
-func (si *stallTimer) stop() *place.Ticket {
-	if si.timer == nil {
+func (st *stallTimer) stop() *place.Ticket {
+	if st.timer == nil {
 		return nil
 	}
-	si.timer.Stop()
-	si.mu.Lock()
-	defer si.mu.Unlock()
-	si.stopped = true
-	return si.reserved
+	st.timer.Stop()
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.stopped = true
+	return st.reservedTicket
 }
 
 // expire abandons the attempt if another can be reserved, and otherwise tries again later.
-func (si *stallTimer) expire() {
-	si.mu.Lock()
-	defer si.mu.Unlock()
-	if si.stopped || si.reserved != nil {
+func (st *stallTimer) expire() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if st.stopped || st.reservedTicket != nil {
 		return
 	}
-	if si.reserved = si.ex.rq.reserve(si.ex.tk); si.reserved == nil {
-		si.timer.Reset(reserveRetryInterval)
+	if st.reservedTicket = st.ex.rq.reserve(st.ex.tk); st.reservedTicket == nil {
+		st.timer.Reset(reserveRetryInterval)
 		return
 	}
-	si.ex.co.Interrupt()
+	st.ex.co.Interrupt()
 }
 
 // reserve returns a ticket for another attempt at a different endpoint; nil if no healthy endpoint
 // has free capacity or the retry budget is exhausted. It runs concurrently with the request's own
 // goroutine, which does not change the fields read here during an attempt.
 func (rq *request) reserve(current *place.Ticket) *place.Ticket {
-	as := rq.placementRequest()
-	as.Tried = append(slices.Clone(rq.tried), current.Endpoint.ID)
-	as.HealthyOnly = true
+	pr := rq.placementRequest()
+	pr.Tried = append(slices.Clone(rq.tried), current.Endpoint.ID)
+	pr.HealthyOnly = true
 	now := time.Now()
-	tk, rf := rq.pick(rq.hr.Context(), as)
+	tk, rf := rq.pick(rq.hr.Context(), pr)
 	if rf != nil {
 		return nil
 	}
