--- a/core/router/router.go
+++ b/core/router/router.go
@@ -83,8 +83,9 @@
 	number int
 	// claimantNamed is set once a refusal has named the agent that claimed the idempotency key.
 	claimantNamed bool
-	// mayHaveRun is the refusal of the latest attempt that may have run, nil if there is none.
-	mayHaveRun *core.Refusal
+	// mayHaveRunRefusal is the refusal of the latest attempt that may have run, nil if there is
+	// none.
+	mayHaveRunRefusal *core.Refusal
 	// fingerprint identifies the request across attempts and callers' retries.
 	fingerprint core.Fingerprint
 }
@@ -130,7 +131,7 @@
 			return rep, at.final(re)
 		}
 		if re.Outcome != core.NotRun {
-			at.mayHaveRun = re
+			at.mayHaveRunRefusal = re
 			if !at.backOff(ctx) {
 				return rep, re
 			}
@@ -292,8 +293,8 @@
 	switch {
 	case re.Outcome != core.NotRun:
 		return re
-	case at.mayHaveRun != nil:
-		return at.mayHaveRun
+	case at.mayHaveRunRefusal != nil:
+		return at.mayHaveRunRefusal
 	case !at.claimantNamed:
 		return re
 	}
