--- a/io/capac/rows.go
+++ b/io/capac/rows.go
@@ -58,7 +58,7 @@
 	},
 	{
 		Role: "every process", What: "control messages sent", Mechanism: "core/bucket, core/agent/control.go", Prefix: "Control/own/nodes=", Metric: "B/s/node",
-		TargetSize: processes, Scale: 1.0 / 1000, Unit: "KB/s", Budget: 5, Note: "held to 2.5 KB/s by the meter whatever the size",
+		TargetSize: processes, Scale: 1.0 / 1000, Unit: "KB/s", Budget: 5, Note: "limited to 2.5 KB/s by a bucket whatever the size",
 	},
 	{
 		Role: "every process", What: "configuration sent", Mechanism: "core/syncer", Prefix: "Config/own/nodes=", Metric: "config-B/s/node",
@@ -89,12 +89,12 @@
 		Mean: true, Scale: tokensPerSecond / float64(agents) / 1e9, Unit: "cores", Note: "3,333 tokens/s an agent",
 	},
 	{
-		Role: roleAgent, What: "claims kept by one of 64 keepers, 5 % once-only", Mechanism: "core/claim/keeper.go", Prefix: "Memory/keys/count=", Metric: "B/each",
-		Mean: true, Scale: requestsPerSecond * 0.05 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "17,578 claims a keeper over the window of 15 min; up to twice that between turns",
+		Role: roleAgent, What: "claims of one of 64 shards, 5 % once-only", Mechanism: "core/claim/writer.go", Prefix: "Memory/keys/count=", Metric: "B/each",
+		Mean: true, Scale: requestsPerSecond * 0.05 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "17,578 claims a shard over the window of 15 min; up to twice that between rotations",
 	},
 	{
-		Role: roleAgent, What: "claims kept by one of 64 keepers, 20 % once-only", Mechanism: "core/claim/keeper.go", Prefix: "Memory/keys/count=", Metric: "B/each",
-		Mean: true, Scale: requestsPerSecond * 0.2 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "70,313 claims a keeper",
+		Role: roleAgent, What: "claims of one of 64 shards, 20 % once-only", Mechanism: "core/claim/writer.go", Prefix: "Memory/keys/count=", Metric: "B/each",
+		Mean: true, Scale: requestsPerSecond * 0.2 * keyWindow / claimShards / megabyte, Unit: "MB", Budget: 32, Note: "70,313 claims a shard",
 	},
 	{
 		Role: roleKV, What: "configuration polls", Mechanism: "core/syncer", Prefix: "Config/own/nodes=", Metric: "kv-calls/s",
@@ -133,7 +133,7 @@
 		TargetSize: agents, Scale: 1, Unit: "writes/s", Budget: 30, Note: "one holder's renewals, whatever the fleet; an order costs two reads",
 	},
 	{
-		Role: roleOperator, What: "rolling a version, against the weight store's own time", Mechanism: "core/order/pace.go", Prefix: "Roll/own/engines=", Metric: "time/needed",
+		Role: roleOperator, What: "rolling a version, against the weight store's own time", Mechanism: "core/order/loadwindow.go", Prefix: "Roll/own/engines=", Metric: "time/needed",
 		Mean: true, Scale: 1, Unit: "times", Note: "not linear; a store that bears two loads of 20 s",
 	},
 	{
