--- a/io/entry/caller.go
+++ b/io/entry/caller.go
@@ -21,8 +21,8 @@
 	// a day apart so that they can be told from each other.
 	idleSentinel   = 24 * time.Hour
 	headerSentinel = 48 * time.Hour
-	// sentinelSpan is how far below its sentinel a deadline is still recognized: the server sets
-	// the deadline a moment after it has computed it.
+	// sentinelSpan is how far below a sentinel the remaining time may be and still be recognized:
+	// the server sets a deadline a moment after it has computed it.
 	sentinelSpan = time.Hour
 	// callerAckTimeout is how long bytes sent to a caller may stay unacknowledged. Without it a
 	// caller that has lost power would hold an endpoint's slot.
@@ -73,7 +73,7 @@
 // A request that arrives just as its idle connection is closed must not be forwarded: the
 // response could not be delivered, and the caller would not know whether the request ran. The idle
 // timeout is therefore a read deadline, which has no effect on bytes that have already arrived. If
-// the server closes the connection because it shuts down, the relay finds that out with closed
+// the server closes the connection because it shuts down, the relay detects that by calling closed
 // before it forwards anything.
 type callerConn struct {
 	*net.TCPConn
--- a/io/entry/caller_test.go
+++ b/io/entry/caller_test.go
@@ -36,7 +36,7 @@
 
 // Guards against an overloaded router that forwards requests of callers who have closed their
 // connections while the requests waited for a processor: the server has not read the close yet, and
-// hundreds of such requests would keep endpoints busy for nobody.
+// endpoints would execute hundreds of requests whose responses no caller receives.
 func TestClosedCallerIsDetectedBeforeTheServerReads(t *testing.T) {
 	caller, own, ended := connPair(t)
 	if ended() {
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -76,7 +76,8 @@
 	Err error
 }
 
-// Evacuation reports that endpoints of a zone must get no new requests, or that this has ended.
+// Evacuation reports that the endpoints of a zone must get no new requests, or, with Ended, that
+// they may get requests again.
 type Evacuation struct {
 	Zone  core.Zone
 	Ended bool
@@ -123,7 +124,8 @@
 // bufferShare is the share of the process's memory that buffered requests and responses may take.
 const bufferShare = 0.25
 
-// evacuationWindow is how long after its acceptance an evacuation may take to be in force.
+// evacuationWindow returns the time within which an evacuation must be in force after the store has
+// accepted it.
 func (pr *Process) evacuationWindow() time.Duration {
 	return time.Duration(pr.Settings.EvacuateMs) * time.Millisecond
 }
--- a/io/entry/evacuation.go
+++ b/io/entry/evacuation.go
@@ -12,8 +12,8 @@
 // and of requests on their way to endpoints.
 const evacuationMargin = 1500 * time.Millisecond
 
-// evacuations are the changes of evacuations that may be wrong because the store was restored from
-// a backup. The view's lock guards them.
+// evacuations records when evacuations ended, and which changes of evacuations may be wrong because
+// the store was restored from a backup. The view's lock guards it.
 type evacuations struct {
 	// ended is when evacuations last ended.
 	ended map[core.Zone]time.Time
@@ -85,8 +85,8 @@
 	}
 }
 
-// settleEvacuations ends the evacuations that were not written again, and puts those in force that
-// reappeared and stayed.
+// settleEvacuations ends the missing evacuations, which were not written again, and puts the
+// reappeared ones in force, which were not removed again.
 func (vi *view) settleEvacuations() {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
--- a/io/entry/view.go
+++ b/io/entry/view.go
@@ -38,8 +38,8 @@
 	at          time.Time
 }
 
-// removalTTL is how long removals are remembered: a backup that the store is restored from is some
-// seconds old.
+// removalTTL is how long removals are remembered. The store is restored from backups that are some
+// seconds old, so a restore cannot undo an older removal.
 const removalTTL = time.Minute
 
 // registration is the last registration of an endpoint, and its version in the store.
@@ -101,7 +101,7 @@
 func (vi *view) adoptConfig(doc *route.Document, rev core.Version) {
 	old := vi.pr.relay.Table()
 	if old != nil && doc.Version == old.Version {
-		vi.log.Info("The configuration in force was rewritten unchanged.", zap.Uint64("Version", uint64(doc.Version)), zap.Stringer("Rev", rev))
+		vi.log.Info("The version of the configuration in force was written again.", zap.Uint64("Version", uint64(doc.Version)), zap.Stringer("Rev", rev))
 		return
 	}
 	if old != nil && doc.Version < old.Version {
@@ -154,9 +154,10 @@
 	vi.claimAddress(&ep, rev)
 }
 
-// suspectReappeared marks an endpoint as missing that was removed and is registered again, while
-// the store may have brought the registration back from a backup. The endpoint is used once the
-// grace period ends, unless it is removed again.
+// suspectReappeared handles an endpoint that was removed and is registered again with the same
+// incarnation soon after a restore of the store, which may have brought the registration back from
+// the backup. The endpoint is marked as missing, and is used once the grace period ends unless it is
+// removed again.
 func (vi *view) suspectReappeared(ep place.Endpoint) {
 	gone, was := vi.removed[ep.ID]
 	delete(vi.removed, ep.ID)
@@ -294,8 +295,8 @@
 	delete(vi.reappeared, id)
 }
 
-// settle ends grace periods: it removes endpoints whose registrations did not return, puts those
-// into use that reappeared and stayed, and settles evacuations likewise.
+// settle ends grace periods: it removes endpoints whose registrations did not return, starts to use
+// endpoints that reappeared and were not removed again, and settles evacuations likewise.
 func (vi *view) settle(ctx context.Context) error {
 	tick := time.NewTicker(settleInterval)
 	defer tick.Stop()
@@ -326,12 +327,12 @@
 	}
 }
 
-// acceptReappeared puts the endpoints into use that reappeared and stayed.
+// acceptReappeared starts to use the endpoints that reappeared and were not removed again.
 func (vi *view) acceptReappeared() {
 	vi.mu.Lock()
 	defer vi.mu.Unlock()
 	for id, ep := range vi.reappeared {
-		vi.log.Info("Endpoint returned.", zap.String("Endpoint", string(id)))
+		vi.log.Info("Endpoint is used again; it reappeared and was not removed since.", zap.String("Endpoint", string(id)))
 		vi.pr.placer.Register(time.Now(), ep)
 		delete(vi.reappeared, id)
 	}
