--- a/io/deny/deny_test.go
+++ b/io/deny/deny_test.go
@@ -135,7 +135,7 @@
 
 // Two routers refuse a request that crashed three endpoints, while its callers keep retrying
 // through both. Once the time until the first trial is over, exactly one of many concurrent
-// attempts is allowed as the trial. The next trial is two minutes later.
+// attempts is allowed as the trial. Unless that succeeds, the next trial is due two minutes later.
 func TestOneRouterWinsTheTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &store{}
--- a/io/deny/tracker.go
+++ b/io/deny/tracker.go
@@ -24,9 +24,9 @@
 	// storeTimeout bounds a call to the store, which takes a quarter of a second when slow.
 	storeTimeout = time.Second
 	// maxStoresPerRound bounds the quarantines that are written, in two calls each, and whose
-	// notices are repeated in one round. The 256 that a router holds take eight rounds, of two
-	// seconds each if the store does not answer: peers receive a notice of each well before they
-	// forget it.
+	// notices are repeated in one round. A router holds at most 256, which take eight rounds. A
+	// round lasts two seconds if the store does not answer, so peers receive the notice of each
+	// quarantine again well before they forget it.
 	maxStoresPerRound = 32
 	// minRetryAfter is the least time after which a caller may retry. It matters for a request
 	// whose trial is due but was not claimed here: the store does not answer, or another router has
