--- a/io/back/poll.go
+++ b/io/back/poll.go
@@ -29,7 +29,7 @@
 	Clock    core.Clock
 	Book     *ctxdir.Directory
 	Gate     *admit.Gate
-	// Failed, if set, is called with the first error after a successful poll, or of the first poll.
+	// Failed, if set, is called with the first error of each series of failed polls.
 	Failed func(err error)
 
 	seq     uint64
@@ -108,7 +108,7 @@
 }
 
 // pollLoad compares the engine's load report with the highest recent load of the gate, since the
-// report lags. Only load beyond that has reached the engine by other ways than the gate.
+// report lags. Only load beyond that has bypassed the gate.
 func (po *Poller) pollLoad(ctx context.Context) error {
 	po.samples = append(po.samples, po.Gate.TrackedLoad())
 	if len(po.samples) > maxLoadSamples {
