--- a/io/node/quarantine.go
+++ b/io/node/quarantine.go
@@ -8,8 +8,8 @@
 	"almondrill/io/deny"
 )
 
-// buildQuarantine creates the tracker of requests that crash endpoints, which the router must not
-// send to agents.
+// buildQuarantine creates the crash tracker, which keeps the router from sending requests that crash
+// endpoints to agents.
 func (pr *Process) buildQuarantine() {
 	log := pr.Logs.Part("guard")
 	pr.crashTracker = &deny.Tracker{
