--- a/io/stats/docs.go
+++ b/io/stats/docs.go
@@ -63,7 +63,7 @@
 	{string(GapMs), "the longest pause within a stream that was completed"},
 	{string(SentMs), "from the arrival of a request until it is first sent to an endpoint: reading it and choosing the endpoint"},
 	{string(RefusedMs), "from the arrival of a request to its refusal with outcome NotRun"},
-	{string(FailedMs), "from the arrival of a request that was sent to its end without a complete response"},
+	{string(FailedMs), "from the arrival of a request that was sent to an endpoint until it ended without a complete response"},
 }
 
 // advice explains a reason, and what an operator can do about it.
@@ -93,7 +93,7 @@
 	{core.ReasonClaimLost, "the process that claimed the idempotency key is gone: the outcome is unknown", "the caller must find out itself; see draining.md to avoid it"},
 	{core.ReasonKeyReused, "the idempotency key was used for another request before", "tell the customer"},
 	{core.ReasonAnswerGone, "the request was executed, but its response is too large or too old to replay", "the caller must find out the result itself"},
-	{core.ReasonUnreachable, "no connection to the agent; the request was not executed, and tried elsewhere", "check the VM named as peer"},
+	{core.ReasonUnreachable, "no connection to the agent; the request was not executed there, and the router tried elsewhere", "check the VM named as peer"},
 	{core.ReasonPeerLost, "the connection broke after the request was sent", "check the VM named as peer"},
 	{core.ReasonEndpointDown, "the agent cannot connect to its endpoint", "check the endpoint"},
 	{core.ReasonEndpointError, "the endpoint responded with a status of 500 or above", "check the endpoint"},
