--- a/io/trace/trace.go
+++ b/io/trace/trace.go
@@ -102,10 +102,11 @@
 // timeLayout is the format of times in the logs.
 const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
-// ForRequest returns the trace of a request, or nil if the logs do not contain it. The trace is the
-// request's own lines, preceded by the last earlier lines of its VM about its process, the
-// configuration, the store and the endpoints that the request's lines name, and by the lines of any
-// router about crashes of endpoints that executed the request, under this id or another.
+// ForRequest returns the trace of a request, or nil if the logs do not contain it. The request's own
+// lines come last. Before them are the latest earlier lines of its VM about its process, the
+// configuration, the store and the endpoints that the request's lines name, and all lines of any
+// router about the request's quarantine, and about crashes of endpoints that executed it, under this
+// id or another.
 func ForRequest(lines []Line, id string) []Line {
 	var found []Line
 	endpoints := map[string]bool{}
