--- a/io/load/load.go
+++ b/io/load/load.go
@@ -1,4 +1,4 @@
-// Package load is an open-loop load generator for routers of either kind, or for engines.
+// Package load is an open-loop load generator for routers, with or without agents, and for engines.
 //
 // # Concepts
 //
