--- a/io/demo/hop_test.go
+++ b/io/demo/hop_test.go
@@ -165,7 +165,7 @@
 }
 
 // BenchmarkAdded measures the latency in milliseconds that router and agent add to a chat of one
-// token at up to 1,000 requests per second, compared with the same load sent directly to the
+// token at 250, 500 and 1,000 requests per second, compared with the same load sent directly to the
 // engine.
 func BenchmarkAdded(b *testing.B) {
 	for _, rate := range []float64{250, 500, 1000} {
