--- a/io/fakes/inmem/orders.go
+++ b/io/fakes/inmem/orders.go
@@ -19,7 +19,7 @@
 	Weights *wstore.Store
 	// Fences holds the fencing numbers of the accepted orders, in order.
 	Fences []core.Fence
-	// Interrupted counts calls that were running while a model was loaded.
+	// Interrupted counts calls that were running when a model was loaded.
 	Interrupted int
 }
 
