--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -18,7 +18,7 @@
 //	po := &conns.Pool{}
 //	co, err := po.Get(ctx, addr)
 //	rs, err := co.Do(head, body, method, ownID)
-//	po.Put(co) // or co.Close()
+//	po.Put(co, rs) // or co.Close()
 package conns
 
 import (
