--- a/io/client/client.go
+++ b/io/client/client.go
@@ -64,8 +64,8 @@
 	Hint string
 	// Cached is the number of prompt tokens that the engine had cached.
 	Cached int
-	// First and Total are the times from the start of the request to the first token, or to a plain
-	// body, and to the end. Gaps are the times between tokens.
+	// First is the time from the start of the request to the first token of a stream, or until a plain
+	// body was read; Total is the time to the end. Gaps are the times between tokens.
 	First time.Duration
 	Total time.Duration
 	Gaps  []time.Duration
