--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -166,7 +166,7 @@
 		return ag.report(nil, core.Usage{}), ag.refuse(core.ReasonWrongPool, "enter", "no endpoint of pool "+string(ca.Pool))
 	}
 	if !gr.Service && !known {
-		if re := ag.redirect(sn, gr, sl, ca, key, he); re != nil {
+		if re := ag.checkRedirect(sn, gr, sl, ca, key, he); re != nil {
 			return ag.report(sl, core.Usage{}), re
 		}
 	}
--- a/core/agent/crash.go
+++ b/core/agent/crash.go
@@ -23,10 +23,10 @@
 	firstInterrupted time.Time
 }
 
-// wasRunning reports whether a call that started at the given time and was interrupted now, at an
-// endpoint that is gone, was running when the endpoint crashed. A call that started after the
-// crash was sent to an endpoint that was already gone.
-func (cr *crashRecord) wasRunning(now, started time.Time) bool {
+// recordInterruption records that a call which started at the given time was interrupted now, at an
+// endpoint that is gone, and reports whether the call was running when the endpoint crashed. A call
+// that started after the crash was sent to an endpoint that was already gone.
+func (cr *crashRecord) recordInterruption(now, started time.Time) bool {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if now.Sub(cr.firstInterrupted) > crashWindow {
@@ -45,7 +45,7 @@
 	now := ag.Clock.Now()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), aliveTimeout)
 	defer cancel()
-	if !prober.Alive(ctx) && sl.crash.wasRunning(now, started) {
+	if !prober.Alive(ctx) && sl.crash.recordInterruption(now, started) {
 		re.Reason = core.ReasonCrashed
 	}
 }
--- a/core/agent/placement.go
+++ b/core/agent/placement.go
@@ -56,13 +56,14 @@
 	return best, nil
 }
 
-// redirect returns a refusal if another agent should serve the chat, and nil if this one should.
-func (ag *Agent) redirect(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, key uint64, he *ctxdir.CachedContext) *core.Refusal {
+// checkRedirect returns a refusal if another agent should serve the chat, and nil if this one
+// should.
+func (ag *Agent) checkRedirect(sn *board.Snapshot, gr *decl.Group, sl *Slot, ca *core.Call, key uint64, he *ctxdir.CachedContext) *core.Refusal {
 	if ca.NoRedirect {
 		return nil
 	}
 	if he != nil && he.Tokens*4 >= ca.Prompt*3 {
-		return ag.refuseBusy(gr, sl, ca)
+		return ag.checkBusy(gr, sl, ca)
 	}
 	if vm, known := ag.Book.Pointer(key); known {
 		if vm == ca.StaleHolder || !ag.worthRedirect(sn, gr, sl, ca, vm) {
@@ -77,11 +78,11 @@
 	return nil
 }
 
-// refuseBusy returns a refusal if prefilling the context elsewhere is expected to be quicker than
+// checkBusy returns a refusal if prefilling the context elsewhere is expected to be quicker than
 // waiting for it here. It compares the difference in load with the cost of the prefill: when all
 // engines have queues, moving gains nothing and loses the context. A ReuseBias above 1 favors
 // waiting.
-func (ag *Agent) refuseBusy(gr *decl.Group, sl *Slot, ca *core.Call) *core.Refusal {
+func (ag *Agent) checkBusy(gr *decl.Group, sl *Slot, ca *core.Call) *core.Refusal {
 	if sl.gate.EstimateWait(ca.Priority) == 0 {
 		return nil
 	}
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -16,9 +16,9 @@
 
 import "time"
 
-// window is the time over which a Window counts. It exceeds a second by the delay between MarkSent
-// and the first byte sent on a busy VM.
-const window = time.Second + 50*time.Millisecond
+// windowLength is the time over which a Window counts. It exceeds a second by the delay between
+// MarkSent and the first byte sent on a busy VM.
+const windowLength = time.Second + 50*time.Millisecond
 
 // Window counts requests in a sliding window. The zero value is empty. It is not safe for
 // concurrent use.
@@ -49,7 +49,7 @@
 	if wi.countRecent(now) == 0 {
 		return 0
 	}
-	return window - now.Sub(wi.sent[0])
+	return windowLength - now.Sub(wi.sent[0])
 }
 
 // Empty reports whether no request is counted or reserved.
@@ -58,7 +58,7 @@
 // countRecent removes requests that have left the window and returns how many remain.
 func (wi *Window) countRecent(now time.Time) int {
 	first := 0
-	for first < len(wi.sent) && now.Sub(wi.sent[first]) > window {
+	for first < len(wi.sent) && now.Sub(wi.sent[first]) > windowLength {
 		first++
 	}
 	wi.sent = wi.sent[first:]
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -25,11 +25,11 @@
 const (
 	// stepsPerSpan is the number of counters into which a span is divided.
 	stepsPerSpan = 20
-	// ratioMargin and slackMargin are the fractions of the bound that are used. The rest covers
+	// usableRatio and usableSlack are the fractions of the bound that are used. The rest covers
 	// routers that lost their counts in a restart, and requests in transit, which endpoints count
 	// later than routers.
-	ratioMargin = 0.8
-	slackMargin = 0.5
+	usableRatio = 0.8
+	usableSlack = 0.5
 )
 
 // counts is a ring of stepsPerSpan+1 counters: the oldest one is still partly within the span.
@@ -57,7 +57,7 @@
 		first += co.first[ix]
 		extra += co.extra[ix]
 	}
-	bound := ratioMargin*wi.Ratio*float64(first) + slackMargin*wi.Slack/float64(routers)
+	bound := usableRatio*wi.Ratio*float64(first) + usableSlack*wi.Slack/float64(routers)
 	if float64(extra+1) > bound {
 		return false
 	}
--- a/core/router/router.go
+++ b/core/router/router.go
@@ -151,7 +151,7 @@
 	as.attempt = ca.Attempt
 	rep, err := at.ro.Peers.Serve(ctx, as.vm, &ca, as)
 	at.applyReport(ix, rep, err)
-	at.reportCrash(as.vm, err)
+	at.reportResult(as.vm, err)
 	if err != nil {
 		return rep, core.AsRefusal(err, "serve", string(as.vm))
 	}
@@ -180,10 +180,10 @@
 	return re
 }
 
-// reportCrash reports to Crashes that an attempt succeeded or crashed its endpoint. Other failures
+// reportResult reports to Crashes that an attempt succeeded or crashed its endpoint. Other failures
 // are not reported: endpoints also fail requests that they have hardly started, so a failure
 // neither clears the request nor counts against it.
-func (at *attempts) reportCrash(vm core.VMID, err error) {
+func (at *attempts) reportResult(vm core.VMID, err error) {
 	if at.ro.Crashes == nil {
 		return
 	}
--- a/core/trial/crash_test.go
+++ b/core/trial/crash_test.go
@@ -38,7 +38,7 @@
 // routers retry on the next engine, so 20 retries crash more than 20 engines. The limit is three
 // crashes, plus three while the notices about them reach all routers.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
-	const returns, maxCrashes = 20, 6
+	const retries, maxCrashes = 20, 6
 	for seed, repeat := range map[uint64]bool{41: true, 42: false} {
 		t.Run(fmt.Sprint("repeat=", repeat), func(t *testing.T) {
 			runHarness(t, seed, func(st *harness) {
@@ -46,7 +46,7 @@
 				var all sync.WaitGroup
 				all.Go(func() { st.runCallers(6, 25*time.Second) })
 				time.Sleep(2 * time.Second)
-				for ix := range returns {
+				for ix := range retries {
 					if te, re := st.send(ix%3, crashBody, "", repeat); re == nil {
 						t.Errorf("the crashing request was answered: %v", te)
 					}
@@ -59,7 +59,7 @@
 					t.Errorf("the last retry got %v, want NotRun with RetryAfter", re)
 				}
 				if got := st.crashCount(); got > maxCrashes {
-					t.Errorf("%d engines crashed in %d retries, want at most %d", got, returns+2, maxCrashes)
+					t.Errorf("%d engines crashed in %d retries, want at most %d", got, retries+2, maxCrashes)
 				}
 				time.Sleep(5 * time.Second)
 				if te, re := st.send(1, "harmless", "", repeat); re != nil {
--- a/io/entry/caller.go
+++ b/io/entry/caller.go
@@ -21,9 +21,9 @@
 	// a day apart so that they can be told from each other.
 	idleSentinel   = 24 * time.Hour
 	headerSentinel = 48 * time.Hour
-	// sentinelSpan is how far below a sentinel the remaining time may be and still be recognized:
-	// the server sets a deadline a moment after it has computed it.
-	sentinelSpan = time.Hour
+	// sentinelTolerance is how far below a sentinel the remaining time may be and still be
+	// recognized: the server sets a deadline a moment after it has computed it.
+	sentinelTolerance = time.Hour
 	// callerAckTimeout is how long bytes sent to a caller may stay unacknowledged. Without it a
 	// caller that has lost power would hold an endpoint's slot.
 	callerAckTimeout = 4 * time.Second
@@ -83,9 +83,9 @@
 // SetReadDeadline replaces a sentinel by the timeout that the configuration sets.
 func (cc *callerConn) SetReadDeadline(at time.Time) error {
 	switch left := time.Until(at); {
-	case left > headerSentinel-sentinelSpan:
+	case left > headerSentinel-sentinelTolerance:
 		at = time.Now().Add(time.Duration(cc.timeouts.header.Load()))
-	case left > idleSentinel-sentinelSpan:
+	case left > idleSentinel-sentinelTolerance:
 		at = time.Now().Add(time.Duration(cc.timeouts.idle.Load()))
 	}
 	return cc.TCPConn.SetReadDeadline(at)
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -291,8 +291,8 @@
 	} else {
 		loops = append(loops, pr.orderController.Run, pr.crashTracker.Run, pr.watchQuarantines)
 	}
-	for _, fo := range pr.pollers {
-		loops = append(loops, fo.Run)
+	for _, po := range pr.pollers {
+		loops = append(loops, po.Run)
 	}
 	for _, loop := range loops {
 		go func() { _ = loop(ctx) }()
--- a/io/oper/status.go
+++ b/io/oper/status.go
@@ -31,7 +31,7 @@
 	endpoints := make([][]*opsrpc.EndpointStatus, len(out.Processes))
 	forEachParallel(len(out.Processes), func(ix int) {
 		ps := out.Processes[ix]
-		se.queryRevision(ctx, ps)
+		se.queryProcess(ctx, ps)
 		if ps.Role == string(core.RoleAgent) && ps.Problem == "" {
 			endpoints[ix] = se.inspectEndpoints(ctx, sn.Config, ps)
 		}
@@ -58,7 +58,7 @@
 	calls.Wait()
 }
 
-func (se *Server) queryRevision(ctx context.Context, ps *opsrpc.ProcessStatus) {
+func (se *Server) queryProcess(ctx context.Context, ps *opsrpc.ProcessStatus) {
 	if core.VMID(ps.VM) == se.Board.Self.ID {
 		ps.Revision = uint64(se.Log.Revision())
 		return
--- a/io/rpc/handover.go
+++ b/io/rpc/handover.go
@@ -31,7 +31,7 @@
 		return streamNotOpened(ctx, to)
 	}
 	first := &wire.HandPart{Placement: placementsToWire([]core.Placement{ha.Placement}).Placements[0], Tokens: int64(ha.Tokens)}
-	if err = sendContext(st, first, rd); err != nil {
+	if err = sendHandover(st, first, rd); err != nil {
 		return peerLost(ctx, to, err)
 	}
 	re, err := st.CloseAndRecv()
@@ -41,9 +41,9 @@
 	return refusalFromWire(re.Refused)
 }
 
-// sendContext sends until the end of the context or until the receiver refuses it. A refusal shows as
-// io.EOF from Send and is read from the reply.
-func sendContext(st grpc.ClientStreamingClient[wire.HandPart, wire.HandReply], part *wire.HandPart, rd io.Reader) error {
+// sendHandover sends until the end of the context or until the receiver refuses it. A refusal shows
+// as io.EOF from Send and is read from the reply.
+func sendHandover(st grpc.ClientStreamingClient[wire.HandPart, wire.HandReply], part *wire.HandPart, rd io.Reader) error {
 	buf := make([]byte, handoverChunkSize)
 	for {
 		if err := st.Send(part); err != nil {
@@ -83,29 +83,29 @@
 	}
 	pl := placementsFromWire(&wire.PlaceCall{Placements: []*wire.Placement{first.Placement}})[0]
 	re := &wire.HandReply{Revision: ha.revision()}
-	if err = ha.se.HandOver(st.Context(), &core.Handover{Placement: pl, Tokens: core.Tokens(first.Tokens)}, &contextReader{st: st}); err != nil {
+	if err = ha.se.HandOver(st.Context(), &core.Handover{Placement: pl, Tokens: core.Tokens(first.Tokens)}, &handoverReader{st: st}); err != nil {
 		re.Refused = refusalToWire(core.AsRefusal(err, "hand", ""))
 	}
 	return st.SendAndClose(re)
 }
 
-// contextReader reads a context from its messages. A stream that was canceled ends with an error,
+// handoverReader reads a context from its messages. A stream that was canceled ends with an error,
 // never with io.EOF.
-type contextReader struct {
+type handoverReader struct {
 	st     grpc.ClientStreamingServer[wire.HandPart, wire.HandReply]
 	unread []byte
 }
 
 // Read implements io.Reader.
-func (pa *contextReader) Read(data []byte) (int, error) {
-	for len(pa.unread) == 0 {
-		part, err := pa.st.Recv()
+func (hr *handoverReader) Read(data []byte) (int, error) {
+	for len(hr.unread) == 0 {
+		part, err := hr.st.Recv()
 		if err != nil {
 			return 0, err
 		}
-		pa.unread = part.Data
+		hr.unread = part.Data
 	}
-	n := copy(data, pa.unread)
-	pa.unread = pa.unread[n:]
+	n := copy(data, hr.unread)
+	hr.unread = hr.unread[n:]
 	return n, nil
 }
