--- a/cmd/almondrill/standin.go
+++ b/cmd/almondrill/standin.go
@@ -102,7 +102,7 @@
 		go func() { _ = server.Serve(li) }()
 		stop = server.Stop
 	case "weights":
-		stop = serveHTTP(li, (&wstore.Store{Clock: clock.Wall{}, Time: sc.load, AtOnce: sc.atOnce}).Handler())
+		stop = serveHTTP(li, (&wstore.Store{Clock: clock.Wall{}, FetchTime: sc.load, MaxFetches: sc.atOnce}).Handler())
 	case "vms":
 		list := &vmsrv.List{Clock: clock.Wall{}, Lag: sc.lag}
 		if err = sc.readList(list); err != nil {
--- a/io/demo/drive.go
+++ b/io/demo/drive.go
@@ -70,7 +70,7 @@
 	close(stop)
 	dv.rep.MaxOverMean = <-peak
 	counts := fl.Audit.Counts()
-	dv.rep.Doubled, dv.rep.Crossed = counts.Doubled, counts.Crossed
+	dv.rep.Doubled, dv.rep.Crossed = counts.Duplicates, counts.Crossed
 	dv.rep.CutShort, dv.rep.FalseNotRun = counts.CutShort, counts.FalseNotRun
 	if dv.returning > 0 {
 		dv.rep.ReuseRatio = float64(dv.found) / float64(dv.returning)
@@ -186,10 +186,10 @@
 	for _, rs := range results {
 		switch rs.Outcome {
 		case core.Whole:
-			dv.fl.Audit.Got(nonce, rs.Answer)
+			dv.fl.Audit.RecordReceived(nonce, rs.Answer)
 		case core.NotRun:
 			if len(results) == 1 {
-				dv.fl.Audit.Refused(nonce)
+				dv.fl.Audit.RecordNotRun(nonce)
 			}
 		}
 		worst = max(worst, rs.Outcome)
--- a/io/stand/engine/engine.go
+++ b/io/stand/engine/engine.go
@@ -182,7 +182,7 @@
 	}
 	nonce := in.Messages[len(in.Messages)-1].Content
 	if en.Audit != nil {
-		en.Audit.Ran(nonce, rq.Header.Get("Idempotency-Key"))
+		en.Audit.RecordExecution(nonce, rq.Header.Get("Idempotency-Key"))
 	}
 	tokens := in.MaxTokens
 	if tokens <= 0 {
@@ -302,7 +302,7 @@
 
 func (an *answering) sent(answer string) {
 	if an.en.Audit != nil {
-		an.en.Audit.Sent(an.nonce, answer)
+		an.en.Audit.RecordSent(an.nonce, answer)
 	}
 	an.en.mu.Lock()
 	an.en.served.Whole++
--- a/io/stand/inmem/engine.go
+++ b/io/stand/inmem/engine.go
@@ -75,7 +75,7 @@
 	}
 	defer en.exit(ca)
 	if en.Audit != nil {
-		en.Audit.Ran(nonce, idemName(ca))
+		en.Audit.RecordExecution(nonce, idemName(ca))
 	}
 	key := ring.Key(ca.Customer, ca.Pool, ca.Chat)
 	hit := en.begin(key, ca.Prompt)
@@ -125,7 +125,7 @@
 		pa.Position = int64(sent)
 		pa.End = sent == ca.Output
 		if pa.End && en.Audit != nil {
-			en.Audit.Sent(nonce, nonce)
+			en.Audit.RecordSent(nonce, nonce)
 		}
 		if si.Send(&pa) != nil {
 			return en.broken(core.Unknown, core.ReasonCallerGone)
--- a/io/stand/inmem/ownkv.go
+++ b/io/stand/inmem/ownkv.go
@@ -18,7 +18,7 @@
 
 func (ow ownKV) cut() error {
 	if ow.member.KVCut.Load() || ow.member.dead() {
-		return kvsrv.ErrDown
+		return kvsrv.ErrUnavailable
 	}
 	return nil
 }
--- a/io/stand/inmem/tune.go
+++ b/io/stand/inmem/tune.go
@@ -43,11 +43,11 @@
 		return en.broken(core.NotRun, core.ReasonOldFence)
 	}
 	if or.Kind == core.OrderLoadModel && en.Tuning.Weights != nil {
-		if en.Tuning.Weights.Begin() != nil {
+		if en.Tuning.Weights.BeginFetch() != nil {
 			return en.broken(core.Failed, core.ReasonWeightsBusy)
 		}
-		defer en.Tuning.Weights.End()
-		if en.Clock.Sleep(ctx, en.Tuning.Weights.Time) != nil {
+		defer en.Tuning.Weights.EndFetch()
+		if en.Clock.Sleep(ctx, en.Tuning.Weights.FetchTime) != nil {
 			return en.broken(core.Unknown, core.ReasonStalled)
 		}
 	}
--- a/io/stand/kvsrv/kvsrv.go
+++ b/io/stand/kvsrv/kvsrv.go
@@ -31,11 +31,11 @@
 // Errors of the stand-in beyond core's.
 var (
 	// ErrDown: the service is not there; nothing was written.
-	ErrDown = errors.New("kv: service unavailable")
+	ErrUnavailable = errors.New("kv: service unavailable")
 	// ErrLost: the answer was lost; the write may have taken effect.
-	ErrLost = errors.New("kv: answer lost")
+	ErrReplyLost = errors.New("kv: answer lost")
 	// ErrRate: too many calls; nothing was written.
-	ErrRate = errors.New("kv: rate limit")
+	ErrRateLimited = errors.New("kv: rate limit")
 	// ErrTooLarge: the value is over MaxValue; nothing was written.
 	ErrTooLarge = errors.New("kv: value too large")
 )
@@ -45,10 +45,10 @@
 	Down bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// LoseAnswers is the part of writes that take effect without an answer.
-	LoseAnswers float64
-	// OldReads makes reads see the store as it was when the fault began.
-	OldReads bool
+	// ReplyLoss is the part of writes that take effect without an answer.
+	ReplyLoss float64
+	// StaleReads makes reads see the store as it was when the fault began.
+	StaleReads bool
 }
 
 // Calls counts calls by kind.
@@ -68,13 +68,13 @@
 
 	mu      sync.Mutex // guards all below
 	entries map[string]entry
-	old     map[string]entry
+	stale   map[string]entry
 	leases  map[core.LeaseID]lease
 	version core.Version
 	faults  Faults
 	calls   Calls
-	reads   bucket
-	writes  bucket
+	reads   tokenBucket
+	writes  tokenBucket
 	changed chan struct{}
 }
 
@@ -89,8 +89,8 @@
 	until time.Time
 }
 
-type bucket struct {
-	credit float64
+type tokenBucket struct {
+	tokens float64
 	last   time.Time
 }
 
@@ -101,10 +101,10 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.init()
-	if fa.OldReads && !st.faults.OldReads {
-		st.old = make(map[string]entry, len(st.entries))
+	if fa.StaleReads && !st.faults.StaleReads {
+		st.stale = make(map[string]entry, len(st.entries))
 		for key, en := range st.entries {
-			st.old[key] = en
+			st.stale[key] = en
 		}
 	}
 	st.faults = fa
@@ -136,8 +136,8 @@
 	}
 }
 
-// begin waits out the call's time and applies faults and limits.
-func (st *Store) begin(ctx context.Context, write bool) error {
+// startCall waits out the call's time and applies faults and limits.
+func (st *Store) startCall(ctx context.Context, write bool) error {
 	st.mu.Lock()
 	st.init()
 	wait := st.Latency + st.faults.Delay
@@ -150,11 +150,11 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.faults.Down {
-		return ErrDown
+		return ErrUnavailable
 	}
 	if !st.admit(write) {
 		st.calls.Refused++
-		return ErrRate
+		return ErrRateLimited
 	}
 	return ctx.Err()
 }
@@ -168,26 +168,26 @@
 	return st.reads.take(st.Clock.Now(), st.ReadsPerSecond)
 }
 
-func (bu *bucket) take(now time.Time, perSecond int) bool {
+func (bu *tokenBucket) take(now time.Time, perSecond int) bool {
 	if perSecond == 0 {
 		return true
 	}
-	most := float64(perSecond)
+	capacity := float64(perSecond)
 	if bu.last.IsZero() {
-		bu.credit = most
+		bu.tokens = capacity
 	} else {
-		bu.credit = min(most, bu.credit+now.Sub(bu.last).Seconds()*most)
+		bu.tokens = min(capacity, bu.tokens+now.Sub(bu.last).Seconds()*capacity)
 	}
 	bu.last = now
-	if bu.credit < 1 {
+	if bu.tokens < 1 {
 		return false
 	}
-	bu.credit--
+	bu.tokens--
 	return true
 }
 
-// lapse drops what belongs to leases that have run out.
-func (st *Store) lapse() {
+// expireLeases drops what belongs to leases that have run out.
+func (st *Store) expireLeases() {
 	now := st.Clock.Now()
 	for id, le := range st.leases {
 		if now.Before(le.until) {
@@ -205,16 +205,16 @@
 
 // readable is what reads see.
 func (st *Store) readable() map[string]entry {
-	st.lapse()
-	if st.faults.OldReads {
-		return st.old
+	st.expireLeases()
+	if st.faults.StaleReads {
+		return st.stale
 	}
 	return st.entries
 }
 
 // Get reads an entry.
 func (st *Store) Get(ctx context.Context, key string) (core.Entry, error) {
-	if err := st.begin(ctx, false); err != nil {
+	if err := st.startCall(ctx, false); err != nil {
 		return core.Entry{}, err
 	}
 	st.mu.Lock()
@@ -228,7 +228,7 @@
 
 // Put writes an entry.
 func (st *Store) Put(ctx context.Context, key string, value []byte, expect core.Version, le core.LeaseID) (core.Version, error) {
-	if err := st.begin(ctx, true); err != nil {
+	if err := st.startCall(ctx, true); err != nil {
 		return 0, err
 	}
 	if len(value) > MaxValue {
@@ -236,7 +236,7 @@
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.lapse()
+	st.expireLeases()
 	if st.entries[key].version != expect {
 		return 0, core.ErrConflict
 	}
@@ -245,43 +245,43 @@
 	}
 	st.version++
 	st.entries[key] = entry{value: slices.Clone(value), version: st.version, lease: le}
-	st.wake()
-	return st.version, st.answer()
+	st.notifyWatchers()
+	return st.version, st.maybeLoseReply()
 }
 
 // Delete removes an entry.
 func (st *Store) Delete(ctx context.Context, key string, expect core.Version) error {
-	if err := st.begin(ctx, true); err != nil {
+	if err := st.startCall(ctx, true); err != nil {
 		return err
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.lapse()
+	st.expireLeases()
 	if en, known := st.entries[key]; !known || en.version != expect {
 		return core.ErrConflict
 	}
 	st.version++
 	delete(st.entries, key)
-	st.wake()
-	return st.answer()
+	st.notifyWatchers()
+	return st.maybeLoseReply()
 }
 
-// answer loses the ordered part of the answers to writes.
-func (st *Store) answer() error {
-	if st.faults.LoseAnswers > 0 && st.Rand.Float64() < st.faults.LoseAnswers {
-		return ErrLost
+// maybeLoseReply loses the ordered part of the answers to writes.
+func (st *Store) maybeLoseReply() error {
+	if st.faults.ReplyLoss > 0 && st.Rand.Float64() < st.faults.ReplyLoss {
+		return ErrReplyLost
 	}
 	return nil
 }
 
-func (st *Store) wake() {
+func (st *Store) notifyWatchers() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
 
 // List reads a range of entries.
 func (st *Store) List(ctx context.Context, from, to string, limit int) ([]core.Entry, error) {
-	if err := st.begin(ctx, false); err != nil {
+	if err := st.startCall(ctx, false); err != nil {
 		return nil, err
 	}
 	st.mu.Lock()
@@ -301,7 +301,7 @@
 
 // Grant creates a lease.
 func (st *Store) Grant(ctx context.Context, ttl time.Duration) (core.LeaseID, error) {
-	if err := st.begin(ctx, true); err != nil {
+	if err := st.startCall(ctx, true); err != nil {
 		return 0, err
 	}
 	st.mu.Lock()
@@ -314,12 +314,12 @@
 
 // Renew prolongs a lease.
 func (st *Store) Renew(ctx context.Context, le core.LeaseID) error {
-	if err := st.begin(ctx, true); err != nil {
+	if err := st.startCall(ctx, true); err != nil {
 		return err
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.lapse()
+	st.expireLeases()
 	held, live := st.leases[le]
 	if !live {
 		return core.ErrLeaseExpired
@@ -332,7 +332,7 @@
 // Watch waits for a newer entry with the prefix. Each look counts as a call.
 func (st *Store) Watch(ctx context.Context, prefix string, after core.Version) (core.Entry, error) {
 	for {
-		if err := st.begin(ctx, false); err != nil {
+		if err := st.startCall(ctx, false); err != nil {
 			return core.Entry{}, err
 		}
 		st.mu.Lock()
--- a/io/stand/local/local.go
+++ b/io/stand/local/local.go
@@ -25,21 +25,21 @@
 const (
 	// port is that of all addresses; it is below those that the kernel gives out.
 	port = 20080
-	// firstNet and lastNet bound the second byte of the parts that are claimed; 127.0
+	// firstSubnet and lastNet bound the second byte of the parts that are claimed; 127.0
 	// and 127.1 are left to others.
-	firstNet = 2
-	lastNet  = 254
-	// addresses is how many a part has, without those that begin with 0, of which one
+	firstSubnet = 2
+	lastSubnet  = 254
+	// subnetSize is how many a part has, without those that begin with 0, of which one
 	// is the claim.
-	addresses = 254 * 254
+	subnetSize = 254 * 254
 )
 
 var (
 	mu sync.Mutex // guards all below
 	// claim is held until the program ends, so that its part stays its own.
-	claim net.Listener
-	part  int
-	given int
+	claim     net.Listener
+	subnet    int
+	allocated int
 )
 
 // IP returns an address without a port that this program has not given out yet.
@@ -47,23 +47,23 @@
 	tb.Helper()
 	mu.Lock()
 	defer mu.Unlock()
-	if claim == nil && !take() {
+	if claim == nil && !claimSubnet() {
 		tb.Fatal("every part of 127.0.0.0/8 is claimed by another test")
 	}
-	if given == addresses {
+	if allocated == subnetSize {
 		tb.Fatal("all addresses of this test's part of 127.0.0.0/8 were given out")
 	}
-	ip := fmt.Sprintf("127.%d.%d.%d", part, 1+given/254, 1+given%254)
-	given++
+	ip := fmt.Sprintf("127.%d.%d.%d", subnet, 1+allocated/254, 1+allocated%254)
+	allocated++
 	return ip
 }
 
-// take claims the first part that is free, from one that differs by process.
-func take() bool {
-	const parts = lastNet - firstNet + 1
-	for ix := range parts {
-		part = firstNet + (os.Getpid()+ix)%parts
-		li, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", part, port))
+// claimSubnet claims the first part that is free, from one that differs by process.
+func claimSubnet() bool {
+	const subnets = lastSubnet - firstSubnet + 1
+	for ix := range subnets {
+		subnet = firstSubnet + (os.Getpid()+ix)%subnets
+		li, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", subnet, port))
 		if err == nil {
 			claim = li
 			return true
--- a/io/stand/plain/plain.go
+++ b/io/stand/plain/plain.go
@@ -33,9 +33,9 @@
 	Takes time.Duration
 	Audit *audit.Audit
 
-	mu     sync.Mutex // guards all below
-	faults Faults
-	served int
+	mu        sync.Mutex // guards all below
+	faults    Faults
+	callCount int
 }
 
 // SetFaults orders faults from now on.
@@ -45,11 +45,11 @@
 	se.faults = fa
 }
 
-// Served is the number of calls that ran.
-func (se *Service) Served() int {
+// CallCount is the number of calls that ran.
+func (se *Service) CallCount() int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	return se.served
+	return se.callCount
 }
 
 // ServeHTTP answers with the request's method, path and body.
@@ -67,18 +67,18 @@
 	}
 	nonce := rq.URL.Path + "|" + string(body)
 	if se.Audit != nil {
-		se.Audit.Ran(nonce, rq.Header.Get("Idempotency-Key"))
+		se.Audit.RecordExecution(nonce, rq.Header.Get("Idempotency-Key"))
 	}
 	_ = se.Clock.Sleep(rq.Context(), se.Takes)
 	se.mu.Lock()
-	se.served++
+	se.callCount++
 	se.mu.Unlock()
 	if fa.CutShort {
 		panic(http.ErrAbortHandler)
 	}
 	answer, _ := json.Marshal(struct{ Method, Path, Body string }{rq.Method, rq.URL.Path, string(body)})
 	if se.Audit != nil {
-		se.Audit.Sent(nonce, string(answer))
+		se.Audit.RecordSent(nonce, string(answer))
 	}
 	wr.Header().Set("Content-Type", "application/json")
 	wr.Header().Set("X-Request-Id", rq.Header.Get("X-Request-Id"))
--- a/io/stand/vmsrv/vmsrv.go
+++ b/io/stand/vmsrv/vmsrv.go
@@ -48,9 +48,9 @@
 func (li *List) Changes(_ context.Context, mark uint64) ([]core.VM, uint64, error) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	visible := li.Clock.Now().Add(-li.Lag)
+	visibleUntil := li.Clock.Now().Add(-li.Lag)
 	var vms []core.VM
-	for mark < uint64(len(li.changes)) && !li.changes[mark].at.After(visible) {
+	for mark < uint64(len(li.changes)) && !li.changes[mark].at.After(visibleUntil) {
 		vms = append(vms, li.changes[mark].vm)
 		mark++
 	}
--- a/io/stand/wstore/wstore.go
+++ b/io/stand/wstore/wstore.go
@@ -28,9 +28,9 @@
 // Store is the stand-in. Set the exported fields before use.
 type Store struct {
 	Clock core.Clock
-	// Time is what a fetch takes, AtOnce how many may run; 0 is no limit.
-	Time   time.Duration
-	AtOnce int
+	// FetchTime is what a fetch takes, AtOnce how many may run; 0 is no limit.
+	FetchTime  time.Duration
+	MaxFetches int
 
 	mu      sync.Mutex // guards all below
 	running int
@@ -38,7 +38,7 @@
 }
 
 // Counts are what the store did so far.
-type Counts struct{ Fetched, Refused, Most int }
+type Counts struct{ Fetched, Refused, Peak int }
 
 // Counts are what the store did so far.
 func (st *Store) Counts() Counts {
@@ -47,21 +47,21 @@
 	return st.counts
 }
 
-// Begin starts a fetch; End is called after it if the error is nil.
-func (st *Store) Begin() error {
+// BeginFetch starts a fetch; End is called after it if the error is nil.
+func (st *Store) BeginFetch() error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.AtOnce > 0 && st.running >= st.AtOnce {
+	if st.MaxFetches > 0 && st.running >= st.MaxFetches {
 		st.counts.Refused++
 		return ErrBusy
 	}
 	st.running++
-	st.counts.Most = max(st.counts.Most, st.running)
+	st.counts.Peak = max(st.counts.Peak, st.running)
 	return nil
 }
 
-// End ends a fetch.
-func (st *Store) End() {
+// EndFetch ends a fetch.
+func (st *Store) EndFetch() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.running--
@@ -71,18 +71,18 @@
 // Handler serves the store's protocol.
 func (st *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /weights/{Model}/{Version...}", st.get)
+	mux.HandleFunc("GET /weights/{Model}/{Version...}", st.handleGet)
 	return mux
 }
 
-func (st *Store) get(wr http.ResponseWriter, rq *http.Request) {
-	if err := st.Begin(); err != nil {
+func (st *Store) handleGet(wr http.ResponseWriter, rq *http.Request) {
+	if err := st.BeginFetch(); err != nil {
 		wr.Header().Set("Retry-After", "1")
 		http.Error(wr, err.Error(), http.StatusTooManyRequests)
 		return
 	}
-	defer st.End()
-	if st.Clock.Sleep(rq.Context(), st.Time) != nil {
+	defer st.EndFetch()
+	if st.Clock.Sleep(rq.Context(), st.FetchTime) != nil {
 		return
 	}
 	fmt.Fprintf(wr, "weights of %s %s\n", rq.PathValue("Model"), rq.PathValue("Version"))
